--- a/packages/oleandergap-gate/src/__tests__/gateHarness.ts
+++ b/packages/oleandergap-gate/src/__tests__/gateHarness.ts
@@ -1,4 +1,4 @@
-/** Drives a gate in tests and writes down what became of each request. */
+/** Drives a gate in tests and records the state of each request. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Limit, Milliseconds, RefusalReason } from "oleandergap-types";
 import { createManualClock, type ManualClock } from "oleandergap-utils";
@@ -8,13 +8,13 @@
     readonly id: number;
     readonly flow: string;
     readonly deadline: Milliseconds;
-    readonly hangUp: () => void;
+    readonly disconnect: () => void;
     state: "waiting" | "running" | "ended" | "refused";
     reason: RefusalReason | undefined;
     retryAfterMs: Milliseconds;
     settledAt: Milliseconds;
-    /** Counts how often the gate answered; more than once would be a fault. */
-    answers: number;
+    /** Number of times that the gate settled the request; more than one is an error. */
+    resolutions: number;
     admission: Admission | undefined;
 }
 
@@ -22,11 +22,11 @@
     readonly clock: ManualClock;
     readonly gate: Gate;
     readonly requests: TrackedRequest[];
-    readonly ask: (flow?: string, timeoutMs?: Milliseconds) => Promise<TrackedRequest>;
+    readonly submit: (flow?: string, timeoutMs?: Milliseconds) => Promise<TrackedRequest>;
     readonly release: (request: TrackedRequest, outcome?: Parameters<Admission["release"]>[0]) => Promise<void>;
-    /** Asks and answers requests one by one, so that the gate learns the service time. */
-    readonly teach: (serviceMs: Milliseconds, count?: number) => Promise<void>;
-    readonly inState: (state: TrackedRequest["state"]) => readonly TrackedRequest[];
+    /** Submits and answers requests one at a time, so that the gate measures the service time. */
+    readonly trainServiceTime: (serviceMs: Milliseconds, count?: number) => Promise<void>;
+    readonly listInState: (state: TrackedRequest["state"]) => readonly TrackedRequest[];
 }
 
 export const testLimit: Limit = { concurrency: 100, queue: 8, timeoutMs: 1000, retryRatio: 0.1 };
@@ -45,24 +45,24 @@
     });
     const requests: TrackedRequest[] = [];
 
-    const ask = async (flow = "halloway", timeoutMs = 1_000_000): Promise<TrackedRequest> => {
+    const submit = async (flow = "halloway", timeoutMs = 1_000_000): Promise<TrackedRequest> => {
         const controller = new AbortController();
         const request: TrackedRequest = {
             id: requests.length,
             flow,
             deadline: clock.monotonic() + timeoutMs,
-            hangUp: () => controller.abort(),
+            disconnect: () => controller.abort(),
             state: "waiting",
             reason: undefined,
             retryAfterMs: 0,
             settledAt: 0,
-            answers: 0,
+            resolutions: 0,
             admission: undefined,
         };
         requests.push(request);
         const { deadline } = request;
         void gate.admit({ partner: flow, service: "caller", deadline, signal: controller.signal }).then((decision) => {
-            request.answers += 1;
+            request.resolutions += 1;
             request.settledAt = clock.monotonic();
             if (either.isRight(decision)) {
                 request.state = "running";
@@ -84,17 +84,17 @@
         await clock.advance(0);
     };
 
-    const teach = async (serviceMs: Milliseconds, count = 16): Promise<void> => {
-        for (let taught = 0; taught < count; taught++) {
-            const request = await ask();
+    const trainServiceTime = async (serviceMs: Milliseconds, count = 16): Promise<void> => {
+        for (let completed = 0; completed < count; completed++) {
+            const request = await submit();
             await clock.advance(serviceMs);
             await release(request);
         }
         requests.length = 0;
     };
 
-    const inState = (state: TrackedRequest["state"]): readonly TrackedRequest[] =>
+    const listInState = (state: TrackedRequest["state"]): readonly TrackedRequest[] =>
         requests.filter((request) => request.state === state);
 
-    return { clock, gate, requests, ask, release, teach, inState };
+    return { clock, gate, requests, submit, release, trainServiceTime, listInState };
 };
--- a/packages/oleandergap-gate/src/admission.ts
+++ b/packages/oleandergap-gate/src/admission.ts
@@ -1,68 +1,73 @@
-/** What goes into a gate and what comes out of it. */
+/** Input and output types of a gate: admission requests, admissions and the gate itself. */
 import type { Either } from "fp-ts/lib/Either.js";
 import type { GateLoad, Limit, Milliseconds, PartnerName, RequestFailure, ServiceName } from "oleandergap-types";
 
-/** Kind of requests that name none. */
-export const USUAL_KIND = "";
+/** Kind of the requests that do not specify one. */
+export const DEFAULT_KIND = "";
 
-/** Asks for one of the target's slots. */
+/** A request for one of the target's slots. */
 export interface AdmissionRequest {
-    /** Partner of the caller: with `service`, the unit between which the gate shares the target fairly. */
+    /** Partner of the caller. The gate shares the target fairly between the pairs of `partner` and `service`. */
     readonly partner: PartnerName;
-    /** Service that the caller belongs to as far as it is known, else the requested service. */
+    /** Service of the caller if it is known, otherwise the requested service. */
     readonly service: ServiceName;
-    /** Rank among the requests of the target: waiting requests of a lower number start first. 0 when not given. */
+    /** Priority among the requests for the target: waiting requests with a lower number start first. Defaults to 0. */
     readonly priority?: number;
-    /** Requests of one kind take about the same time at the target; all are alike when it is not given. */
+    /** Requests of one kind have similar service times at the target. Without it, the request has the default kind. */
     readonly kind?: string;
-    /** Time by which the answer must be complete, on the monotonic clock. */
+    /** Deadline for the complete response, on the monotonic clock. */
     readonly deadline: Milliseconds;
-    /** Time until which an answer is worth most, on the monotonic clock; absent when all answers are alike. */
+    /**
+     * Latency objective, on the monotonic clock: a response after this time has less value to the caller. Absent if
+     * every response before the deadline has the same value.
+     */
     readonly objective?: Milliseconds | undefined;
-    /** Aborts when the caller hangs up; a waiting request then leaves the queue at once. */
+    /** Aborts when the caller disconnects; a waiting request is then removed from the queue immediately. */
     readonly signal: AbortSignal;
 }
 
 /**
- * How an admitted request ended.
+ * Outcome of an admitted request.
  *
- * - `Answered`: the target's whole answer came; its duration counts as a service time.
- * - `NotStarted`: the target was never reached; the duration says nothing about it.
- * - `Lost`: no answer, or a broken one; the service time is at least the duration.
- * - `Cancelled`: the caller hung up or the deadline passed, and the connection to the target is closed.
+ * - `Answered`: the target sent a complete response; the duration is a service time sample.
+ * - `NotStarted`: the target was never reached; the duration is no service time sample.
+ * - `Lost`: the response was missing or incomplete; the service time is at least the duration.
+ * - `Cancelled`: the caller disconnected or the deadline passed, and the connection to the target is closed.
  */
 export type ReleaseOutcome = "Answered" | "NotStarted" | "Lost" | "Cancelled";
 
-/** A slot of the target, held until `release`. */
+/** A slot of the target that the request occupies until `release` is called. */
 export interface Admission {
     /** Time that the request spent in the queue. */
     readonly queuedMs: Milliseconds;
     /**
-     * Gives the slot back; further calls do nothing. For a cancelled request call it once the target has stopped or
-     * its connection is closed, not when the caller hangs up: until then the target still works on the request, and a
-     * slot handed on too early puts the target over its capacity (one would see service times grow beyond its slots).
+     * Releases the slot; further calls have no effect. For a cancelled request, call it after the target has stopped or
+     * its connection is closed, not when the caller disconnects. The target works on the request until then, and
+     * releasing the slot too early would exceed the target's capacity, which shows as service times that grow because
+     * more requests run than the target has slots.
      */
     readonly release: (outcome: ReleaseOutcome) => void;
 }
 
-/** The only way to a target. */
+/** Admission control of one target. Every request to the target passes through its gate. */
 export interface Gate {
     /**
-     * Resolves once the request may start, or as soon as it is known that it will not. A failure is always `Refused`
-     * with the verdict `notRun`.
+     * Resolves when the request may start, or as soon as it is certain that it cannot start. A failure is always of the
+     * kind `Refused` with the verdict `notRun`.
      */
     readonly admit: (request: AdmissionRequest) => Promise<Either<RequestFailure, Admission>>;
-    /** Takes a new limit or number of slots into force. Running and waiting requests are kept. */
+    /** Applies a new limit and number of slots. Running and waiting requests are kept. */
     readonly setLimit: (limit: Limit, slots: number) => void;
     readonly load: () => GateLoad;
     /**
-     * Refuses new requests from now on; running and waiting ones finish. Resolves when none is left; calling it again
-     * gives the same promise.
+     * Refuses new requests from now on, while running and waiting requests finish. Resolves when no request is left.
+     * Further calls return the same promise.
      */
     readonly drain: () => Promise<void>;
     /**
-     * Refuses what still waits, because the target is about to go. Told at once, a waiting request has time to run
-     * elsewhere; left in the queue, it would reach a target that has announced its end long ago.
+     * Refuses all waiting requests because the target is about to stop. An immediate refusal leaves a request time to
+     * run at another target; a request left in the queue would be sent to a target that has already announced its
+     * shutdown.
      */
     readonly refuseWaiting: () => void;
 }
--- a/packages/oleandergap-gate/src/drain.ts
+++ b/packages/oleandergap-gate/src/drain.ts
@@ -1,34 +1,34 @@
-/** The planned end of a gate: nothing new is let in, and whoever drains is told when the last request has ended. */
+/** Draining of a gate: the gate accepts no new requests, and a promise resolves when the last request has ended. */
 
-/** Starts once and never ends; a drained gate is not used again. */
+/** State of the drain. A drain is started once and cannot be undone; a drained gate is not reused. */
 export interface Drain {
     readonly isStarted: () => boolean;
-    /** Resolves when nothing is left; calling it again gives the same promise. */
+    /** Starts the drain. Resolves when no request is left; further calls return the same promise. */
     readonly start: () => Promise<void>;
-    /** To be called whenever a request has left the gate. */
-    readonly finishIfEmpty: () => void;
+    /** Resolves the drain if the gate is empty. Must be called whenever a request has left the gate. */
+    readonly resolveIfEmpty: () => void;
 }
 
-/** `isEmpty` tells whether no request runs or waits. */
+/** Creates a drain that has not started. `isEmpty` returns whether no request is running or waiting. */
 export const createDrain = (isEmpty: () => boolean): Drain => {
-    let drained: Promise<void> | undefined;
-    let resolveDrained: () => void = () => undefined;
+    let drainPromise: Promise<void> | undefined;
+    let resolveDrain: () => void = () => undefined;
 
-    const finishIfEmpty = (): void => {
+    const resolveIfEmpty = (): void => {
         if (isEmpty()) {
-            resolveDrained();
+            resolveDrain();
         }
     };
 
     return {
-        isStarted: () => drained !== undefined,
+        isStarted: () => drainPromise !== undefined,
         start: () => {
-            drained ??= new Promise((resolve) => {
-                resolveDrained = resolve;
+            drainPromise ??= new Promise((resolve) => {
+                resolveDrain = resolve;
             });
-            finishIfEmpty();
-            return drained;
+            resolveIfEmpty();
+            return drainPromise;
         },
-        finishIfEmpty,
+        resolveIfEmpty,
     };
 };
--- a/packages/oleandergap-gate/src/fairQueue.ts
+++ b/packages/oleandergap-gate/src/fairQueue.ts
@@ -1,55 +1,61 @@
 /**
- * The waiting requests of a gate, by flow. A flow is what one caller's service of one partner asks of the target. A
- * free slot goes to the flow that holds the fewest, so that a flow that floods the queue waits for itself alone. Flows
- * of a more urgent priority go before all others.
+ * The waiting requests of a gate, grouped by flow. A flow contains the requests that one service of one partner sends
+ * to the target. A free slot goes to the flow with the fewest running requests, so that a flow that floods the queue
+ * delays only its own requests. Flows with a more urgent priority precede all others.
  */
 import type { Milliseconds } from "oleandergap-types";
 import type { QueueOrder } from "./options.js";
 
-/** With the order `adaptive`, a queue that was never empty for this long is served newest first. */
+/** With the order `adaptive`, a queue that has not been empty for this long is served newest first. */
 const STANDING_QUEUE_MS = 100;
 
-/** What the queue needs to know of a waiting request. */
-export interface Waiting {
+/** The points in time by which waiting requests are ordered. */
+export interface RequestTimes {
     readonly deadline: Milliseconds;
-    /** Time until which an answer is worth most; the deadline when none is. */
+    /** Latency objective of the request; equal to the deadline if the request has no objective. */
     readonly objective: Milliseconds;
 }
 
-/** One flow's running and waiting requests. It exists only while it has any. */
-export interface Flow<Item extends Waiting> {
+/** Running and waiting requests of one flow. A flow exists only while it has such requests. */
+export interface Flow<Item extends RequestTimes> {
     readonly key: string;
     readonly caller: string;
-    /** Flows of a lower number start first. */
+    /** Flows with a lower number start first. */
     readonly priority: number;
     readonly waiting: Item[];
     running: number;
-    /** Grows with each start at the gate; the flow served longest ago wins among equals. */
-    servedAt: number;
+    /**
+     * Sequence number of the flow's last start at the gate. Among equal flows, the one with the lowest number starts
+     * next.
+     */
+    lastStartSequence: number;
 }
 
 /** All flows of one gate. `size` counts waiting requests, not running ones. */
-export interface FairQueue<Item extends Waiting> {
+export interface FairQueue<Item extends RequestTimes> {
     readonly size: () => number;
-    readonly flowOf: (caller: string, priority: number) => Flow<Item>;
+    readonly getOrCreateFlow: (caller: string, priority: number) => Flow<Item>;
     readonly add: (flow: Flow<Item>, item: Item, now: Milliseconds) => void;
-    /** False when the item no longer waits. */
+    /** Removes an item from the queue. Returns false if the item was not waiting. */
     readonly remove: (flow: Flow<Item>, item: Item) => boolean;
-    /** Takes out the request that starts next. */
-    readonly takeNext: (now: Milliseconds) => Item | undefined;
-    /** Requests that start before a new one of `flow` with these times would. */
-    readonly countAhead: (flow: Flow<Item>, times: Waiting) => number;
-    /** Makes room for a request of `flow` in a full queue by taking the newest of a flow that holds more of it. */
-    readonly takeExcess: (flow: Flow<Item>) => Item | undefined;
-    /** Takes out all waiting requests that `isWanted` names. */
-    readonly takeAll: (isWanted: (item: Item, flow: Flow<Item>) => boolean) => readonly Item[];
+    /** Removes and returns the request that starts next. */
+    readonly dequeue: (now: Milliseconds) => Item | undefined;
+    /** Returns the number of waiting requests that would start before a new request of `flow` with these times. */
+    readonly countRequestsAhead: (flow: Flow<Item>, times: RequestTimes) => number;
+    /**
+     * Makes room for a request of `flow` in a full queue: removes and returns the newest request of a flow that is less
+     * urgent or occupies more of the queue. Returns undefined if there is no such flow.
+     */
+    readonly evictFor: (flow: Flow<Item>) => Item | undefined;
+    /** Removes and returns all waiting requests for which `isMatch` returns true. */
+    readonly removeMatching: (isMatch: (item: Item, flow: Flow<Item>) => boolean) => readonly Item[];
     readonly markStarted: (flow: Flow<Item>) => void;
     readonly markEnded: (flow: Flow<Item>) => void;
-    /** Forgets a flow that neither runs nor waits. */
-    readonly dropIfIdle: (flow: Flow<Item>) => void;
+    /** Deletes a flow that has neither running nor waiting requests. */
+    readonly deleteIfIdle: (flow: Flow<Item>) => void;
 }
 
-const indexOfEarliest = (waiting: readonly Waiting[], time: "deadline" | "objective"): number => {
+const findEarliestIndex = (waiting: readonly RequestTimes[], time: "deadline" | "objective"): number => {
     let best = 0;
     for (let index = 1; index < waiting.length; index++) {
         if ((waiting[index]?.[time] ?? Infinity) < (waiting[best]?.[time] ?? Infinity)) {
@@ -59,21 +65,23 @@
     return best;
 };
 
-const takeInOrder = <Item extends Waiting>(waiting: Item[], order: QueueOrder): Item | undefined => {
+const takeByOrder = <Item extends RequestTimes>(waiting: Item[], order: QueueOrder): Item | undefined => {
     switch (order) {
         case "newestFirst":
             return waiting.pop();
         case "deadlineFirst":
-            return waiting.splice(indexOfEarliest(waiting, "deadline"), 1)[0];
+            return waiting.splice(findEarliestIndex(waiting, "deadline"), 1)[0];
         case "objectiveFirst":
-            return waiting.splice(indexOfEarliest(waiting, "objective"), 1)[0];
+            return waiting.splice(findEarliestIndex(waiting, "objective"), 1)[0];
         default:
             return waiting.shift();
     }
 };
 
-/** Requests of the own flow that start before a new one; by arrival, all of them. */
-const countEarlier = (waiting: readonly Waiting[], times: Waiting, order: QueueOrder): number => {
+/**
+ * Counts the requests in the same flow that start before a new one. In arrival order, these are all waiting requests.
+ */
+const countEarlier = (waiting: readonly RequestTimes[], times: RequestTimes, order: QueueOrder): number => {
     switch (order) {
         case "deadlineFirst":
             return waiting.filter(({ deadline }) => deadline <= times.deadline).length;
@@ -84,78 +92,85 @@
     }
 };
 
-const startsBefore = <Item extends Waiting>(left: Flow<Item>, right: Flow<Item>): boolean => {
+const startsBefore = <Item extends RequestTimes>(left: Flow<Item>, right: Flow<Item>): boolean => {
     if (left.priority !== right.priority) {
         return left.priority < right.priority;
     }
-    return left.running !== right.running ? left.running < right.running : left.servedAt < right.servedAt;
+    return left.running !== right.running ?
+        left.running < right.running :
+        left.lastStartSequence < right.lastStartSequence;
 };
 
-const givesWayBefore = <Item extends Waiting>(left: Flow<Item>, right: Flow<Item>): boolean =>
+const isEvictedBefore = <Item extends RequestTimes>(left: Flow<Item>, right: Flow<Item>): boolean =>
     left.priority !== right.priority ?
         left.priority > right.priority :
         left.waiting.length > right.waiting.length;
 
-/** Whether `other` has to make room for a request of `flow`: it is less urgent, or holds more of the queue. */
-const mustGiveWay = <Item extends Waiting>(other: Flow<Item>, flow: Flow<Item>): boolean =>
-    other.priority > flow.priority ||
-    (other.priority === flow.priority && other.waiting.length > flow.waiting.length + 1);
+/**
+ * Returns whether `candidate` has to make room for a request of `flow`: it is less urgent, or occupies more of the
+ * queue.
+ */
+const isEvictableFor = <Item extends RequestTimes>(candidate: Flow<Item>, flow: Flow<Item>): boolean =>
+    candidate.priority > flow.priority ||
+    (candidate.priority === flow.priority && candidate.waiting.length > flow.waiting.length + 1);
 
-/** Creates an empty queue; `order` holds within each flow. */
-export const createFairQueue = <Item extends Waiting>(order: QueueOrder): FairQueue<Item> => {
+/** Creates an empty queue. `order` applies within each flow. */
+export const createFairQueue = <Item extends RequestTimes>(order: QueueOrder): FairQueue<Item> => {
     const flows = new Map<string, Flow<Item>>();
     let size = 0;
-    let starts = 0;
-    let standingSince = 0;
+    let startCount = 0;
+    let nonEmptySince = 0;
 
-    const dropIfIdle = (flow: Flow<Item>): void => {
+    const deleteIfIdle = (flow: Flow<Item>): void => {
         if (flow.running === 0 && flow.waiting.length === 0) {
             flows.delete(flow.key);
         }
     };
 
     const findNextFlow = (): Flow<Item> | undefined => {
-        let next: Flow<Item> | undefined;
+        let nextFlow: Flow<Item> | undefined;
         for (const flow of flows.values()) {
-            if (flow.waiting.length > 0 && (next === undefined || startsBefore(flow, next))) {
-                next = flow;
+            if (flow.waiting.length > 0 && (nextFlow === undefined || startsBefore(flow, nextFlow))) {
+                nextFlow = flow;
             }
         }
-        return next;
+        return nextFlow;
     };
 
-    /** The flow that gives way first: of the least urgent ones that wait, the longest. */
-    const findDispensableFlow = (): Flow<Item> | undefined => {
-        let found: Flow<Item> | undefined;
+    /**
+     * Returns the flow that has to make room first: among the least urgent flows with waiting requests, the longest.
+     */
+    const findEvictionCandidate = (): Flow<Item> | undefined => {
+        let candidate: Flow<Item> | undefined;
         for (const flow of flows.values()) {
-            if (flow.waiting.length > 0 && (found === undefined || givesWayBefore(flow, found))) {
-                found = flow;
+            if (flow.waiting.length > 0 && (candidate === undefined || isEvictedBefore(flow, candidate))) {
+                candidate = flow;
             }
         }
-        return found;
+        return candidate;
     };
 
-    const currentOrder = (now: Milliseconds): QueueOrder => {
+    const getCurrentOrder = (now: Milliseconds): QueueOrder => {
         if (order !== "adaptive") {
             return order;
         }
-        return now - standingSince > STANDING_QUEUE_MS ? "newestFirst" : "oldestFirst";
+        return now - nonEmptySince > STANDING_QUEUE_MS ? "newestFirst" : "oldestFirst";
     };
 
     return {
         size: () => size,
-        flowOf: (caller, priority) => {
+        getOrCreateFlow: (caller, priority) => {
             const key = `${priority} ${caller}`;
             let flow = flows.get(key);
             if (flow === undefined) {
-                flow = { key, caller, priority, waiting: [], running: 0, servedAt: starts };
+                flow = { key, caller, priority, waiting: [], running: 0, lastStartSequence: startCount };
                 flows.set(key, flow);
             }
             return flow;
         },
         add: (flow, item, now) => {
             if (size === 0) {
-                standingSince = now;
+                nonEmptySince = now;
             }
             flow.waiting.push(item);
             size += 1;
@@ -167,60 +182,60 @@
             }
             flow.waiting.splice(index, 1);
             size -= 1;
-            dropIfIdle(flow);
+            deleteIfIdle(flow);
             return true;
         },
-        takeNext: (now) => {
+        dequeue: (now) => {
             const flow = findNextFlow();
             if (flow === undefined) {
                 return undefined;
             }
             size -= 1;
-            return takeInOrder(flow.waiting, currentOrder(now));
+            return takeByOrder(flow.waiting, getCurrentOrder(now));
         },
-        countAhead: (flow, times) => {
-            const own = countEarlier(flow.waiting, times, order);
-            let ahead = own;
+        countRequestsAhead: (flow, times) => {
+            const ownRequestsAhead = countEarlier(flow.waiting, times, order);
+            let requestsAhead = ownRequestsAhead;
             for (const other of flows.values()) {
                 if (other.priority < flow.priority) {
-                    ahead += other.waiting.length;
+                    requestsAhead += other.waiting.length;
                 }
                 else if (other !== flow && other.priority === flow.priority) {
-                    ahead += Math.min(other.waiting.length, own + 1);
+                    requestsAhead += Math.min(other.waiting.length, ownRequestsAhead + 1);
                 }
             }
-            return ahead;
+            return requestsAhead;
         },
-        takeExcess: (flow) => {
-            const other = findDispensableFlow();
-            if (other === undefined || !mustGiveWay(other, flow)) {
+        evictFor: (flow) => {
+            const candidate = findEvictionCandidate();
+            if (candidate === undefined || !isEvictableFor(candidate, flow)) {
                 return undefined;
             }
             size -= 1;
-            return other.waiting.pop();
+            return candidate.waiting.pop();
         },
-        takeAll: (isWanted) => {
-            const taken: Item[] = [];
+        removeMatching: (isMatch) => {
+            const removed: Item[] = [];
             for (const flow of [...flows.values()]) {
-                const wanted = flow.waiting.filter((item) => isWanted(item, flow));
-                if (wanted.length > 0) {
-                    const kept = flow.waiting.filter((item) => !wanted.includes(item));
-                    flow.waiting.splice(0, flow.waiting.length, ...kept);
-                    taken.push(...wanted);
+                const matching = flow.waiting.filter((item) => isMatch(item, flow));
+                if (matching.length > 0) {
+                    const remaining = flow.waiting.filter((item) => !matching.includes(item));
+                    flow.waiting.splice(0, flow.waiting.length, ...remaining);
+                    removed.push(...matching);
                 }
             }
-            size -= taken.length;
-            return taken;
+            size -= removed.length;
+            return removed;
         },
-        dropIfIdle,
+        deleteIfIdle,
         markStarted: (flow) => {
             flow.running += 1;
-            starts += 1;
-            flow.servedAt = starts;
+            startCount += 1;
+            flow.lastStartSequence = startCount;
         },
         markEnded: (flow) => {
             flow.running -= 1;
-            dropIfIdle(flow);
+            deleteIfIdle(flow);
         },
     };
 };
--- a/packages/oleandergap-gate/src/forecast.ts
+++ b/packages/oleandergap-gate/src/forecast.ts
@@ -1,108 +1,121 @@
-/** What a gate expects of its target: service time, waits, and when refused callers had better come back. */
+/** Estimates for a target: service times, queueing times, and the retry times for refused requests. */
 import type { Milliseconds } from "oleandergap-types";
 import type { ReleaseOutcome } from "./admission.js";
 import type { GateOptions } from "./options.js";
 import { createRetryAfterSchedule } from "./retryAfter.js";
 import { createServiceTimeEstimator, type ServiceTimeEstimator } from "./serviceTimeEstimator.js";
 
-/** A gate whose slots are all taken counts as stalled when none was freed for this many average service times. */
+/** A gate with no free slot is stalled if no slot was released for this many mean service times. */
 const STALL_FACTOR = 4;
 
-/** Kinds of requests with an estimate of their own; the oldest gives way. */
+/** Maximum number of request kinds with an estimate of their own; the oldest kind is dropped first. */
 const MAXIMUM_KINDS = 64;
 
-/** The state of a gate that a forecast is made from. */
+/** The state of a gate from which estimates are computed. */
 export interface GateState {
     readonly running: number;
     readonly capacity: number;
     readonly queued: number;
 }
 
-/** Estimates from what the target did lately; times are on the monotonic clock. */
+/** Estimates from the recent behaviour of the target. All points in time are on the monotonic clock. */
 export interface Forecast {
-    /** Notes that a slot was taken or freed. */
-    readonly markProgress: (now: Milliseconds) => void;
-    /** Takes in how long a request of a kind held its slot. */
-    readonly observe: (kind: string, outcome: ReleaseOutcome, duration: Milliseconds) => void;
-    /** Typical service time of a kind; 0 while nothing is known, so that nobody is refused for it. */
+    /** Records that a slot was acquired or released. */
+    readonly recordProgress: (now: Milliseconds) => void;
+    /** Records for how long a request of a kind occupied its slot. */
+    readonly recordDuration: (kind: string, outcome: ReleaseOutcome, duration: Milliseconds) => void;
+    /**
+     * Returns the median service time of a kind. Returns 0 without enough samples, so that no request is refused
+     * because of an unknown service time.
+     */
     readonly serviceTime: (kind: string) => Milliseconds;
-    /** Service time that nine in ten requests of a kind keep to; 0 while nothing is known. */
-    readonly likelyServiceTime: (kind: string) => Milliseconds;
-    /** Time for which a request of a kind holds a slot; an assumed one while nothing is known. */
+    /** Returns the 90th percentile of the service time of a kind, or 0 without enough samples. */
+    readonly serviceTimePercentile90: (kind: string) => Milliseconds;
+    /**
+     * Returns the mean time for which a request of a kind occupies a slot, or an assumed time without enough samples.
+     */
     readonly holdingTime: (kind: string) => Milliseconds;
-    /** Time in which the gate serves one request. */
-    readonly interval: (state: GateState) => Milliseconds;
-    /** Wait of a new request that has `ahead` others before it. */
-    readonly wait: (state: GateState, ahead: number, now: Milliseconds) => Milliseconds;
-    /** When a refused request had better come back: `earliest` is the time until there may be room. */
-    readonly bookReturn: (state: GateState, earliest: Milliseconds, now: Milliseconds) => Milliseconds;
+    /** Returns the mean time between two requests that the gate completes. */
+    readonly serviceInterval: (state: GateState) => Milliseconds;
+    /** Returns the expected queueing time of a new request with `requestsAhead` requests before it. */
+    readonly expectedWait: (state: GateState, requestsAhead: number, now: Milliseconds) => Milliseconds;
+    /**
+     * Returns the time after which a refused request should be retried. `minimumDelay` is the time until there may be
+     * room.
+     */
+    readonly scheduleRetry: (state: GateState, minimumDelay: Milliseconds, now: Milliseconds) => Milliseconds;
 }
 
-/** Knows nothing of the target at first, and then gives no reason to refuse anybody. */
+/** Creates a forecast without samples, which gives no reason to refuse a request. */
 export const createForecast = (options: GateOptions, startedAt: Milliseconds): Forecast => {
-    /** Over all kinds, for the speed at which the queue moves. */
-    const estimator = createServiceTimeEstimator();
-    const estimators = new Map<string, ServiceTimeEstimator>();
-    const retryAfter = createRetryAfterSchedule(options.maximumRetryAfterMs);
-    /** When a slot was last taken or freed. */
-    let progressAt = startedAt;
+    /** Covers all kinds, to estimate how fast the queue moves. */
+    const overallEstimator = createServiceTimeEstimator();
+    const estimatorsByKind = new Map<string, ServiceTimeEstimator>();
+    const retryAfterSchedule = createRetryAfterSchedule(options.maximumRetryAfterMs);
+    /** Time at which a slot was last acquired or released. */
+    let lastProgressAt = startedAt;
 
-    const interval = ({ capacity }: GateState): Milliseconds =>
-        (estimator.average() ?? options.assumedServiceTimeMs) / Math.max(1, capacity);
+    const getServiceInterval = ({ capacity }: GateState): Milliseconds =>
+        (overallEstimator.mean() ?? options.assumedServiceTimeMs) / Math.max(1, capacity);
 
-    const wait = ({ running, capacity }: GateState, ahead: number, now: Milliseconds): Milliseconds => {
-        const average = estimator.average();
-        if (running < capacity || average === undefined) {
+    const getExpectedWait = (
+        { running, capacity }: GateState,
+        requestsAhead: number,
+        now: Milliseconds,
+    ): Milliseconds => {
+        const meanServiceTime = overallEstimator.mean();
+        if (running < capacity || meanServiceTime === undefined) {
             return 0;
         }
-        const queueTime = ((ahead + 1) * average) / Math.max(1, capacity);
-        // A target that hangs frees no slot, and the service times of the past say nothing about it. Queued requests
-        // would all wait for their deadlines; the time without progress is then the better forecast.
-        const stalledFor = now - progressAt;
-        return stalledFor > STALL_FACTOR * average ? Math.max(queueTime, stalledFor) : queueTime;
+        const queueTime = ((requestsAhead + 1) * meanServiceTime) / Math.max(1, capacity);
+        // A target that hangs releases no slot, and earlier service times do not predict when it will. All queued
+        // requests would wait until their deadlines, so the time without progress is the better estimate.
+        const stalledFor = now - lastProgressAt;
+        return stalledFor > STALL_FACTOR * meanServiceTime ? Math.max(queueTime, stalledFor) : queueTime;
     };
 
     /**
-     * One estimate for all would refuse every short request with a short deadline at a target that also runs long ones;
-     * one would see calls refused while slots are free.
+     * Returns the estimator of a kind. With one estimate for all kinds, a target that also runs long requests would
+     * refuse every short request with a short deadline, even while slots are free.
      */
-    const estimatorOf = (kind: string): ServiceTimeEstimator => {
-        const known = estimators.get(kind);
-        if (known !== undefined) {
-            return known;
+    const getOrCreateEstimator = (kind: string): ServiceTimeEstimator => {
+        const existing = estimatorsByKind.get(kind);
+        if (existing !== undefined) {
+            return existing;
         }
-        const [oldest] = estimators.keys();
-        if (estimators.size >= MAXIMUM_KINDS && oldest !== undefined) {
-            estimators.delete(oldest);
+        const [oldest] = estimatorsByKind.keys();
+        if (estimatorsByKind.size >= MAXIMUM_KINDS && oldest !== undefined) {
+            estimatorsByKind.delete(oldest);
         }
         const created = createServiceTimeEstimator();
-        estimators.set(kind, created);
+        estimatorsByKind.set(kind, created);
         return created;
     };
 
-    const add = (to: ServiceTimeEstimator, outcome: ReleaseOutcome, duration: Milliseconds): void => {
+    const addDuration = (estimator: ServiceTimeEstimator, outcome: ReleaseOutcome, duration: Milliseconds): void => {
         if (outcome === "Answered") {
-            to.addAnswered(duration);
+            estimator.addAnswered(duration);
         }
         else if (outcome !== "NotStarted") {
-            to.addUnanswered(duration);
+            estimator.addUnanswered(duration);
         }
     };
 
     return {
-        markProgress: (now) => {
-            progressAt = now;
+        recordProgress: (now) => {
+            lastProgressAt = now;
         },
-        observe: (kind, outcome, duration) => {
-            add(estimator, outcome, duration);
-            add(estimatorOf(kind), outcome, duration);
+        recordDuration: (kind, outcome, duration) => {
+            addDuration(overallEstimator, outcome, duration);
+            addDuration(getOrCreateEstimator(kind), outcome, duration);
         },
-        serviceTime: (kind) => estimators.get(kind)?.typical() ?? 0,
-        likelyServiceTime: (kind) => estimators.get(kind)?.likely() ?? 0,
+        serviceTime: (kind) => estimatorsByKind.get(kind)?.median() ?? 0,
+        serviceTimePercentile90: (kind) => estimatorsByKind.get(kind)?.percentile90() ?? 0,
         holdingTime: (kind) =>
-            estimators.get(kind)?.average() ?? estimator.average() ?? options.assumedServiceTimeMs,
-        interval,
-        wait,
-        bookReturn: (state, earliest, now) => retryAfter.book(now, earliest, interval(state)),
+            estimatorsByKind.get(kind)?.mean() ?? overallEstimator.mean() ?? options.assumedServiceTimeMs,
+        serviceInterval: getServiceInterval,
+        expectedWait: getExpectedWait,
+        scheduleRetry: (state, minimumDelay, now) =>
+            retryAfterSchedule.schedule(now, minimumDelay, getServiceInterval(state)),
     };
 };
--- a/packages/oleandergap-gate/src/gate.ts
+++ b/packages/oleandergap-gate/src/gate.ts
@@ -1,43 +1,43 @@
-/** Admission in front of one target: slots, a bounded queue, fair share and drain. */
+/** Admission control of one target: slots, a bounded queue, fair sharing and draining. */
 import type { Clock, Limit, Milliseconds } from "oleandergap-types";
-import { USUAL_KIND, type AdmissionRequest, type Gate } from "./admission.js";
+import { DEFAULT_KIND, type AdmissionRequest, type Gate } from "./admission.js";
 import { createDrain } from "./drain.js";
 import { createFairQueue, type Flow } from "./fairQueue.js";
 import { createForecast, type GateState } from "./forecast.js";
 import { defaultGateOptions, type GateOptions } from "./options.js";
 import { createLateRequests } from "./lateRequests.js";
 import { createOfferedLoad } from "./offeredLoad.js";
-import { createRankedQueue, timesOf } from "./rankedQueue.js";
+import { createRankedQueue, getRequestTimes } from "./rankedQueue.js";
 import { createRefusals, type Decision, type Refusals } from "./refusals.js";
 import { createSlots } from "./slots.js";
-import { createEnqueue, type Waiter } from "./waitingRequests.js";
+import { createEnqueue, type WaitingRequest } from "./waitingRequests.js";
 
-/** What a gate starts with. */
+/** Dependencies and initial values of a gate. */
 export interface GateDependencies {
     readonly clock: Clock;
     readonly limit: Limit;
-    /** Requests that the target works on at once; 0 while there is no target. */
+    /** Number of requests that the target runs concurrently; 0 while there is no target. */
     readonly slots: number;
     readonly options?: GateOptions;
 }
 
-interface Fitness {
+interface GateStatus {
     readonly isDraining: boolean;
     readonly capacity: number;
     readonly refusals: Refusals;
     readonly now: Milliseconds;
 }
 
-/** Refuses what no queue could help. */
-const refuseUnfit = (
+/** Returns a refusal for a request that queueing cannot help, and undefined for any other request. */
+const refuseImmediately = (
     request: AdmissionRequest,
-    { isDraining, capacity, refusals, now }: Fitness,
+    { isDraining, capacity, refusals, now }: GateStatus,
 ): Decision | undefined => {
     if (isDraining) {
-        return refusals.forAbsence("Draining");
+        return refusals.forUnavailability("Draining");
     }
     if (capacity === 0) {
-        return refusals.forAbsence("NotReady");
+        return refusals.forUnavailability("NotReady");
     }
     if (request.signal.aborted) {
         return refusals.forCancellation();
@@ -45,64 +45,64 @@
     return request.deadline <= now ? refusals.forCapacity("DeadlinePassed") : undefined;
 };
 
-/** Creates the gate of one target; it starts open. */
+/** Creates the gate of one target. It accepts requests immediately. */
 export const createGate = ({
     clock,
     limit,
     slots: announcedSlots,
     options = defaultGateOptions,
 }: GateDependencies): Gate => {
-    const queue = createFairQueue<Waiter>(options.queueOrder);
+    const queue = createFairQueue<WaitingRequest>(options.queueOrder);
     const forecast = createForecast(options, clock.monotonic());
     let capacity = Math.min(limit.concurrency, announcedSlots);
     let queueLimit = limit.queue;
 
-    const onFree = (): void => {
-        startWaiting();
-        drain.finishIfEmpty();
+    const onSlotReleased = (): void => {
+        startWaitingRequests();
+        drain.resolveIfEmpty();
     };
-    const slots = createSlots({ clock, queue, forecast, capacity: () => capacity, onFree });
+    const slots = createSlots({ clock, queue, forecast, capacity: () => capacity, onSlotReleased });
 
-    const state = (): GateState => ({ running: slots.running(), capacity, queued: queue.size() });
+    const getState = (): GateState => ({ running: slots.running(), capacity, queued: queue.size() });
 
-    const refusals = createRefusals({ clock, options, forecast, state });
+    const refusals = createRefusals({ clock, options, forecast, state: getState });
 
-    const offered = createOfferedLoad();
-    const late = createLateRequests({ forecast, offered, state, marginPart: options.marginPart });
-    const ranks = createRankedQueue({ queue, late, refusals, fairShare: options.fairShare });
+    const offeredLoad = createOfferedLoad();
+    const lateRequests = createLateRequests({ forecast, offeredLoad, state: getState, marginPart: options.marginPart });
+    const rankedQueue = createRankedQueue({ queue, lateRequests, refusals, fairShare: options.fairShare });
 
     const drain = createDrain(() => slots.running() === 0 && queue.size() === 0);
 
-    const startOne = (waiter: Waiter): void => {
+    const startRequest = (waitingRequest: WaitingRequest): void => {
         const now = clock.monotonic();
-        const isInTime = now + forecast.serviceTime(waiter.kind) <= waiter.objective;
-        if (!isInTime && !ranks.isLate(waiter.flow) && queue.size() > 0) {
-            ranks.demote(waiter, now);
+        const isInTime = now + forecast.serviceTime(waitingRequest.kind) <= waitingRequest.objective;
+        if (!isInTime && !rankedQueue.isLate(waitingRequest.flow) && queue.size() > 0) {
+            rankedQueue.demote(waitingRequest, now);
             return;
         }
-        if (now + forecast.serviceTime(waiter.kind) <= waiter.deadline) {
-            waiter.settle(slots.take(waiter.flow, waiter.kind, waiter.queuedAt));
+        if (now + forecast.serviceTime(waitingRequest.kind) <= waitingRequest.deadline) {
+            waitingRequest.settle(slots.acquire(waitingRequest.flow, waitingRequest.kind, waitingRequest.queuedAt));
             return;
         }
-        queue.dropIfIdle(waiter.flow);
-        waiter.settle(refusals.forCapacity("DeadlinePassed"));
+        queue.deleteIfIdle(waitingRequest.flow);
+        waitingRequest.settle(refusals.forCapacity("DeadlinePassed"));
     };
 
     const refuseAllWaiting = (reason: "Draining" | "NotReady"): void => {
-        for (let waiter = queue.takeNext(0); waiter !== undefined; waiter = queue.takeNext(0)) {
-            queue.dropIfIdle(waiter.flow);
-            waiter.settle(refusals.forAbsence(reason));
+        for (let waitingRequest = queue.dequeue(0); waitingRequest !== undefined; waitingRequest = queue.dequeue(0)) {
+            queue.deleteIfIdle(waitingRequest.flow);
+            waitingRequest.settle(refusals.forUnavailability(reason));
         }
-        drain.finishIfEmpty();
+        drain.resolveIfEmpty();
     };
 
-    const startWaiting = (): void => {
+    const startWaitingRequests = (): void => {
         while (!slots.isFull()) {
-            const waiter = queue.takeNext(clock.monotonic());
-            if (waiter === undefined) {
+            const waitingRequest = queue.dequeue(clock.monotonic());
+            if (waitingRequest === undefined) {
                 return;
             }
-            startOne(waiter);
+            startRequest(waitingRequest);
         }
     };
 
@@ -111,56 +111,61 @@
         queue,
         serviceTime: forecast.serviceTime,
         refusals,
-        onLeave: drain.finishIfEmpty,
+        onRemoved: drain.resolveIfEmpty,
     });
 
-    /** Makes room in a full queue at the expense of a flow that holds more of it, or tells why there is none. */
-    const refuseForRoom = (flow: Flow<Waiter>): Decision | undefined => {
+    /**
+     * Makes room in a full queue by evicting a request of a flow that occupies more of it. Returns a refusal if there
+     * is no such flow.
+     */
+    const makeRoom = (flow: Flow<WaitingRequest>): Decision | undefined => {
         if (queue.size() < queueLimit) {
             return undefined;
         }
-        const excess = queue.takeExcess(flow);
-        excess?.settle(refusals.forCapacity("FairShareExceeded"));
-        return excess === undefined ? refusals.forCapacity(queueLimit === 0 ? "LimitReached" : "QueueFull") : undefined;
+        const evicted = queue.evictFor(flow);
+        evicted?.settle(refusals.forCapacity("FairShareExceeded"));
+        return evicted === undefined ?
+            refusals.forCapacity(queueLimit === 0 ? "LimitReached" : "QueueFull") :
+            undefined;
     };
 
     const decide = (request: AdmissionRequest): Decision | Promise<Decision> => {
         const now = clock.monotonic();
-        const refusalAtOnce = refuseUnfit(request, { isDraining: drain.isStarted(), capacity, refusals, now });
-        if (refusalAtOnce !== undefined) {
-            return refusalAtOnce;
+        const immediateRefusal = refuseImmediately(request, { isDraining: drain.isStarted(), capacity, refusals, now });
+        if (immediateRefusal !== undefined) {
+            return immediateRefusal;
         }
-        offered.note({
+        offeredLoad.note({
             priority: request.priority ?? 0,
-            serviceTime: forecast.holdingTime(request.kind ?? USUAL_KIND),
+            serviceTime: forecast.holdingTime(request.kind ?? DEFAULT_KIND),
         }, now);
-        ranks.refuseHopeless(now);
-        const timely = ranks.flowOf(request, false);
-        const ahead = queue.countAhead(timely, timesOf(request));
-        const refusalForDeadline = refusals.forDeadline(request, ahead);
+        rankedQueue.refuseHopeless(now);
+        const timelyFlow = rankedQueue.getOrCreateFlow(request, false);
+        const requestsAhead = queue.countRequestsAhead(timelyFlow, getRequestTimes(request));
+        const refusalForDeadline = refusals.forDeadline(request, requestsAhead);
         if (refusalForDeadline === undefined && !slots.isFull()) {
-            return slots.take(timely, request.kind ?? USUAL_KIND, now);
+            return slots.acquire(timelyFlow, request.kind ?? DEFAULT_KIND, now);
         }
-        const isLate = late.isLate(request, ahead, now);
+        const isLate = lateRequests.isLate(request, requestsAhead, now);
         if (isLate) {
-            queue.dropIfIdle(timely);
+            queue.deleteIfIdle(timelyFlow);
         }
-        const flow = isLate ? ranks.flowOf(request, true) : timely;
-        const refusalForLateness = isLate ? ranks.refuseLate(request, flow, now) : undefined;
-        const refusal = refusalForDeadline ?? refusalForLateness ?? refuseForRoom(flow);
+        const flow = isLate ? rankedQueue.getOrCreateFlow(request, true) : timelyFlow;
+        const refusalForLateness = isLate ? rankedQueue.refuseLate(request, flow, now) : undefined;
+        const refusal = refusalForDeadline ?? refusalForLateness ?? makeRoom(flow);
         if (refusal === undefined) {
             return enqueue(request, flow);
         }
-        queue.dropIfIdle(flow);
+        queue.deleteIfIdle(flow);
         return refusal;
     };
 
     const setLimit = (nextLimit: Limit, nextSlots: number): void => {
         queueLimit = nextLimit.queue;
         capacity = Math.min(nextLimit.concurrency, nextSlots);
-        startWaiting();
+        startWaitingRequests();
         if (nextSlots === 0) {
-            // Without a target nothing that waits can run, so it is told at once.
+            // Without a target no waiting request can start, so all of them are refused immediately.
             refuseAllWaiting("NotReady");
         }
     };
@@ -172,7 +177,7 @@
             inFlight: slots.running(),
             queued: queue.size(),
             capacity,
-            expectedWaitMs: forecast.wait(state(), queue.size(), clock.monotonic()),
+            expectedWaitMs: forecast.expectedWait(getState(), queue.size(), clock.monotonic()),
         }),
         drain: drain.start,
         refuseWaiting: () => refuseAllWaiting("Draining"),
--- a/packages/oleandergap-gate/src/offeredLoad.ts
+++ b/packages/oleandergap-gate/src/offeredLoad.ts
@@ -1,67 +1,68 @@
-/** How much work arrives at a gate, compared with what its target can do, by how urgent it is. */
+/** Estimate of the offered load of a gate, by priority, relative to the capacity of its target. */
 import type { Milliseconds } from "oleandergap-types";
 
 /**
- * Memory of the estimate: some dozens of arrivals at a target of a dozen slots, so that chance counts for little, and
- * short enough that the start of an overload shows within the usual objectives of a few hundred milliseconds.
+ * Time constant of the exponential decay. It covers some dozens of arrivals at a target with a dozen slots, which
+ * limits the influence of random variation, and is short enough to detect an overload within common objectives of a few
+ * hundred milliseconds.
  */
-const MEMORY_MS: Milliseconds = 300;
+const DECAY_TIME_MS: Milliseconds = 300;
 
-/** A request that arrived, whatever becomes of it. */
+/** A request that arrived at the gate, whether or not it is admitted. */
 export interface OfferedRequest {
-    /** Requests of a lower number start first. */
+    /** Requests with a lower number start first. */
     readonly priority: number;
-    /** Time for which it would hold a slot. */
+    /** Time for which the request would occupy a slot. */
     readonly serviceTime: Milliseconds;
 }
 
-/** A running estimate of the arrivals. */
+/** A decaying estimate of the arriving work. */
 export interface OfferedLoad {
     readonly note: (request: OfferedRequest, now: Milliseconds) => void;
     /**
-     * Work of this and more urgent priorities that arrives, as a part of what the target can do; above 1, their queue
-     * grows without end. What is less urgent starts after them, and takes nothing from them.
+     * Returns the arriving work of this and more urgent priorities as a share of the target's capacity; above 1, their
+     * queue grows without bound. Less urgent requests are excluded: they start later and do not delay these requests.
      */
     readonly utilisation: (priority: number, capacity: number, now: Milliseconds) => number;
 }
 
-interface Work {
+interface OfferedWork {
     amountMs: Milliseconds;
-    notedAt: Milliseconds;
+    updatedAt: Milliseconds;
 }
 
-/** Work that counts for nothing; its priority is forgotten. */
-const NEGLIGIBLE_MS: Milliseconds = 0.01;
+/** Work below this amount is treated as zero, and its priority is deleted. */
+const NEGLIGIBLE_WORK_MS: Milliseconds = 0.01;
 
-const decay = ({ amountMs, notedAt }: Work, now: Milliseconds): Milliseconds =>
-    amountMs * Math.exp(-Math.max(0, now - notedAt) / MEMORY_MS);
+const computeDecayedWork = ({ amountMs, updatedAt }: OfferedWork, now: Milliseconds): Milliseconds =>
+    amountMs * Math.exp(-Math.max(0, now - updatedAt) / DECAY_TIME_MS);
 
-/** Starts without arrivals. */
+/** Creates an estimate without arrivals. */
 export const createOfferedLoad = (): OfferedLoad => {
-    const byPriority = new Map<number, Work>();
+    const workByPriority = new Map<number, OfferedWork>();
 
     return {
         note: ({ priority, serviceTime }, now) => {
-            const work = byPriority.get(priority);
+            const work = workByPriority.get(priority);
             if (work === undefined) {
-                byPriority.set(priority, { amountMs: serviceTime, notedAt: now });
+                workByPriority.set(priority, { amountMs: serviceTime, updatedAt: now });
                 return;
             }
-            work.amountMs = decay(work, now) + serviceTime;
-            work.notedAt = now;
+            work.amountMs = computeDecayedWork(work, now) + serviceTime;
+            work.updatedAt = now;
         },
         utilisation: (priority, capacity, now) => {
             let amountMs = 0;
-            for (const [other, work] of byPriority) {
-                const left = decay(work, now);
-                if (left < NEGLIGIBLE_MS) {
-                    byPriority.delete(other);
+            for (const [otherPriority, work] of workByPriority) {
+                const remainingMs = computeDecayedWork(work, now);
+                if (remainingMs < NEGLIGIBLE_WORK_MS) {
+                    workByPriority.delete(otherPriority);
                 }
-                else if (other <= priority) {
-                    amountMs += left;
+                else if (otherPriority <= priority) {
+                    amountMs += remainingMs;
                 }
             }
-            return amountMs / (MEMORY_MS * Math.max(1, capacity));
+            return amountMs / (DECAY_TIME_MS * Math.max(1, capacity));
         },
     };
 };
--- a/packages/oleandergap-gate/src/rankedQueue.ts
+++ b/packages/oleandergap-gate/src/rankedQueue.ts
@@ -1,88 +1,108 @@
-/** The two ranks of each priority in the queue: requests that can be in time, and after them those that cannot. */
+/**
+ * Divides each priority of the queue into two levels: requests that can meet their objective, followed by late ones.
+ */
 import type { Milliseconds } from "oleandergap-types";
 import type { AdmissionRequest } from "./admission.js";
-import type { FairQueue, Flow, Waiting } from "./fairQueue.js";
-import type { LateRequests, Timing } from "./lateRequests.js";
+import type { FairQueue, Flow, RequestTimes } from "./fairQueue.js";
+import type { LateRequests, RequestTiming } from "./lateRequests.js";
 import type { FairShare } from "./options.js";
 import type { Decision, Refusals } from "./refusals.js";
-import type { Waiter } from "./waitingRequests.js";
+import type { WaitingRequest } from "./waitingRequests.js";
 
-const RANKS_PER_PRIORITY = 2;
+const LEVELS_PER_PRIORITY = 2;
 
-const timingOf = ({ deadline, objective, kind, flow }: Waiter): Timing =>
-    ({ deadline, objective, kind, priority: Math.floor(flow.priority / RANKS_PER_PRIORITY) });
+const getTiming = ({ deadline, objective, kind, flow }: WaitingRequest): RequestTiming =>
+    ({ deadline, objective, kind, priority: Math.floor(flow.priority / LEVELS_PER_PRIORITY) });
 
-/** Shortest time between two looks for waiting requests without hope. */
-const LOOK_INTERVAL_MS: Milliseconds = 20;
+/** Minimum interval between two checks for waiting requests that cannot finish before their deadlines. */
+const CHECK_INTERVAL_MS: Milliseconds = 20;
 
-/** The times by which a request is put in order. */
-export const timesOf = ({ deadline, objective = deadline }: AdmissionRequest): Waiting => ({ deadline, objective });
+/** Returns the times by which a request is ordered in the queue. */
+export const getRequestTimes = ({ deadline, objective = deadline }: AdmissionRequest): RequestTimes =>
+    ({ deadline, objective });
 
 export interface RankedQueueDependencies {
-    readonly queue: FairQueue<Waiter>;
-    readonly late: LateRequests;
+    readonly queue: FairQueue<WaitingRequest>;
+    readonly lateRequests: LateRequests;
     readonly refusals: Refusals;
     readonly fairShare: FairShare;
 }
 
 export interface RankedQueue {
-    readonly flowOf: (request: AdmissionRequest, isLate: boolean) => Flow<Waiter>;
-    readonly isLate: (flow: Flow<Waiter>) => boolean;
-    /** A request that has become late in the queue leaves its place to one that is in time. */
-    readonly demote: (waiter: Waiter, now: Milliseconds) => void;
-    /** Refuses late requests that waited since before the load rose. */
+    readonly getOrCreateFlow: (request: AdmissionRequest, isLate: boolean) => Flow<WaitingRequest>;
+    readonly isLate: (flow: Flow<WaitingRequest>) => boolean;
+    /**
+     * Moves a request that became late while waiting behind the requests that can meet their objective. Refuses it if
+     * it would miss its deadline there.
+     */
+    readonly demote: (waitingRequest: WaitingRequest, now: Milliseconds) => void;
+    /** Refuses waiting late requests that can no longer finish before their deadlines. */
     readonly refuseHopeless: (now: Milliseconds) => void;
-    /** The refusal of a late request that would miss its deadline in the flow; undefined when it may wait. */
-    readonly refuseLate: (request: AdmissionRequest, flow: Flow<Waiter>, now: Milliseconds) => Decision | undefined;
+    /** Returns a refusal if a late request in the flow would miss its deadline, and undefined if it may wait. */
+    readonly refuseLate: (
+        request: AdmissionRequest,
+        flow: Flow<WaitingRequest>,
+        now: Milliseconds,
+    ) => Decision | undefined;
 }
 
-export const createRankedQueue = ({ queue, late, refusals, fairShare }: RankedQueueDependencies): RankedQueue => {
-    let lookedAt = Number.NEGATIVE_INFINITY;
+export const createRankedQueue = (
+    { queue, lateRequests, refusals, fairShare }: RankedQueueDependencies,
+): RankedQueue => {
+    let lastCheckAt = Number.NEGATIVE_INFINITY;
 
-    const isLate: RankedQueue["isLate"] = ({ priority }) => priority % RANKS_PER_PRIORITY === 1;
+    const isLate: RankedQueue["isLate"] = ({ priority }) => priority % LEVELS_PER_PRIORITY === 1;
 
-    const demote: RankedQueue["demote"] = (waiter, now) => {
-        const { caller, priority } = waiter.flow;
-        const lateFlow = queue.flowOf(caller, priority + 1);
-        queue.dropIfIdle(waiter.flow);
-        const missing = late.missingTime(timingOf(waiter), queue.countAhead(lateFlow, waiter), now);
-        if (missing > 0) {
-            queue.dropIfIdle(lateFlow);
-            waiter.settle(refusals.forCapacity("DeadlineTooShort", missing));
+    const demote: RankedQueue["demote"] = (waitingRequest, now) => {
+        const { caller, priority } = waitingRequest.flow;
+        const lateFlow = queue.getOrCreateFlow(caller, priority + 1);
+        queue.deleteIfIdle(waitingRequest.flow);
+        const overrun = lateRequests.deadlineOverrun(
+            getTiming(waitingRequest),
+            queue.countRequestsAhead(lateFlow, waitingRequest),
+            now,
+        );
+        if (overrun > 0) {
+            queue.deleteIfIdle(lateFlow);
+            waitingRequest.settle(refusals.forCapacity("DeadlineTooShort", overrun));
             return;
         }
-        waiter.flow = lateFlow;
-        queue.add(lateFlow, waiter, now);
+        waitingRequest.flow = lateFlow;
+        queue.add(lateFlow, waitingRequest, now);
     };
 
     /**
-     * Late requests that were let wait before the load rose would be held until their deadlines, since those in time
-     * go first; they are told as soon as that shows.
+     * Late requests may have been queued before the load increased. Since requests that can meet their objective start
+     * first, they would wait until their deadlines; they are refused as soon as this is predictable.
      */
     const refuseHopeless: RankedQueue["refuseHopeless"] = (now) => {
-        if (now - lookedAt < LOOK_INTERVAL_MS) {
+        if (now - lastCheckAt < CHECK_INTERVAL_MS) {
             return;
         }
-        lookedAt = now;
-        const hopeless = queue.takeAll((waiter, flow) =>
-            isLate(flow) && late.missingTime(timingOf(waiter), 0, now) > 0);
-        for (const waiter of hopeless) {
-            queue.dropIfIdle(waiter.flow);
-            waiter.settle(refusals.forCapacity("DeadlineTooShort"));
+        lastCheckAt = now;
+        const unservable = queue.removeMatching((waitingRequest, flow) =>
+            isLate(flow) && lateRequests.deadlineOverrun(getTiming(waitingRequest), 0, now) > 0);
+        for (const waitingRequest of unservable) {
+            queue.deleteIfIdle(waitingRequest.flow);
+            waitingRequest.settle(refusals.forCapacity("DeadlineTooShort"));
         }
     };
 
     return {
-        flowOf: ({ partner, service, priority = 0 }, isLateRequest) => queue.flowOf(
+        getOrCreateFlow: ({ partner, service, priority = 0 }, isLateRequest) => queue.getOrCreateFlow(
             fairShare === "partners" ? partner : `${partner}/${service}`,
-            RANKS_PER_PRIORITY * priority + (isLateRequest ? 1 : 0),
+            LEVELS_PER_PRIORITY * priority + (isLateRequest ? 1 : 0),
         ),
         isLate,
         demote,
         refuseHopeless,
         refuseLate: (request, flow, now) => {
-            const missing = late.missingTime(request, queue.countAhead(flow, timesOf(request)), now);
-            return missing > 0 ? refusals.forCapacity("DeadlineTooShort", missing) : undefined;
+            const overrun = lateRequests.deadlineOverrun(
+                request,
+                queue.countRequestsAhead(flow, getRequestTimes(request)),
+                now,
+            );
+            return overrun > 0 ? refusals.forCapacity("DeadlineTooShort", overrun) : undefined;
         },
     };
 };
--- a/packages/oleandergap-gate/src/refusals.ts
+++ b/packages/oleandergap-gate/src/refusals.ts
@@ -1,32 +1,35 @@
-/** Why a gate turns requests away, and when it tells them to come back. */
+/** Refusals of a gate: the reason of each refusal and the time until a retry. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, RefusalReason, RequestFailure } from "oleandergap-types";
-import { USUAL_KIND, type Admission, type AdmissionRequest } from "./admission.js";
+import { DEFAULT_KIND, type Admission, type AdmissionRequest } from "./admission.js";
 import type { Forecast, GateState } from "./forecast.js";
 import type { GateOptions } from "./options.js";
 
-/** The answer to a request for admission. */
+/** The result of an admission request. */
 export type Decision = Either<RequestFailure, Admission>;
 
-/** Each answer is `Refused` with the verdict `notRun` and a time to come back. */
+/** Creates refusals. Each has the kind `Refused`, the verdict `notRun` and a retry time. */
 export interface Refusals {
-    /** Refuses for want of capacity; `earliest` is the time until there may be some, by default the queue's time. */
-    readonly forCapacity: (reason: RefusalReason, earliest?: Milliseconds) => Decision;
-    /** The caller hung up. */
+    /**
+     * Refuses a request because of missing capacity. `minimumDelay` is the time until there may be capacity, by default
+     * the time in which the current queue is served.
+     */
+    readonly forCapacity: (reason: RefusalReason, minimumDelay?: Milliseconds) => Decision;
+    /** Refuses a request whose caller disconnected. */
     readonly forCancellation: () => Decision;
-    /** The gate leads to no target, or no longer. */
-    readonly forAbsence: (reason: "Draining" | "NotReady") => Decision;
+    /** Refuses a request because the gate has no target or is draining. */
+    readonly forUnavailability: (reason: "Draining" | "NotReady") => Decision;
     /**
-     * Refuses a request that would not finish by its deadline.
+     * Refuses a request that would not finish before its deadline.
      *
-     * One that finds the target idle is never refused by this rule. If it were, an estimate that a cold start had
-     * driven up could never come down again: all requests refused, none measured, while the target is idle.
+     * Never refuses a request while the target is idle. Otherwise an estimate that is too high after a cold start could
+     * never decrease: all requests would be refused, so none would be measured, while the target stays idle.
      */
-    readonly forDeadline: (request: AdmissionRequest, ahead: number) => Decision | undefined;
+    readonly forDeadline: (request: AdmissionRequest, requestsAhead: number) => Decision | undefined;
 }
 
-/** What refusals are computed from. */
+/** Dependencies from which refusals are computed. */
 export interface RefusalsDependencies {
     readonly clock: Clock;
     readonly options: GateOptions;
@@ -39,25 +42,26 @@
 
 /** Creates the refusals of one gate. */
 export const createRefusals = ({ clock, options, forecast, state }: RefusalsDependencies): Refusals => {
-    const forCapacity: Refusals["forCapacity"] = (reason, earliest) => {
-        const current = state();
-        const queueTime = current.queued * forecast.interval(current);
-        return refuse(reason, forecast.bookReturn(current, earliest ?? queueTime, clock.monotonic()));
+    const forCapacity: Refusals["forCapacity"] = (reason, minimumDelay) => {
+        const gateState = state();
+        const queueTime = gateState.queued * forecast.serviceInterval(gateState);
+        return refuse(reason, forecast.scheduleRetry(gateState, minimumDelay ?? queueTime, clock.monotonic()));
     };
 
     return {
         forCapacity,
-        forCancellation: () => refuse("Cancelled", Math.ceil(forecast.interval(state()))),
-        forAbsence: (reason) => refuse(reason, options.absentRetryAfterMs),
-        forDeadline: (request, ahead) => {
-            const current = state();
-            if (current.running === 0) {
+        forCancellation: () => refuse("Cancelled", Math.ceil(forecast.serviceInterval(state()))),
+        forUnavailability: (reason) => refuse(reason, options.absentRetryAfterMs),
+        forDeadline: (request, requestsAhead) => {
+            const gateState = state();
+            if (gateState.running === 0) {
                 return undefined;
             }
             const now = clock.monotonic();
-            const needed = forecast.wait(current, ahead, now) + forecast.serviceTime(request.kind ?? USUAL_KIND);
-            const missing = needed - (request.deadline - now);
-            return missing > 0 ? forCapacity("DeadlineTooShort", missing) : undefined;
+            const timeNeeded = forecast.expectedWait(gateState, requestsAhead, now) +
+                forecast.serviceTime(request.kind ?? DEFAULT_KIND);
+            const overrun = timeNeeded - (request.deadline - now);
+            return overrun > 0 ? forCapacity("DeadlineTooShort", overrun) : undefined;
         },
     };
 };
--- a/packages/oleandergap-gate/src/retryAfter.ts
+++ b/packages/oleandergap-gate/src/retryAfter.ts
@@ -1,29 +1,30 @@
-/** Tells refused callers when to come back. */
+/** Computes when refused requests should be retried. */
 import type { Milliseconds } from "oleandergap-types";
 
 export interface RetryAfterSchedule {
     /**
-     * Books a place for a refused request.
+     * Reserves a retry time for a refused request.
      *
      * @param now monotonic time
-     * @param earliest time until the gate may have room
-     * @param interval time in which the gate serves one request
-     * @returns the time after which to come back
+     * @param minimumDelay time until the gate may have room
+     * @param interval mean time between two requests that the gate completes
+     * @returns the time after which the request should be retried
      */
-    readonly book: (now: Milliseconds, earliest: Milliseconds, interval: Milliseconds) => Milliseconds;
+    readonly schedule: (now: Milliseconds, minimumDelay: Milliseconds, interval: Milliseconds) => Milliseconds;
 }
 
 /**
- * Refused requests are booked one after the other at the rate at which the gate serves. If all were told the same
- * time, they would come back together and be refused together; one would see peaks of refusals at regular distances.
+ * Creates a schedule that spaces retries at the rate at which the gate completes requests. With the same retry time for
+ * all refused requests, all retries would arrive together and be refused together, which causes peaks of refusals at
+ * regular intervals.
  */
 export const createRetryAfterSchedule = (maximum: Milliseconds): RetryAfterSchedule => {
-    let bookedUntil = 0;
+    let lastScheduledAt = 0;
     return {
-        book: (now, earliest, interval) => {
-            bookedUntil = Math.max(bookedUntil, now + earliest) + interval;
-            bookedUntil = Math.min(bookedUntil, now + maximum);
-            return Math.max(1, Math.ceil(bookedUntil - now));
+        schedule: (now, minimumDelay, interval) => {
+            lastScheduledAt = Math.max(lastScheduledAt, now + minimumDelay) + interval;
+            lastScheduledAt = Math.min(lastScheduledAt, now + maximum);
+            return Math.max(1, Math.ceil(lastScheduledAt - now));
         },
     };
 };
--- a/packages/oleandergap-gate/src/serviceTimeEstimator.ts
+++ b/packages/oleandergap-gate/src/serviceTimeEstimator.ts
@@ -1,50 +1,52 @@
-/** Estimates a target's service time from the recent ones. */
+/** Estimates the service time of a target from recent samples. */
 import type { Milliseconds } from "oleandergap-types";
 
-/** Service times kept for the median. */
+/** Number of samples from which the quantiles are computed. */
 const WINDOW_SIZE = 32;
-/** Below this many service times there is no estimate, so that a cold start refuses nobody. */
+/** Minimum number of samples for an estimate, so that no request is refused during a cold start. */
 const MINIMUM_SAMPLES = 5;
-/** The median is computed anew after this many service times. */
+/** Number of samples after which the quantiles are recomputed. */
 const REFRESH_EVERY = 8;
-/** Service times in the average's memory. */
-const AVERAGE_MEMORY = 64;
-/** A service time counts in the average for at most this many medians. */
+/** Number of samples that the moving mean covers. */
+const MEAN_WINDOW_SIZE = 64;
+/** A sample contributes at most this many medians to the mean. */
 const OUTLIER_FACTOR = 5;
-/** Part of the service times that are at most the likely one. */
-const LIKELY_PART = 0.9;
+/** Quantile that `percentile90` returns. */
+const UPPER_QUANTILE = 0.9;
 
 export interface ServiceTimeEstimator {
-    /** Takes in the service time of a request that was answered. */
+    /** Adds the service time of a request that was answered. */
     readonly addAnswered: (duration: Milliseconds) => void;
-    /** Takes in a request that ended without an answer after `duration`: its service time is at least that. */
+    /** Adds a request that ended without a response after `duration`. Its service time is at least `duration`. */
     readonly addUnanswered: (duration: Milliseconds) => void;
-    /** What a typical request takes, undefined until enough is known. */
-    readonly typical: () => Milliseconds | undefined;
-    /** What nine in ten requests take at most, undefined until enough is known. */
-    readonly likely: () => Milliseconds | undefined;
-    /** Average that decides how fast a queue moves, undefined until enough is known. */
-    readonly average: () => Milliseconds | undefined;
+    /** Returns the median service time, or undefined without enough samples. */
+    readonly median: () => Milliseconds | undefined;
+    /** Returns the 90th percentile of the service time, or undefined without enough samples. */
+    readonly percentile90: () => Milliseconds | undefined;
+    /** Returns the mean service time, which determines how fast a queue moves, or undefined without enough samples. */
+    readonly mean: () => Milliseconds | undefined;
 }
 
 /**
- * Three estimates, because they answer three questions. Whether one request still fits its deadline is asked of the
- * median, which a few outliers cannot move. Whether an answer will be in time to be worth most is asked of the time
- * that nine in ten keep to: by the median, half of the answers that were counted on come late. How fast a queue moves
- * is asked of the mean, in which rare long requests do count; each is cut at a few medians, so that one hung request
- * does not make the gate refuse everybody for its deadline.
+ * Creates an estimator without samples. It provides three estimates for three purposes:
+ *
+ * - The median decides whether a request can finish before its deadline, because a few outliers do not change it.
+ * - The 90th percentile decides whether a response will meet its objective. With the median, half of the responses that
+ *   were expected to be on time would be late.
+ * - The mean predicts how fast a queue moves, because rare long requests matter there. Each sample is capped at a few
+ *   medians, so that one hung request does not cause the gate to refuse all requests for their deadlines.
  */
 export const createServiceTimeEstimator = (): ServiceTimeEstimator => {
     const durations = new Float64Array(WINDOW_SIZE);
     let count = 0;
     let median = 0;
-    let likely = 0;
+    let percentile90 = 0;
     let mean = 0;
 
     const refreshQuantiles = (): void => {
         const sorted = durations.slice(0, Math.min(count, WINDOW_SIZE)).sort();
         median = sorted[Math.floor(sorted.length / 2)] ?? 0;
-        likely = sorted[Math.floor(sorted.length * LIKELY_PART)] ?? 0;
+        percentile90 = sorted[Math.floor(sorted.length * UPPER_QUANTILE)] ?? 0;
     };
 
     const addAnswered = (duration: Milliseconds): void => {
@@ -53,11 +55,11 @@
         if (count <= MINIMUM_SAMPLES || count % REFRESH_EVERY === 0) {
             refreshQuantiles();
         }
-        const counted = count < MINIMUM_SAMPLES ? duration : Math.min(duration, OUTLIER_FACTOR * median);
-        mean += (counted - mean) / Math.min(count, AVERAGE_MEMORY);
+        const cappedDuration = count < MINIMUM_SAMPLES ? duration : Math.min(duration, OUTLIER_FACTOR * median);
+        mean += (cappedDuration - mean) / Math.min(count, MEAN_WINDOW_SIZE);
     };
 
-    const isKnown = (): boolean => count >= MINIMUM_SAMPLES;
+    const hasEnoughSamples = (): boolean => count >= MINIMUM_SAMPLES;
 
     return {
         addAnswered,
@@ -66,8 +68,8 @@
                 addAnswered(duration);
             }
         },
-        typical: () => isKnown() ? median : undefined,
-        likely: () => isKnown() ? likely : undefined,
-        average: () => isKnown() ? mean : undefined,
+        median: () => hasEnoughSamples() ? median : undefined,
+        percentile90: () => hasEnoughSamples() ? percentile90 : undefined,
+        mean: () => hasEnoughSamples() ? mean : undefined,
     };
 };
--- a/packages/oleandergap-gate/src/slots.ts
+++ b/packages/oleandergap-gate/src/slots.ts
@@ -1,60 +1,65 @@
-/** The target's slots: who holds one, and what is learnt when it is given back. */
+/** The slots of the target: acquires and releases them, and records the service times. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { ReleaseOutcome } from "./admission.js";
 import type { FairQueue, Flow } from "./fairQueue.js";
 import type { Forecast } from "./forecast.js";
 import type { Decision } from "./refusals.js";
-import type { Waiter } from "./waitingRequests.js";
+import type { WaitingRequest } from "./waitingRequests.js";
 
-/** Counts the slots that are taken. */
+/** The slots of one gate. */
 export interface Slots {
     readonly running: () => number;
     readonly isFull: () => boolean;
-    /** Takes a slot for a request of a kind that arrived at `queuedAt`. */
-    readonly take: (flow: Flow<Waiter>, kind: string, queuedAt: Milliseconds) => Decision;
+    /** Acquires a slot for a request of a kind that was queued at `queuedAt`. */
+    readonly acquire: (flow: Flow<WaitingRequest>, kind: string, queuedAt: Milliseconds) => Decision;
 }
 
-/** What is told when slots are taken and given back. */
+/** Dependencies that are updated when slots are acquired and released. */
 export interface SlotsDependencies {
     readonly clock: Clock;
-    readonly queue: FairQueue<Waiter>;
+    readonly queue: FairQueue<WaitingRequest>;
     readonly forecast: Forecast;
-    /** Slots that may be taken at once; may change while the gate runs. */
+    /** Number of slots that may be in use at the same time. May change while the gate runs. */
     readonly capacity: () => number;
-    /** Runs after a slot was given back. */
-    readonly onFree: () => void;
+    /** Runs after a slot was released. */
+    readonly onSlotReleased: () => void;
 }
 
-/** Starts with all slots free. */
-export const createSlots = ({ clock, queue, forecast, capacity, onFree }: SlotsDependencies): Slots => {
+/** Creates the slots of a gate; all of them are free. */
+export const createSlots = ({ clock, queue, forecast, capacity, onSlotReleased }: SlotsDependencies): Slots => {
     let running = 0;
 
     const isFull = (): boolean => running >= capacity();
 
-    const giveBack = (flow: Flow<Waiter>, kind: string, outcome: ReleaseOutcome, startedAt: Milliseconds): void => {
+    const releaseSlot = (
+        flow: Flow<WaitingRequest>,
+        kind: string,
+        outcome: ReleaseOutcome,
+        startedAt: Milliseconds,
+    ): void => {
         const now = clock.monotonic();
-        forecast.observe(kind, outcome, now - startedAt);
+        forecast.recordDuration(kind, outcome, now - startedAt);
         running -= 1;
-        forecast.markProgress(now);
+        forecast.recordProgress(now);
         queue.markEnded(flow);
-        onFree();
+        onSlotReleased();
     };
 
-    const take = (flow: Flow<Waiter>, kind: string, queuedAt: Milliseconds): Decision => {
+    const acquire = (flow: Flow<WaitingRequest>, kind: string, queuedAt: Milliseconds): Decision => {
         const startedAt = clock.monotonic();
         let isReleased = false;
         running += 1;
-        forecast.markProgress(startedAt);
+        forecast.recordProgress(startedAt);
         queue.markStarted(flow);
         const release = (outcome: ReleaseOutcome): void => {
             if (!isReleased) {
                 isReleased = true;
-                giveBack(flow, kind, outcome, startedAt);
+                releaseSlot(flow, kind, outcome, startedAt);
             }
         };
         return either.right({ queuedMs: startedAt - queuedAt, release });
     };
 
-    return { running: () => running, isFull, take };
+    return { running: () => running, isFull, acquire };
 };
--- a/packages/oleandergap-gate/src/waitingRequests.ts
+++ b/packages/oleandergap-gate/src/waitingRequests.ts
@@ -1,83 +1,91 @@
-/** Requests that wait for a slot: each leaves the queue once it starts, runs out of time, or its caller hangs up. */
+/**
+ * Requests that wait for a slot. Each one leaves the queue when it starts, when it can no longer finish before its
+ * deadline, or when its caller disconnects.
+ */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
-import { USUAL_KIND, type AdmissionRequest } from "./admission.js";
-import type { FairQueue, Flow, Waiting } from "./fairQueue.js";
+import { DEFAULT_KIND, type AdmissionRequest } from "./admission.js";
+import type { FairQueue, Flow, RequestTimes } from "./fairQueue.js";
 import type { Decision, Refusals } from "./refusals.js";
 
-/** Shortest time for which a timer is armed. */
-const MINIMUM_TIMER_MS = 1;
+/** Minimum delay of a timer. */
+const MINIMUM_TIMER_DELAY_MS = 1;
 
-/** A waiting request; `settle` ends its wait. */
-export interface Waiter extends Waiting {
-    /** Changes when a request that was in time becomes late. */
-    flow: Flow<Waiter>;
+/** A waiting request. `settle` ends the wait. */
+export interface WaitingRequest extends RequestTimes {
+    /** Changes when a request that could meet its objective becomes late. */
+    flow: Flow<WaitingRequest>;
     readonly kind: string;
     readonly queuedAt: Milliseconds;
     readonly settle: (decision: Decision) => void;
 }
 
-/** What a waiting request may meet: its slot, its deadline, or a caller that hangs up. */
+/** Dependencies for queueing requests. */
 export interface EnqueueDependencies {
     readonly clock: Clock;
-    readonly queue: FairQueue<Waiter>;
+    readonly queue: FairQueue<WaitingRequest>;
     readonly serviceTime: (kind: string) => Milliseconds;
     readonly refusals: Refusals;
     /** Runs after a request left the queue without a slot. */
-    readonly onLeave: () => void;
+    readonly onRemoved: () => void;
 }
 
-/** Puts a request into the queue; resolves when it starts or is refused, and never rejects. */
-export type Enqueue = (request: AdmissionRequest, flow: Flow<Waiter>) => Promise<Decision>;
+/** Adds a request to the queue. Resolves when the request starts or is refused; never rejects. */
+export type Enqueue = (request: AdmissionRequest, flow: Flow<WaitingRequest>) => Promise<Decision>;
 
-/** Arms one timer for each waiting request. */
+/** Creates the function that queues requests. It starts one timer for each waiting request. */
 export const createEnqueue = ({
     clock,
     queue,
     serviceTime,
     refusals,
-    onLeave,
+    onRemoved,
 }: EnqueueDependencies): Enqueue => (request, flow) =>
     new Promise((resolve) => {
         let cancelTimer: CancelTimer = () => undefined;
 
-        const leave = (answer: () => Decision): void => {
-            if (queue.remove(waiter.flow, waiter)) {
-                waiter.settle(answer());
-                onLeave();
+        const removeAndRefuse = (createRefusal: () => Decision): void => {
+            if (queue.remove(waitingRequest.flow, waitingRequest)) {
+                waitingRequest.settle(createRefusal());
+                onRemoved();
             }
         };
-        const hangUp = (): void => leave(refusals.forCancellation);
+        const onAbort = (): void => removeAndRefuse(refusals.forCancellation);
 
-        const waiter: Waiter = {
+        const waitingRequest: WaitingRequest = {
             flow,
-            kind: request.kind ?? USUAL_KIND,
+            kind: request.kind ?? DEFAULT_KIND,
             deadline: request.deadline,
             objective: request.objective ?? request.deadline,
             queuedAt: clock.monotonic(),
             settle: (decision) => {
                 cancelTimer();
-                request.signal.removeEventListener("abort", hangUp);
+                request.signal.removeEventListener("abort", onAbort);
                 resolve(decision);
             },
         };
 
-        const timeToStart = (): Milliseconds => waiter.deadline - serviceTime(waiter.kind) - clock.monotonic();
+        const getTimeToStart = (): Milliseconds =>
+            waitingRequest.deadline - serviceTime(waitingRequest.kind) - clock.monotonic();
 
-        /** Fires once the request can no longer finish in time, which is earlier than its deadline. */
-        const armTimer = (): void => {
-            // Compared in any other form than it is armed with, the rest of the time may be rounded to nothing and yet
-            // seem positive: the timer is armed for now again and again, and the process spins.
-            cancelTimer = clock.after(Math.max(MINIMUM_TIMER_MS, timeToStart()), () => {
-                if (timeToStart() > 0) {
-                    armTimer();
+        /**
+         * Starts a timer that fires when the request can no longer finish before its deadline, which is earlier than
+         * the deadline.
+         */
+        const startTimer = (): void => {
+            // The check in the callback must use the same expression as the delay. With a different expression, the
+            // remaining time could be rounded to zero for the delay and still be positive in the check: the timer would
+            // fire immediately again and again, and the process would spin.
+            cancelTimer = clock.after(Math.max(MINIMUM_TIMER_DELAY_MS, getTimeToStart()), () => {
+                if (getTimeToStart() > 0) {
+                    startTimer();
                 }
                 else {
-                    leave(() => refusals.forCapacity("DeadlinePassed"));
+                    removeAndRefuse(() => refusals.forCapacity("DeadlinePassed"));
                 }
             });
         };
 
-        queue.add(flow, waiter, waiter.queuedAt);
-        armTimer();
-        request.signal.addEventListener("abort", hangUp, { once: true });
+        queue.add(flow, waitingRequest, waitingRequest.queuedAt);
+        startTimer();
+        request.signal.addEventListener("abort", onAbort, { once: true });
     });
