--- a/packages/oleandergap-containment/src/__tests__/evidenceBook.test.ts
+++ b/packages/oleandergap-containment/src/__tests__/evidenceBook.test.ts
@@ -1,185 +1,190 @@
 import { expect } from "chai";
 import fastCheck from "fast-check";
 import type { CrashReport } from "../evidence.js";
-import { createEvidenceBook, type EvidenceBook } from "../evidenceBook.js";
+import { createEvidenceStore, type EvidenceStore } from "../evidenceBook.js";
 import type { Fingerprint } from "../fingerprint.js";
 import { defaultContainmentOptions, type ContainmentOptions } from "../options.js";
 
 const { holdMs, holdMaximumMs, forgetMs, trustMs } = defaultContainmentOptions;
 
-const nameOf = (text: string): Fingerprint => text.padEnd(16, "_");
-const CRASHER = nameOf("crasher");
-const POPULAR = nameOf("popular");
-const OTHER = nameOf("other");
+const createFingerprint = (text: string): Fingerprint => text.padEnd(16, "_");
+const CRASHER = createFingerprint("crasher");
+const POPULAR = createFingerprint("popular");
+const OTHER = createFingerprint("other");
 
-const report = (crash: number, at: number, ...fingerprints: readonly Fingerprint[]): CrashReport =>
+const createReport = (crash: number, at: number, ...fingerprints: readonly Fingerprint[]): CrashReport =>
     ({ crash: `c-${crash}`, node: `node-${crash}`, at, fingerprints });
 
-const createBook = (changes: Partial<ContainmentOptions> = {}): EvidenceBook =>
-    createEvidenceBook({ ...defaultContainmentOptions, ...changes });
+const createStore = (changes: Partial<ContainmentOptions> = {}): EvidenceStore =>
+    createEvidenceStore({ ...defaultContainmentOptions, ...changes });
 
-/** Three crashes at 1, 2 and 3, beside which `fingerprint` ran. */
-const crashThrice = (book: EvidenceBook, fingerprint: Fingerprint): void =>
-    [1, 2, 3].forEach((crash) => book.noteCrash(report(crash, crash, fingerprint)));
+/** Records crashes at times 1, 2 and 3 while `fingerprint` was running. */
+const recordThreeCrashes = (store: EvidenceStore, fingerprint: Fingerprint): void =>
+    [1, 2, 3].forEach((crash) => store.noteCrash(createReport(crash, crash, fingerprint)));
 
-type Fact = (book: EvidenceBook) => unknown;
+type ApplyEvidence = (store: EvidenceStore) => unknown;
 
-/** Each of two books is told all that the other one holds, twice. */
-const exchange = (one: EvidenceBook, other: EvidenceBook): void => {
-    for (const [from, to] of [[one, other], [other, one], [one, other], [other, one]] as const) {
+/** Merges all evidence of each store into the other one, twice. */
+const exchangeEvidence = (first: EvidenceStore, second: EvidenceStore): void => {
+    for (const [from, to] of [[first, second], [second, first], [first, second], [second, first]] as const) {
         const { crashes, goodRuns } = from.list();
         crashes.forEach(to.noteCrash);
         goodRuns.forEach(to.noteGoodRun);
     }
 };
 
-describe("createEvidenceBook", () => {
-    it("holds nothing against anybody at first", () => {
-        const book = createBook();
+describe("createEvidenceStore", () => {
+    it("starts without evidence against any request", () => {
+        const store = createStore();
 
-        expect(book.hasSuspects()).to.equal(false);
-        expect(book.digest()).to.equal(0);
-        expect(book.judge(CRASHER, 0)).to.deep.equal({ kind: "Free" });
+        expect(store.hasSuspects()).to.equal(false);
+        expect(store.digest()).to.equal(0);
+        expect(store.judge(CRASHER, 0)).to.deep.equal({ kind: "Free" });
     });
 
-    it("goes from suspect over probation to contained with three crashes", () => {
-        const book = createBook();
+    it("changes a request from suspect to probation to contained with three crashes", () => {
+        const store = createStore();
         const kinds = [1, 2, 3].map((crash) => {
-            book.noteCrash(report(crash, crash, CRASHER));
-            return book.judge(CRASHER, crash).kind;
+            store.noteCrash(createReport(crash, crash, CRASHER));
+            return store.judge(CRASHER, crash).kind;
         });
 
         expect(kinds).to.deep.equal(["Suspect", "Probation", "Contained"]);
         const crashes = [1, 2, 3].map((crash) => ({ crash: `c-${crash}`, node: `node-${crash}` }));
-        expect(book.findContained(CRASHER, 3))
+        expect(store.findContained(CRASHER, 3))
             .to.deep.equal({ fingerprint: CRASHER, since: 3, until: 3 + holdMs, crashes });
     });
 
-    it("counts a crash once, however often it is told", () => {
-        const book = createBook();
+    it("counts a crash once when it is reported repeatedly", () => {
+        const store = createStore();
 
-        expect(book.noteCrash(report(1, 1, CRASHER, POPULAR))?.fingerprints).to.deep.equal([CRASHER, POPULAR]);
-        expect(book.noteCrash(report(1, 2, CRASHER, OTHER))?.fingerprints).to.deep.equal([OTHER]);
-        expect(book.noteCrash(report(1, 2, CRASHER))).to.equal(undefined);
-        expect(book.judge(CRASHER, 2)).to.deep.equal({ kind: "Suspect", crashes: 1 });
+        expect(store.noteCrash(createReport(1, 1, CRASHER, POPULAR))?.fingerprints).to.deep.equal([CRASHER, POPULAR]);
+        expect(store.noteCrash(createReport(1, 2, CRASHER, OTHER))?.fingerprints).to.deep.equal([OTHER]);
+        expect(store.noteCrash(createReport(1, 2, CRASHER))).to.equal(undefined);
+        expect(store.judge(CRASHER, 2)).to.deep.equal({ kind: "Suspect", crashes: 1 });
     });
 
-    it("never blames a popular read that ends well between crashes that it runs beside", () => {
-        const book = createBook();
+    it("never contains a popular read that completes between crashes during which it was running", () => {
+        const store = createStore();
         for (let crash = 1; crash <= 50; crash++) {
-            book.noteCrash(report(crash, 10 * crash, CRASHER, POPULAR));
-            expect(book.judge(POPULAR, 10 * crash).kind).to.not.equal("Contained");
-            book.noteGoodRun({ fingerprint: POPULAR, at: 10 * crash + 5 });
-            expect(book.judge(POPULAR, 10 * crash + 5)).to.deep.equal({ kind: "Free" });
+            store.noteCrash(createReport(crash, 10 * crash, CRASHER, POPULAR));
+            expect(store.judge(POPULAR, 10 * crash).kind).to.not.equal("Contained");
+            store.noteGoodRun({ fingerprint: POPULAR, at: 10 * crash + 5 });
+            expect(store.judge(POPULAR, 10 * crash + 5)).to.deep.equal({ kind: "Free" });
         }
 
-        expect(book.judge(CRASHER, 500).kind).to.equal("Contained");
+        expect(store.judge(CRASHER, 500).kind).to.equal("Contained");
     });
 
-    it("takes one crash lightly of a request that ended well lately, and not of one that did long ago", () => {
-        const book = createBook();
-        book.noteCrash(report(1, 1, POPULAR));
-        book.noteGoodRun({ fingerprint: POPULAR, at: 2 });
-        book.noteCrash(report(2, 3, POPULAR));
+    it("ignores a single crash shortly after a good run, but not long after it", () => {
+        const store = createStore();
+        store.noteCrash(createReport(1, 1, POPULAR));
+        store.noteGoodRun({ fingerprint: POPULAR, at: 2 });
+        store.noteCrash(createReport(2, 3, POPULAR));
 
-        expect(book.judge(POPULAR, 4).kind).to.equal("Free");
-        expect(book.judge(POPULAR, 3 + trustMs).kind).to.equal("Suspect");
+        expect(store.judge(POPULAR, 4).kind).to.equal("Free");
+        expect(store.judge(POPULAR, 3 + trustMs).kind).to.equal("Suspect");
     });
 
-    it("lets a contained request go for one try after its time, and refuses it for twice as long after another crash", () => {
-        const book = createBook();
-        crashThrice(book, CRASHER);
-
-        expect(book.judge(CRASHER, 3 + holdMs - 1).kind).to.equal("Contained");
-        expect(book.judge(CRASHER, 3 + holdMs).kind).to.equal("Probation");
-        const again = 3 + holdMs + 10;
-        book.noteCrash(report(4, again, CRASHER));
-        expect(book.judge(CRASHER, again)).to.deep.equal({ kind: "Contained", crashes: 4, until: again + 2 * holdMs });
+    it("allows one attempt after the hold time, and doubles the hold time after another crash", () => {
+        const store = createStore();
+        recordThreeCrashes(store, CRASHER);
+
+        expect(store.judge(CRASHER, 3 + holdMs - 1).kind).to.equal("Contained");
+        expect(store.judge(CRASHER, 3 + holdMs).kind).to.equal("Probation");
+        const fourthCrashAt = 3 + holdMs + 10;
+        store.noteCrash(createReport(4, fourthCrashAt, CRASHER));
+        expect(store.judge(CRASHER, fourthCrashAt)).to.deep.equal({
+            kind: "Contained",
+            crashes: 4,
+            until: fourthCrashAt + 2 * holdMs,
+        });
     });
 
-    it("never refuses for longer than the longest time", () => {
-        const book = createBook();
+    it("never refuses a request for longer than the maximum hold time", () => {
+        const store = createStore();
         for (let crash = 1; crash <= 40; crash++) {
-            book.noteCrash(report(crash, crash, CRASHER));
+            store.noteCrash(createReport(crash, crash, CRASHER));
         }
 
-        expect(book.judge(CRASHER, 40)).to.include({ kind: "Contained", until: 40 + holdMaximumMs });
+        expect(store.judge(CRASHER, 40)).to.include({ kind: "Contained", until: 40 + holdMaximumMs });
     });
 
-    it("lets a contained request go once it has ended well", () => {
-        const book = createBook();
-        crashThrice(book, CRASHER);
+    it("stops refusing a contained request after a good run", () => {
+        const store = createStore();
+        recordThreeCrashes(store, CRASHER);
 
-        expect(book.noteGoodRun({ fingerprint: CRASHER, at: 4 })).to.equal(true);
-        expect(book.judge(CRASHER, 4)).to.deep.equal({ kind: "Free" });
-        expect(book.hasSuspects()).to.equal(false);
+        expect(store.noteGoodRun({ fingerprint: CRASHER, at: 4 })).to.equal(true);
+        expect(store.judge(CRASHER, 4)).to.deep.equal({ kind: "Free" });
+        expect(store.hasSuspects()).to.equal(false);
     });
 
-    it("is not cleared by a run that ended before the crash", () => {
-        const book = createBook();
-        crashThrice(book, CRASHER);
+    it("keeps a request contained after a good run that ended before the crash", () => {
+        const store = createStore();
+        recordThreeCrashes(store, CRASHER);
 
-        expect(book.noteGoodRun({ fingerprint: CRASHER, at: 0.5 })).to.equal(false);
-        expect(book.judge(CRASHER, 4).kind).to.equal("Contained");
+        expect(store.noteGoodRun({ fingerprint: CRASHER, at: 0.5 })).to.equal(false);
+        expect(store.judge(CRASHER, 4).kind).to.equal("Contained");
     });
 
-    it("forgets evidence of which nothing was heard for long, and not what is refused", () => {
-        const book = createBook();
-        crashThrice(book, CRASHER);
-        book.noteCrash(report(1, 1, OTHER));
-        book.prune(1 + forgetMs);
+    it("deletes expired evidence but keeps contained requests", () => {
+        const store = createStore();
+        recordThreeCrashes(store, CRASHER);
+        store.noteCrash(createReport(1, 1, OTHER));
+        store.prune(1 + forgetMs);
 
-        expect(book.size()).to.equal(1);
-        expect(book.judge(CRASHER, 4).kind).to.equal("Contained");
-        book.prune(3 + holdMs + forgetMs);
-        expect(book.size()).to.equal(0);
+        expect(store.size()).to.equal(1);
+        expect(store.judge(CRASHER, 4).kind).to.equal("Contained");
+        store.prune(3 + holdMs + forgetMs);
+        expect(store.size()).to.equal(0);
     });
 
-    it("drops requests with one crash before contained ones when there are too many", () => {
-        const book = createBook({ mostSuspects: 16 });
-        crashThrice(book, CRASHER);
+    it("deletes requests with one crash before contained ones when there are too many", () => {
+        const store = createStore({ mostSuspects: 16 });
+        recordThreeCrashes(store, CRASHER);
         for (let crash = 10; crash < 60; crash++) {
-            book.noteCrash(report(crash, crash, nameOf(`varied-${crash}`)));
+            store.noteCrash(createReport(crash, crash, createFingerprint(`varied-${crash}`)));
         }
 
-        expect(book.size()).to.equal(16);
-        expect(book.judge(CRASHER, 60).kind).to.equal("Contained");
+        expect(store.size()).to.equal(16);
+        expect(store.judge(CRASHER, 60).kind).to.equal("Contained");
     });
 
-    it("lists what matters most when there is much, and no more than a few datagrams hold", () => {
-        const book = createBook();
-        crashThrice(book, CRASHER);
+    it("lists the most important evidence up to the size of a few datagrams", () => {
+        const store = createStore();
+        recordThreeCrashes(store, CRASHER);
         for (let crash = 10; crash < 1000; crash++) {
-            book.noteCrash(report(crash, crash, nameOf(`varied-${crash}`)));
+            store.noteCrash(createReport(crash, crash, createFingerprint(`varied-${crash}`)));
         }
-        const { crashes } = book.list();
-        const names = crashes.flatMap(({ fingerprints }) => fingerprints);
+        const { crashes } = store.list();
+        const listedFingerprints = crashes.flatMap(({ fingerprints }) => fingerprints);
 
-        expect(new Set(names).size).to.equal(256);
-        expect(names.filter((name) => name === CRASHER).length).to.equal(3);
-        expect(book.digest()).to.not.equal(0);
+        expect(new Set(listedFingerprints).size).to.equal(256);
+        expect(listedFingerprints.filter((fingerprint) => fingerprint === CRASHER).length).to.equal(3);
+        expect(store.digest()).to.not.equal(0);
     });
 
-    it("comes to the same judgements as another one, whatever came in which order, once they have told each other", () => {
-        const names = [CRASHER, POPULAR, OTHER];
+    it("reaches the same judgements as another store after they exchange evidence received in different orders", () => {
+        const fingerprints = [CRASHER, POPULAR, OTHER];
         const crash = fastCheck.record({
             number: fastCheck.integer({ min: 1, max: 6 }),
-            running: fastCheck.subarray(names, { minLength: 1 }),
-        }).map(({ number, running }): Fact => (book) => book.noteCrash(report(number, 10 * number, ...running)));
+            running: fastCheck.subarray(fingerprints, { minLength: 1 }),
+        }).map(({ number, running }): ApplyEvidence => (store) =>
+            store.noteCrash(createReport(number, 10 * number, ...running)));
         const goodRun = fastCheck.record({
-            fingerprint: fastCheck.constantFrom(...names),
+            fingerprint: fastCheck.constantFrom(...fingerprints),
             at: fastCheck.integer({ min: 1, max: 70 }),
-        }).map((run): Fact => (book) => book.noteGoodRun(run));
-        const facts = fastCheck.array(fastCheck.oneof(crash, goodRun), { maxLength: 30 });
-        fastCheck.assert(fastCheck.property(facts, (told) => {
-            const [one, other] = [createBook(), createBook()];
-            told.forEach((fact) => fact(one));
-            [...told].reverse().forEach((fact) => fact(other));
-            exchange(one, other);
-
-            expect(other.digest()).to.equal(one.digest());
-            for (const name of names) {
-                expect(other.judge(name, 100)).to.deep.equal(one.judge(name, 100));
+        }).map((run): ApplyEvidence => (store) => store.noteGoodRun(run));
+        const evidence = fastCheck.array(fastCheck.oneof(crash, goodRun), { maxLength: 30 });
+        fastCheck.assert(fastCheck.property(evidence, (applied) => {
+            const [first, second] = [createStore(), createStore()];
+            applied.forEach((apply) => apply(first));
+            [...applied].reverse().forEach((apply) => apply(second));
+            exchangeEvidence(first, second);
+
+            expect(second.digest()).to.equal(first.digest());
+            for (const fingerprint of fingerprints) {
+                expect(second.judge(fingerprint, 100)).to.deep.equal(first.judge(fingerprint, 100));
             }
         }), { seed: 36, numRuns: 500 });
     });
--- a/packages/oleandergap-containment/src/__tests__/evidenceNetwork.ts
+++ b/packages/oleandergap-containment/src/__tests__/evidenceNetwork.ts
@@ -1,4 +1,4 @@
-/** Nodes that tell each other of crashes, over a network in memory and on one clock. */
+/** Test nodes that exchange evidence on crashes over an in-memory network with a shared clock. */
 import { createLogger } from "oleandergap-logger";
 import * as either from "fp-ts/lib/Either.js";
 import type { Milliseconds, TableOperation, TableRow, TableService } from "oleandergap-types";
@@ -14,28 +14,28 @@
 
 export interface TestNode extends TestPeer {
     containment: Containment<TestPeer>;
-    life: AbortController;
+    abortController: AbortController;
     isUp: boolean;
 }
 
 export interface TestNetwork {
     readonly clock: ManualClock;
     readonly nodes: readonly TestNode[];
-    /** Decides whether a datagram arrives, and after how long. */
-    carry: (from: TestPeer, to: TestPeer) => Milliseconds | undefined;
-    datagrams: number;
-    largest: number;
-    isStoreUp: boolean;
+    /** Returns the delay after which a datagram arrives, or undefined if it is lost. */
+    getDeliveryDelay: (from: TestPeer, to: TestPeer) => Milliseconds | undefined;
+    datagramCount: number;
+    largestMessageLength: number;
+    isTableAvailable: boolean;
     readonly rows: Map<string, unknown>;
-    storeCalls: number;
+    tableCallCount: number;
     readonly kill: (node: TestNode) => void;
     readonly start: (node: TestNode) => void;
 }
 
 const CONTACTS_PER_ZONE = 3;
-const AWAY = either.left({ kind: "Unavailable", detail: "away" } as const);
+const UNAVAILABLE = either.left({ kind: "Unavailable", detail: "unavailable" } as const);
 
-/** The platform's table as far as contained requests need it. */
+/** The operations of the platform's table that contained requests need. */
 const createTestTable = (network: () => TestNetwork): Pick<TableService, "transact" | "scan"> => {
     const apply = (operation: TableOperation): void => {
         if (operation.kind === "Put") {
@@ -49,55 +49,58 @@
         ({ key, value, version: { era: 1, version: 1 } });
     return {
         transact: (operations) => async () => {
-            network().storeCalls += 1;
-            if (!network().isStoreUp) {
-                return AWAY;
+            network().tableCallCount += 1;
+            if (!network().isTableAvailable) {
+                return UNAVAILABLE;
             }
             operations.forEach(apply);
             return either.right({ kind: "Committed" });
         },
         scan: ({ prefix }) => async () => {
-            network().storeCalls += 1;
-            return network().isStoreUp ?
+            network().tableCallCount += 1;
+            return network().isTableAvailable ?
                 either.right([...network().rows].filter(([key]) => key.startsWith(prefix)).map(toRow)) :
-                AWAY;
+                UNAVAILABLE;
         },
     };
 };
 
-/** `size` nodes in turn over `zones`; each knows its zone and three contacts of each other one. */
+/**
+ * Creates a network of `size` nodes, assigned to `zones` zones in turn. Each node has the members of its zone and three
+ * contacts in each other zone as peers.
+ */
 export const createTestNetwork = (size: number, zones: number, random: Random): TestNetwork => {
     const clock = createManualClock();
     const peers = Array.from({ length: size }, (_, index): TestPeer =>
         ({ id: `node-${index}`, zone: `zone-${index % zones}` }));
-    let starts = 0;
+    let startCount = 0;
 
-    const createNodeContainment = (self: TestPeer, life: AbortController): Containment<TestPeer> => {
-        starts += 1;
-        const near = peers.filter(({ id, zone }) => zone === self.zone && id !== self.id);
+    const createNodeContainment = (self: TestPeer, abortController: AbortController): Containment<TestPeer> => {
+        startCount += 1;
+        const zoneMembers = peers.filter(({ id, zone }) => zone === self.zone && id !== self.id);
         const contacts = Array.from({ length: zones }, (_, zone) => `zone-${zone}`)
             .filter((zone) => zone !== self.zone)
             .flatMap((zone) => peers.filter((peer) => peer.zone === zone).slice(0, CONTACTS_PER_ZONE));
         return createContainment<TestPeer>({
             nodeId: self.id,
-            bootId: `boot-${starts}`,
+            bootId: `boot-${startCount}`,
             clock,
             random,
             logger: createLogger("test"),
             options: defaultContainmentOptions,
             network: {
-                members: () => near.filter(({ id }) => find(id).isUp),
+                members: () => zoneMembers.filter(({ id }) => findNode(id).isUp),
                 contacts: () => contacts,
                 isNear: ({ zone }) => zone === self.zone,
-                isFirst: () => near.every(({ id }) => !find(id).isUp || self.id < id),
+                isFirst: () => zoneMembers.every(({ id }) => !findNode(id).isUp || self.id < id),
                 send: (to, message) => {
                     const text = JSON.stringify(message);
-                    network.datagrams += 1;
-                    network.largest = Math.max(network.largest, text.length);
-                    const delay = network.carry(self, to);
+                    network.datagramCount += 1;
+                    network.largestMessageLength = Math.max(network.largestMessageLength, text.length);
+                    const delay = network.getDeliveryDelay(self, to);
                     if (delay !== undefined) {
                         clock.after(delay, () => {
-                            const receiver = find(to.id);
+                            const receiver = findNode(to.id);
                             if (receiver.isUp) {
                                 receiver.containment.receive(self, evidenceMessageSchema.parse(JSON.parse(text)));
                             }
@@ -106,19 +109,19 @@
                 },
             },
             tableService: createTestTable(() => network),
-            signal: life.signal,
+            signal: abortController.signal,
         });
     };
 
     const createNode = (self: TestPeer): TestNode => {
-        const life = new AbortController();
-        return { ...self, containment: createNodeContainment(self, life), life, isUp: true };
+        const abortController = new AbortController();
+        return { ...self, containment: createNodeContainment(self, abortController), abortController, isUp: true };
     };
 
-    const find = (id: string): TestNode => {
+    const findNode = (id: string): TestNode => {
         const node = network.nodes.find((candidate) => candidate.id === id);
         if (node === undefined) {
-            throw new RangeError(`no node ${id}`);
+            throw new RangeError(`unknown node ${id}`);
         }
         return node;
     };
@@ -126,19 +129,19 @@
     const network: TestNetwork = {
         clock,
         nodes: peers.map(createNode),
-        carry: () => 1,
-        datagrams: 0,
-        largest: 0,
-        isStoreUp: true,
+        getDeliveryDelay: () => 1,
+        datagramCount: 0,
+        largestMessageLength: 0,
+        isTableAvailable: true,
         rows: new Map(),
-        storeCalls: 0,
+        tableCallCount: 0,
         kill: (node) => {
             node.isUp = false;
-            node.life.abort();
+            node.abortController.abort();
         },
         start: (node) => {
-            node.life = new AbortController();
-            node.containment = createNodeContainment(node, node.life);
+            node.abortController = new AbortController();
+            node.containment = createNodeContainment(node, node.abortController);
             node.isUp = true;
             node.containment.start();
         },
--- a/packages/oleandergap-containment/src/__tests__/fingerprint.test.ts
+++ b/packages/oleandergap-containment/src/__tests__/fingerprint.test.ts
@@ -10,15 +10,15 @@
 };
 
 describe("computeFingerprint", () => {
-    it("gives equal requests one name of sixteen characters, whatever the case of the host", () => {
-        const name = computeFingerprint(request);
+    it("returns the same sixteen characters for equal requests, ignoring the case of the host", () => {
+        const fingerprint = computeFingerprint(request);
 
-        expect(fingerprintSchema.safeParse(name).success).to.equal(true);
-        expect(computeFingerprint({ ...request, host: "Files.Example" })).to.equal(name);
+        expect(fingerprintSchema.safeParse(fingerprint).success).to.equal(true);
+        expect(computeFingerprint({ ...request, host: "Files.Example" })).to.equal(fingerprint);
     });
 
-    it("tells requests apart that differ in one part", () => {
-        const others: readonly Partial<FingerprintedRequest>[] = [
+    it("returns different fingerprints for requests that differ in one part", () => {
+        const differences: readonly Partial<FingerprintedRequest>[] = [
             { method: "POST" },
             { host: "other.example" },
             { path: "/wills/7?page=3" },
@@ -26,8 +26,8 @@
             { bodyLength: undefined },
             { bodyStart: Buffer.from("abd") },
         ];
-        const names = others.map((other) => computeFingerprint({ ...request, ...other }));
+        const fingerprints = differences.map((other) => computeFingerprint({ ...request, ...other }));
 
-        expect(new Set([computeFingerprint(request), ...names]).size).to.equal(others.length + 1);
+        expect(new Set([computeFingerprint(request), ...fingerprints]).size).to.equal(differences.length + 1);
     });
 });
--- a/packages/oleandergap-containment/src/containedRows.ts
+++ b/packages/oleandergap-containment/src/containedRows.ts
@@ -1,6 +1,7 @@
 /**
- * Contained requests in the platform's table. Nodes keep them in memory and tell each other; the rows are for the
- * moment at which all nodes start anew. Without them each such start would cost three more targets.
+ * Rows of contained requests in the platform's table. Nodes keep contained requests in memory and exchange them by
+ * gossip. The rows preserve them for a restart of all nodes at once; without the rows, each such restart would crash
+ * three more targets.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
@@ -11,22 +12,22 @@
 import type { ContainedRequest } from "./evidenceBook.js";
 import { fingerprintSchema, type Fingerprint } from "./fingerprint.js";
 
-const PREFIX = "containment/";
-/** Requests that are read at a start; more than are ever contained at once. */
-const MOST_READ = 500;
-/** A call that takes longer is tried again. */
-const CALL_LIMIT_MS: Milliseconds = 2000;
+const KEY_PREFIX = "containment/";
+/** Maximum number of rows read at the start; more than the number of requests that are contained at the same time. */
+const MAX_ROWS_READ = 500;
+/** Time after which a call is aborted and retried. */
+const CALL_TIMEOUT_MS: Milliseconds = 2000;
 const BACKOFF_BASE_MS: Milliseconds = 250;
 const BACKOFF_MAXIMUM_MS: Milliseconds = 5000;
 
-/** One contained request; times are of the wall clock, which nodes share within a second or two. */
+/** Row of one contained request. Times are wall-clock times, which differ between nodes by at most a second or two. */
 const rowSchema = z.strictObject({
     crashes: z.array(z.strictObject({ crash: crashIdSchema, node: crashedNodeSchema })).min(1).max(100),
     since: z.number(),
     until: z.number(),
 });
 
-/** What the rows are kept by. */
+/** Dependencies of the access to the rows. */
 export interface ContainedRowsDependencies {
     readonly tableService: Pick<TableService, "transact" | "scan">;
     readonly clock: Clock;
@@ -35,39 +36,42 @@
     readonly signal: AbortSignal;
 }
 
-/** The rows of contained requests. */
+/** Access to the rows of contained requests. */
 export interface ContainedRows {
-    /** Writes a row, again and again until it is written. */
+    /** Writes a row and retries until it is written. */
     readonly save: (request: ContainedRequest) => void;
-    /** Deletes a row that this node wrote; others delete theirs. */
+    /** Deletes a row if this node wrote it. Other nodes delete the rows that they wrote. */
     readonly remove: (fingerprint: Fingerprint) => void;
-    /** Reads all rows, again and again until they are read or `isWanted` says no. */
-    readonly load: (isWanted: () => boolean) => Promise<Evidence | undefined>;
+    /** Reads all rows. Retries until the rows are read or `isNeeded` returns false. */
+    readonly load: (isNeeded: () => boolean) => Promise<Evidence | undefined>;
 }
 
-/** Creates the access; nothing is read or written before it is asked for. */
+/** Creates the access. It makes no call before one of its functions is called. */
 export const createContainedRows = (
     { tableService, clock, random, logger, signal }: ContainedRowsDependencies,
 ): ContainedRows => {
-    /** What the last word on each request of this node is; a later one ends the attempts of an earlier one. */
-    const wanted = new Map<Fingerprint, ContainedRequest | undefined>();
-    /** Requests of which a write is under way. */
-    const pending = new Set<Fingerprint>();
+    /**
+     * Desired state of each row that this node writes; undefined means that the row is to be deleted. A later state
+     * replaces an earlier one that is not written yet.
+     */
+    const desiredRows = new Map<Fingerprint, ContainedRequest | undefined>();
+    /** Requests whose rows are being written. */
+    const fingerprintsBeingWritten = new Set<Fingerprint>();
 
-    /** Offset from the monotonic to the wall clock. */
-    const wallOffset = (): Milliseconds => clock.now() - clock.monotonic();
+    /** Returns the offset from the monotonic to the wall clock. */
+    const getWallClockOffset = (): Milliseconds => clock.now() - clock.monotonic();
 
-    const retry = async (attempt: () => Promise<boolean>): Promise<void> => {
+    const retryUntilDone = async (attempt: () => Promise<boolean>): Promise<void> => {
         for (let failures = 0; !signal.aborted && !await attempt(); failures++) {
             await clock.sleep(drawBackoff(random, failures, BACKOFF_BASE_MS, BACKOFF_MAXIMUM_MS), signal);
         }
     };
 
-    const withLimit = async <Result>(call: (inTime: AbortSignal) => Promise<Result>): Promise<Result> => {
-        const limit = new AbortController();
-        const cancelTimer = clock.after(CALL_LIMIT_MS, () => limit.abort());
+    const callWithTimeout = async <Result>(call: (callSignal: AbortSignal) => Promise<Result>): Promise<Result> => {
+        const timeoutController = new AbortController();
+        const cancelTimer = clock.after(CALL_TIMEOUT_MS, () => timeoutController.abort());
         try {
-            return await call(AbortSignal.any([signal, limit.signal]));
+            return await call(AbortSignal.any([signal, timeoutController.signal]));
         }
         finally {
             cancelTimer();
@@ -75,10 +79,10 @@
     };
 
     const writeOnce = async (fingerprint: Fingerprint): Promise<boolean> => {
-        const request = wanted.get(fingerprint);
-        const key = PREFIX + fingerprint;
-        const offset = wallOffset();
-        const result = await withLimit((inTime) => tableService.transact([request === undefined ?
+        const request = desiredRows.get(fingerprint);
+        const key = KEY_PREFIX + fingerprint;
+        const offset = getWallClockOffset();
+        const result = await callWithTimeout((callSignal) => tableService.transact([request === undefined ?
             { kind: "Delete", key, condition: { kind: "Any" } } :
             {
                 kind: "Put",
@@ -89,39 +93,44 @@
                     since: request.since + offset,
                     until: request.until + offset,
                 },
-            }], inTime)());
+            }], callSignal)());
         if (either.isLeft(result)) {
-            logger.info("A contained request could not be written.", { fingerprint, reason: result.left.kind });
+            logger.info("The row of a contained request could not be written.", {
+                fingerprint,
+                reason: result.left.kind,
+            });
             return false;
         }
-        return wanted.get(fingerprint) === request;
+        return desiredRows.get(fingerprint) === request;
     };
 
     const write = (fingerprint: Fingerprint, request: ContainedRequest | undefined): void => {
-        wanted.set(fingerprint, request);
-        if (pending.has(fingerprint)) {
+        desiredRows.set(fingerprint, request);
+        if (fingerprintsBeingWritten.has(fingerprint)) {
             return;
         }
-        pending.add(fingerprint);
-        void retry(() => writeOnce(fingerprint)).then(() => {
-            pending.delete(fingerprint);
-            if (wanted.get(fingerprint) === undefined) {
-                wanted.delete(fingerprint);
+        fingerprintsBeingWritten.add(fingerprint);
+        void retryUntilDone(() => writeOnce(fingerprint)).then(() => {
+            fingerprintsBeingWritten.delete(fingerprint);
+            if (desiredRows.get(fingerprint) === undefined) {
+                desiredRows.delete(fingerprint);
             }
         });
     };
+
     const readOnce = async (): Promise<Evidence | undefined> => {
-        const rows = await withLimit((inTime) => tableService.scan({ prefix: PREFIX, limit: MOST_READ }, inTime)());
+        const rows = await callWithTimeout((callSignal) =>
+            tableService.scan({ prefix: KEY_PREFIX, limit: MAX_ROWS_READ }, callSignal)());
         if (either.isLeft(rows)) {
             logger.info("Contained requests could not be read.", { reason: rows.left.kind });
             return undefined;
         }
-        const offset = wallOffset();
+        const offset = getWallClockOffset();
         const crashes = rows.right.flatMap(({ key, value }) => {
-            const fingerprint = fingerprintSchema.safeParse(key.slice(PREFIX.length));
+            const fingerprint = fingerprintSchema.safeParse(key.slice(KEY_PREFIX.length));
             const row = rowSchema.safeParse(value);
             if (!fingerprint.success || !row.success) {
-                logger.warn("A row of a contained request cannot be read; delete it.", { key });
+                logger.warn("The row of a contained request is invalid; delete it.", { key });
                 return [];
             }
             const at = Math.min(clock.monotonic(), row.data.since - offset);
@@ -133,15 +142,15 @@
     return {
         save: (request) => write(request.fingerprint, request),
         remove: (fingerprint) => {
-            if (wanted.get(fingerprint) !== undefined) {
+            if (desiredRows.get(fingerprint) !== undefined) {
                 write(fingerprint, undefined);
             }
         },
-        load: async (isWanted) => {
+        load: async (isNeeded) => {
             let evidence: Evidence | undefined;
-            await retry(async () => {
-                evidence = isWanted() ? await readOnce() : undefined;
-                return evidence !== undefined || !isWanted();
+            await retryUntilDone(async () => {
+                evidence = isNeeded() ? await readOnce() : undefined;
+                return evidence !== undefined || !isNeeded();
             });
             return evidence;
         },
--- a/packages/oleandergap-containment/src/containment.ts
+++ b/packages/oleandergap-containment/src/containment.ts
@@ -1,155 +1,169 @@
-/** What a node knows of requests that crash targets, and says of them. */
+/** Containment of requests that crash targets, as seen by one node: its evidence on requests and how it treats them. */
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Milliseconds, NodeId, TableService } from "oleandergap-types";
 import { hashText, type Random } from "oleandergap-utils";
 import { createContainedRows } from "./containedRows.js";
 import type { CrashId, CrashReport, Judgement } from "./evidence.js";
-import { createEvidenceBook, type ContainedRequest } from "./evidenceBook.js";
+import { createEvidenceStore, type ContainedRequest } from "./evidenceBook.js";
 import type { EvidenceMessage } from "./evidenceMessage.js";
-import { createEvidenceSpread, type EvidenceNetwork } from "./evidenceSpread.js";
+import { createEvidenceGossip, type EvidenceNetwork } from "./evidenceSpread.js";
 import type { Fingerprint } from "./fingerprint.js";
 import type { ContainmentOptions } from "./options.js";
 
-/** What a containment is made from. */
+/** Dependencies of a containment. */
 export interface ContainmentDependencies<Peer> {
     readonly nodeId: NodeId;
-    /** Differs with each start of the process. */
+    /** Unique to each start of the process. */
     readonly bootId: string;
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
     readonly options: ContainmentOptions;
     readonly network: EvidenceNetwork<Peer>;
-    /** Keeps what is contained for the moment at which all nodes start anew. */
+    /** Stores contained requests for a restart of all nodes at once. */
     readonly tableService: Pick<TableService, "transact" | "scan">;
     readonly signal: AbortSignal;
 }
 
-/** Counts since the start. */
+/** Statistics of a containment. */
 export interface ContainmentStatistics {
-    /** Crashes of the own target beside runs. */
+    /** Number of crashes of the node's own target while requests were running, since the start. */
     readonly ownCrashes: number;
-    /** Requests of which anything is known now. */
+    /** Number of requests on which there is evidence at present. */
     readonly suspects: number;
-    /** Requests that are refused now. */
+    /** Number of requests that are refused at present. */
     readonly contained: number;
 }
 
-/** The judgements of one node on requests, and the evidence behind them. */
+/** How one node treats requests, and the evidence behind it. */
 export interface Containment<Peer> {
-    /** Begins to ask other nodes. */
+    /** Starts the exchange of evidence with other nodes. */
     readonly start: () => void;
     readonly receive: (from: Peer, message: EvidenceMessage) => void;
-    /** Whether anything is held against any request; while not, no request needs to be named. */
+    /** Returns whether there is evidence against any request. If not, no fingerprints have to be computed. */
     readonly hasSuspects: () => boolean;
     readonly judge: (fingerprint: Fingerprint) => Judgement;
-    /** Time until a contained request may be tried again. */
+    /** Returns the time until a contained request may be retried. */
     readonly retryAfter: (judgement: Extract<Judgement, { readonly kind: "Contained" }>) => Milliseconds;
-    /** The own target ended beside these runs. */
+    /** Records that the node's own target ended while these requests were running, and returns the id of the crash. */
     readonly noteOwnCrash: (running: readonly Fingerprint[]) => CrashId;
-    /** Another node said of one request that the target beside it ended. */
+    /** Records a crash that another node reported for one request: its target ended while the request was running. */
     readonly noteCrash: (crash: CrashId, node: NodeId, fingerprint: Fingerprint) => void;
-    /** The own target answered a request whole. */
+    /** Records that the node's own target answered a request completely. */
     readonly noteGoodRun: (fingerprint: Fingerprint) => void;
-    /** Another node's target did; that node tells the others. */
+    /** Records that another node's target answered a request completely. That node informs the other nodes. */
     readonly hearGoodRun: (fingerprint: Fingerprint) => void;
     readonly stats: () => ContainmentStatistics;
 }
 
-const BASE_36 = 36;
+const CRASH_ID_RADIX = 36;
 
-/** Starts without evidence. */
+/** Creates a containment without evidence. */
 export const createContainment = <Peer>(
     { nodeId, bootId, clock, random, logger, options, network, tableService, signal }: ContainmentDependencies<Peer>,
 ): Containment<Peer> => {
-    const book = createEvidenceBook(options);
+    const evidenceStore = createEvidenceStore(options);
     const rows = createContainedRows({ tableService, clock, random, logger, signal });
-    /** Begins the ids of crashes that this process has seen. */
-    const ownPrefix = `${hashText(`${nodeId}/${bootId}`).toString(BASE_36)}-`;
-    let ownCrashes = 0;
-    /** Crashes of each request that is refused. */
-    const contained = new Map<Fingerprint, number>();
+    /** Prefix of the ids of all crashes that this process has detected. */
+    const ownCrashPrefix = `${hashText(`${nodeId}/${bootId}`).toString(CRASH_ID_RADIX)}-`;
+    let ownCrashCount = 0;
+    /** Number of crashes of each refused request. */
+    const containedCrashCounts = new Map<Fingerprint, number>();
 
-    const noteContained = (request: ContainedRequest): void => {
+    const handleContained = (request: ContainedRequest): void => {
         const { fingerprint, crashes, until } = request;
-        const forMs = Math.round(until - clock.monotonic());
+        const holdDurationMs = Math.round(until - clock.monotonic());
         const nodes = crashes.map(({ node }) => node).join(" ");
-        logger.warn("A request is refused, as targets crash under it.", { fingerprint, nodes, forMs });
-        // Each node that saw one of the crashes writes: none knows whether another one lives to do so.
-        if (crashes.some(({ crash }) => crash.startsWith(ownPrefix))) {
+        logger.warn("A request is refused because targets crash while running it.", {
+            fingerprint,
+            nodes,
+            forMs: holdDurationMs,
+        });
+        // Each node that detected one of the crashes writes the row, because it does not know whether another one is
+        // still running to do so.
+        if (crashes.some(({ crash }) => crash.startsWith(ownCrashPrefix))) {
             rows.save(request);
         }
     };
 
-    const noteReleased = (fingerprint: Fingerprint): void => {
-        logger.info("A request is no longer refused for crashes.", { fingerprint });
+    const handleReleased = (fingerprint: Fingerprint): void => {
+        logger.info("A request is no longer refused because of crashes.", { fingerprint });
         rows.remove(fingerprint);
     };
 
-    const noteChange = (fingerprint: Fingerprint): void => {
-        const request = book.findContained(fingerprint, clock.monotonic());
+    const updateContainedRequest = (fingerprint: Fingerprint): void => {
+        const request = evidenceStore.findContained(fingerprint, clock.monotonic());
         const crashes = request?.crashes.length ?? 0;
-        const former = contained.get(fingerprint) ?? 0;
-        if (request !== undefined && crashes !== former) {
-            contained.set(fingerprint, crashes);
-            noteContained(request);
+        const previousCrashes = containedCrashCounts.get(fingerprint) ?? 0;
+        if (request !== undefined && crashes !== previousCrashes) {
+            containedCrashCounts.set(fingerprint, crashes);
+            handleContained(request);
         }
-        if (request === undefined && contained.delete(fingerprint)) {
-            noteReleased(fingerprint);
+        if (request === undefined && containedCrashCounts.delete(fingerprint)) {
+            handleReleased(fingerprint);
         }
     };
 
-    /** Takes in what new evidence has changed: one line at the beginning and at the end of each containment. */
-    const noteChanges = (touched: readonly Fingerprint[]): void =>
-        new Set([...touched, ...contained.keys()]).forEach(noteChange);
+    /** Applies new evidence. Logs one line at the beginning and at the end of each containment. */
+    const updateContainedRequests = (changedFingerprints: readonly Fingerprint[]): void =>
+        new Set([...changedFingerprints, ...containedCrashCounts.keys()]).forEach(updateContainedRequest);
 
-    const spread = createEvidenceSpread({
-        clock, random, logger, book, network, loadContained: rows.load, onChange: noteChanges, signal,
+    const gossip = createEvidenceGossip({
+        clock,
+        random,
+        logger,
+        evidenceStore,
+        network,
+        loadContained: rows.load,
+        onChange: updateContainedRequests,
+        signal,
     });
 
     const noteOwnCrash: Containment<Peer>["noteOwnCrash"] = (running) => {
-        ownCrashes += 1;
-        const crash = `${ownPrefix}${ownCrashes}`;
+        ownCrashCount += 1;
+        const crash = `${ownCrashPrefix}${ownCrashCount}`;
         const fingerprints = [...new Set(running)];
         const report: CrashReport = { crash, node: nodeId, at: clock.monotonic(), fingerprints };
-        logger.warn("The target ended beside runs.", { crash, running: fingerprints.join(" ") });
-        book.noteCrash(report);
-        spread.tellCrash(report);
-        noteChanges(fingerprints);
+        logger.warn("The target ended while requests were running.", { crash, running: fingerprints.join(" ") });
+        evidenceStore.noteCrash(report);
+        gossip.broadcastCrash(report);
+        updateContainedRequests(fingerprints);
         return crash;
     };
 
     const countContained = (): number =>
-        [...contained.keys()].filter((fingerprint) => book.findContained(fingerprint, clock.monotonic())).length;
+        [...containedCrashCounts.keys()]
+            .filter((fingerprint) => evidenceStore.findContained(fingerprint, clock.monotonic()))
+            .length;
 
     return {
-        start: spread.start,
-        receive: spread.receive,
-        hasSuspects: book.hasSuspects,
-        judge: (fingerprint) => book.judge(fingerprint, clock.monotonic()),
+        start: gossip.start,
+        receive: gossip.receive,
+        hasSuspects: evidenceStore.hasSuspects,
+        judge: (fingerprint) => evidenceStore.judge(fingerprint, clock.monotonic()),
         retryAfter: ({ until }) => Math.max(0, until - clock.monotonic()),
         noteOwnCrash,
         noteCrash: (crash, node, fingerprint) => {
-            book.noteCrash({ crash, node, at: clock.monotonic(), fingerprints: [fingerprint] });
-            noteChanges([fingerprint]);
+            evidenceStore.noteCrash({ crash, node, at: clock.monotonic(), fingerprints: [fingerprint] });
+            updateContainedRequests([fingerprint]);
         },
         noteGoodRun: (fingerprint) => {
             const run = { fingerprint, at: clock.monotonic() };
-            const { kind } = book.judge(fingerprint, run.at);
+            const { kind } = evidenceStore.judge(fingerprint, run.at);
             const isUrgent = kind === "Probation" || kind === "Contained";
-            if (book.noteGoodRun(run)) {
-                spread.tellGoodRun(run, isUrgent);
-                noteChanges([fingerprint]);
+            if (evidenceStore.noteGoodRun(run)) {
+                gossip.broadcastGoodRun(run, isUrgent);
+                updateContainedRequests([fingerprint]);
             }
         },
         hearGoodRun: (fingerprint) => {
-            if (book.noteGoodRun({ fingerprint, at: clock.monotonic() })) {
-                noteChanges([fingerprint]);
+            if (evidenceStore.noteGoodRun({ fingerprint, at: clock.monotonic() })) {
+                updateContainedRequests([fingerprint]);
             }
         },
         stats: () => ({
-            ownCrashes,
-            suspects: book.size(),
+            ownCrashes: ownCrashCount,
+            suspects: evidenceStore.size(),
             contained: countContained(),
         }),
     };
--- a/packages/oleandergap-containment/src/evidence.ts
+++ b/packages/oleandergap-containment/src/evidence.ts
@@ -1,19 +1,25 @@
-/** What nodes know, and tell each other, of requests beside which targets crashed. Times are monotonic, of one node. */
+/**
+ * Evidence that nodes exchange on requests that were running when a target crashed. All times are on the monotonic
+ * clock of one node.
+ */
 import { nodeIdSchema, type Milliseconds, type NodeId } from "oleandergap-types";
 import { z } from "zod";
 import type { Fingerprint } from "./fingerprint.js";
 
-const LONGEST_CRASH_ID = 24;
+const MAX_CRASH_ID_LENGTH = 24;
 
-/** Names one crash of one target, in the whole fleet. */
-export const crashIdSchema = z.string().min(1).max(LONGEST_CRASH_ID).regex(/^[\w-]+$/);
+/** Identifies one crash of one target, unique in the fleet. */
+export const crashIdSchema = z.string().min(1).max(MAX_CRASH_ID_LENGTH).regex(/^[\w-]+$/);
 /** See {@link crashIdSchema}. */
 export type CrashId = z.infer<typeof crashIdSchema>;
 
 /** The node whose target crashed. */
 export const crashedNodeSchema = nodeIdSchema;
 
-/** A target ended while requests ran. Each of them may have crashed it; most only ran beside the one that did. */
+/**
+ * A crash of a target while requests were running. Each of them may be the cause; most were only running at the same
+ * time.
+ */
 export interface CrashReport {
     readonly crash: CrashId;
     readonly node: NodeId;
@@ -21,24 +27,24 @@
     readonly fingerprints: readonly Fingerprint[];
 }
 
-/** A run of a suspected request was answered: the crashes before it had another cause. */
+/** A good run: a target answered a suspected request completely, so the earlier crashes had another cause. */
 export interface GoodRun {
     readonly fingerprint: Fingerprint;
     readonly at: Milliseconds;
 }
 
-/** Evidence as it is handed from node to node. */
+/** Evidence as nodes exchange it. */
 export interface Evidence {
     readonly crashes: readonly CrashReport[];
     readonly goodRuns: readonly GoodRun[];
 }
 
-/** How a request is to be treated. */
+/** How a request is treated. */
 export type Judgement =
     | { readonly kind: "Free" }
-    /** A target runs no second suspect beside it, so that the next crash tells who is at fault. */
+    /** A target runs at most one suspect at a time, so that the next crash identifies the cause. */
     | { readonly kind: "Suspect"; readonly crashes: number }
-    /** The next crash contains it: one target of its service gets it, one run at a time. */
+    /** The request is contained after its next crash. Only one target of its service receives it, one run at a time. */
     | { readonly kind: "Probation"; readonly crashes: number }
-    /** It is refused until then. */
+    /** The request is refused until the given time. */
     | { readonly kind: "Contained"; readonly crashes: number; readonly until: Milliseconds };
--- a/packages/oleandergap-containment/src/evidenceBook.ts
+++ b/packages/oleandergap-containment/src/evidenceBook.ts
@@ -1,6 +1,6 @@
 /**
- * All evidence that one node holds. Nodes merge what they tell each other, in any order and as often as it arrives, so
- * that all of them come to the same judgements without agreeing on them.
+ * All evidence of one node. Nodes merge the evidence that they receive, in any order and with duplicates, so all nodes
+ * reach the same judgements without coordination.
  */
 import type { Milliseconds, NodeId } from "oleandergap-types";
 import { hashText } from "oleandergap-utils";
@@ -8,49 +8,55 @@
 import type { Fingerprint } from "./fingerprint.js";
 import type { ContainmentOptions } from "./options.js";
 import {
+    clearCrashes,
+    computeExpiry,
     createSuspectRecord,
-    forgetAt,
+    getLastCrashAt,
     isNewCrash,
     judgeSuspect,
-    lastCrashAt,
-    listOpenCrashes,
-    takeBackCrashes,
+    listUnclearedCrashes,
     type SuspectRecord,
 } from "./suspectRecord.js";
 
-/** A crash, and where it was. */
-export interface NamedCrash {
+/** A crash and the node where it happened. */
+export interface CrashLocation {
     readonly crash: CrashId;
     readonly node: NodeId;
 }
 
-/** A request that is refused now. */
+/** A request that is refused at present. */
 export interface ContainedRequest {
     readonly fingerprint: Fingerprint;
     readonly since: Milliseconds;
     readonly until: Milliseconds;
-    /** The crashes that it is refused for, and the nodes whose targets they ended. */
-    readonly crashes: readonly NamedCrash[];
+    /** The crashes because of which the request is refused, with the nodes whose targets crashed. */
+    readonly crashes: readonly CrashLocation[];
 }
 
-/** The evidence of one node. Times are the node's monotonic clock. */
-export interface EvidenceBook {
-    /** Takes in a crash; returns the part of the report that was new, if any. */
+/** The evidence of one node. Times are on the node's monotonic clock. */
+export interface EvidenceStore {
+    /** Adds a crash. Returns the new part of the report, or undefined if nothing is new. */
     readonly noteCrash: (report: CrashReport) => CrashReport | undefined;
-    /** Takes in a good run; false when it says nothing new, or nothing is held against the request. */
+    /** Adds a good run. Returns false if it is not new or there is no evidence against the request. */
     readonly noteGoodRun: (run: GoodRun) => boolean;
     readonly judge: (fingerprint: Fingerprint, now: Milliseconds) => Judgement;
-    /** Whether anything is held against any request; while not, no request needs to be named. */
+    /** Returns whether there is evidence against any request. If not, no fingerprints have to be computed. */
     readonly hasSuspects: () => boolean;
-    /** Equal at two nodes that hold the same against the same requests, of those with two crashes; 0 without any. */
+    /**
+     * Returns a digest of the requests with at least two crashes. It is equal at two nodes with the same crashes for
+     * the same requests, and 0 if there are no such requests.
+     */
     readonly digest: () => number;
-    /** What is held, to be told to a node that knows less; of much, what matters most. */
+    /**
+     * Returns the evidence to send to a node that lacks some of it. If there is too much evidence, the most important
+     * part is returned.
+     */
     readonly list: () => Evidence;
-    /** The request as it is refused now; undefined while it is not. */
+    /** Returns the request if it is refused at `now`, otherwise undefined. */
     readonly findContained: (fingerprint: Fingerprint, now: Milliseconds) => ContainedRequest | undefined;
-    /** Drops what is too old, and what is too much. */
+    /** Deletes expired records, and crashes that no record refers to. */
     readonly prune: (now: Milliseconds) => void;
-    /** Requests of which anything is held. */
+    /** Returns the number of requests on which there is evidence. */
     readonly size: () => number;
 }
 
@@ -59,51 +65,51 @@
     readonly record: SuspectRecord;
 }
 
-/** What goes first: no open crash before one, one before two; of equal ones the oldest. */
-const compareWorth = (left: Entry, right: Entry): number =>
-    listOpenCrashes(left.record).length - listOpenCrashes(right.record).length ||
-    lastCrashAt(left.record) - lastCrashAt(right.record);
+/** Orders records by importance, least important first: by the number of uncleared crashes, then by the last crash. */
+const compareImportance = (left: Entry, right: Entry): number =>
+    listUnclearedCrashes(left.record).length - listUnclearedCrashes(right.record).length ||
+    getLastCrashAt(left.record) - getLastCrashAt(right.record);
 
-/** Crashes of a request from which on nodes compare what they hold: with one, nothing is refused. */
-const COMPARED_CRASHES = 2;
-/** Requests of a list: a few datagrams, whatever is held. */
-const MOST_LISTED = 256;
+/** Minimum number of crashes for a request to be included in the digest. No request is refused after one crash. */
+const MINIMUM_CRASHES_IN_DIGEST = 2;
+/** Maximum number of listed requests, so that a list fits into a few datagrams. */
+const MAX_LISTED_REQUESTS = 256;
 
 const computeDigest = (entries: readonly Entry[]): number => {
-    const compared = entries
-        .map(({ fingerprint, record }) => ({ fingerprint, crashes: listOpenCrashes(record) }))
-        .filter(({ crashes }) => crashes.length >= COMPARED_CRASHES)
+    const digestEntries = entries
+        .map(({ fingerprint, record }) => ({ fingerprint, crashes: listUnclearedCrashes(record) }))
+        .filter(({ crashes }) => crashes.length >= MINIMUM_CRASHES_IN_DIGEST)
         .map(({ fingerprint, crashes }) => `${fingerprint} ${[...crashes].sort().join()}`);
-    return compared.length === 0 ? 0 : hashText(compared.sort().join());
+    return digestEntries.length === 0 ? 0 : hashText(digestEntries.sort().join());
 };
 
-/** Starts empty. */
-export const createEvidenceBook = (options: ContainmentOptions): EvidenceBook => {
+/** Creates an empty store. */
+export const createEvidenceStore = (options: ContainmentOptions): EvidenceStore => {
     const records = new Map<Fingerprint, SuspectRecord>();
     const crashedNodes = new Map<CrashId, NodeId>();
-    /** Those with open crashes. */
+    /** Requests with uncleared crashes. */
     const suspects = new Set<Fingerprint>();
-    let digest: number | undefined = 0;
+    let cachedDigest: number | undefined = 0;
 
     const listEntries = (): readonly Entry[] => [...records].map(([fingerprint, record]) => ({ fingerprint, record }));
 
-    const noteChange = (fingerprint: Fingerprint): void => {
+    const updateSuspects = (fingerprint: Fingerprint): void => {
         const record = records.get(fingerprint);
-        if (record !== undefined && listOpenCrashes(record).length > 0) {
+        if (record !== undefined && listUnclearedCrashes(record).length > 0) {
             suspects.add(fingerprint);
         }
         else {
             suspects.delete(fingerprint);
         }
-        digest = undefined;
+        cachedDigest = undefined;
     };
 
-    const drop = (fingerprint: Fingerprint): void => {
+    const deleteRecord = (fingerprint: Fingerprint): void => {
         records.delete(fingerprint);
-        noteChange(fingerprint);
+        updateSuspects(fingerprint);
     };
 
-    const findRecord = (fingerprint: Fingerprint): SuspectRecord => {
+    const getOrCreateRecord = (fingerprint: Fingerprint): SuspectRecord => {
         let record = records.get(fingerprint);
         if (record === undefined) {
             record = createSuspectRecord();
@@ -112,26 +118,29 @@
         return record;
     };
 
-    const dropWorthless = (): void => {
+    const evictSurplus = (): void => {
         const surplus = records.size - options.mostSuspects;
         if (surplus > 0) {
-            [...listEntries()].sort(compareWorth).slice(0, surplus).forEach(({ fingerprint }) => drop(fingerprint));
+            [...listEntries()]
+                .sort(compareImportance)
+                .slice(0, surplus)
+                .forEach(({ fingerprint }) => deleteRecord(fingerprint));
         }
     };
 
-    const dropUnnamedCrashes = (): void => {
-        const named = new Set(listEntries().flatMap(({ record }) => [...record.crashes.keys()]));
+    const deleteUnreferencedCrashes = (): void => {
+        const referencedCrashes = new Set(listEntries().flatMap(({ record }) => [...record.crashes.keys()]));
         for (const crash of crashedNodes.keys()) {
-            if (!named.has(crash)) {
+            if (!referencedCrashes.has(crash)) {
                 crashedNodes.delete(crash);
             }
         }
     };
 
-    const noteCrash: EvidenceBook["noteCrash"] = (report) => {
+    const noteCrash: EvidenceStore["noteCrash"] = (report) => {
         const { crash, node, at } = report;
-        const fingerprints = report.fingerprints.filter((name) => {
-            const record = records.get(name);
+        const fingerprints = report.fingerprints.filter((fingerprint) => {
+            const record = records.get(fingerprint);
             return record === undefined || isNewCrash(record, crash, at);
         });
         if (fingerprints.length === 0) {
@@ -139,27 +148,27 @@
         }
         crashedNodes.set(crash, node);
         for (const fingerprint of fingerprints) {
-            findRecord(fingerprint).crashes.set(crash, at);
-            noteChange(fingerprint);
+            getOrCreateRecord(fingerprint).crashes.set(crash, at);
+            updateSuspects(fingerprint);
         }
-        dropWorthless();
+        evictSurplus();
         return { ...report, fingerprints };
     };
 
-    const noteGoodRun: EvidenceBook["noteGoodRun"] = ({ fingerprint, at }) => {
+    const noteGoodRun: EvidenceStore["noteGoodRun"] = ({ fingerprint, at }) => {
         const record = records.get(fingerprint);
-        if (record === undefined || !takeBackCrashes(record, at)) {
+        if (record === undefined || !clearCrashes(record, at)) {
             return false;
         }
-        noteChange(fingerprint);
+        updateSuspects(fingerprint);
         return true;
     };
 
     const list = (): Evidence => {
         const reports = new Map<CrashId, { readonly at: Milliseconds; readonly fingerprints: Fingerprint[] }>();
-        const listed = [...listEntries()].sort(compareWorth).slice(-MOST_LISTED);
-        for (const { fingerprint, record } of listed) {
-            for (const crash of listOpenCrashes(record)) {
+        const listedEntries = [...listEntries()].sort(compareImportance).slice(-MAX_LISTED_REQUESTS);
+        for (const { fingerprint, record } of listedEntries) {
+            for (const crash of listUnclearedCrashes(record)) {
                 const report = reports.get(crash) ?? { at: record.crashes.get(crash) ?? 0, fingerprints: [] };
                 report.fingerprints.push(fingerprint);
                 reports.set(crash, report);
@@ -167,20 +176,20 @@
         }
         return {
             crashes: [...reports].map(([crash, report]) => ({ crash, node: crashedNodes.get(crash) ?? "", ...report })),
-            goodRuns: listed
+            goodRuns: listedEntries
                 .filter(({ record }) => Number.isFinite(record.goodRunAt))
                 .map(({ fingerprint, record }) => ({ fingerprint, at: record.goodRunAt })),
         };
     };
 
-    const findContained: EvidenceBook["findContained"] = (fingerprint, now) => {
+    const findContained: EvidenceStore["findContained"] = (fingerprint, now) => {
         const record = records.get(fingerprint);
         const judgement = record && judgeSuspect(record, now, options);
         if (record === undefined || judgement?.kind !== "Contained") {
             return undefined;
         }
-        const crashes = listOpenCrashes(record).map((crash) => ({ crash, node: crashedNodes.get(crash) ?? "" }));
-        return { fingerprint, since: lastCrashAt(record), until: judgement.until, crashes };
+        const crashes = listUnclearedCrashes(record).map((crash) => ({ crash, node: crashedNodes.get(crash) ?? "" }));
+        return { fingerprint, since: getLastCrashAt(record), until: judgement.until, crashes };
     };
 
     return {
@@ -191,16 +200,16 @@
             return record === undefined ? { kind: "Free" } : judgeSuspect(record, now, options);
         },
         hasSuspects: () => suspects.size > 0,
-        digest: () => digest ??= computeDigest(listEntries()),
+        digest: () => cachedDigest ??= computeDigest(listEntries()),
         list,
         findContained,
         prune: (now) => {
             for (const { fingerprint, record } of listEntries()) {
-                if (forgetAt(record, options) <= now) {
-                    drop(fingerprint);
+                if (computeExpiry(record, options) <= now) {
+                    deleteRecord(fingerprint);
                 }
             }
-            dropUnnamedCrashes();
+            deleteUnreferencedCrashes();
         },
         size: () => records.size,
     };
--- a/packages/oleandergap-containment/src/evidenceMessage.ts
+++ b/packages/oleandergap-containment/src/evidenceMessage.ts
@@ -1,85 +1,92 @@
-/** The datagrams by which nodes tell each other of crashes. Clocks differ, so ages travel, not times. */
+/**
+ * The datagrams with which nodes exchange evidence on crashes. They contain ages instead of times, because clocks
+ * differ.
+ */
 import type { Milliseconds } from "oleandergap-types";
 import { z } from "zod";
 import { crashedNodeSchema, crashIdSchema, type CrashReport, type Evidence, type GoodRun } from "./evidence.js";
 import { fingerprintSchema, type Fingerprint } from "./fingerprint.js";
 
-/** Names of requests in one datagram: with crash ids and JSON around them they stay below its limit. */
-const MOST_NAMES = 32;
-/** Good runs in one datagram. */
-const MOST_GOOD_RUNS = 32;
-const LONGEST_AGE_MS: Milliseconds = 7 * 86_400_000;
+/**
+ * Maximum number of fingerprints in one datagram. Together with crash ids and JSON syntax they stay below its size
+ * limit.
+ */
+const MAX_FINGERPRINTS = 32;
+/** Maximum number of good runs in one datagram. */
+const MAX_GOOD_RUNS = 32;
+const MAX_AGE_MS: Milliseconds = 7 * 86_400_000;
 
-const ageSchema = z.number().int().min(0).max(LONGEST_AGE_MS);
+const ageSchema = z.number().int().min(0).max(MAX_AGE_MS);
 
 const crashSchema = z.strictObject({
     crash: crashIdSchema,
     node: crashedNodeSchema,
     ageMs: ageSchema,
-    fingerprints: z.array(fingerprintSchema).max(MOST_NAMES),
+    fingerprints: z.array(fingerprintSchema).max(MAX_FINGERPRINTS),
 });
 const goodRunSchema = z.strictObject({ fingerprint: fingerprintSchema, ageMs: ageSchema });
 
 export const evidenceMessageSchema = z.discriminatedUnion("kind", [
-    /** Crashes and good runs that the receiver may not know. */
+    /** Crashes and good runs that the receiver may not have. */
     z.strictObject({
         kind: z.literal("Evidence"),
-        crashes: z.array(crashSchema).max(MOST_NAMES),
-        goodRuns: z.array(goodRunSchema).max(MOST_GOOD_RUNS),
+        crashes: z.array(crashSchema).max(MAX_FINGERPRINTS),
+        goodRuns: z.array(goodRunSchema).max(MAX_GOOD_RUNS),
     }),
-    /** Asks for what the receiver holds, if it differs from what the sender does. */
+    /** Requests the receiver's evidence if its digest differs from the sender's. */
     z.strictObject({ kind: z.literal("Comparison"), digest: z.number().int(), isAnswer: z.boolean() }),
-    /** Ends a comparison; `isInformed` tells whether the sender had asked others before. */
+    /** Ends a comparison. `isInformed` states whether the sender already has the evidence of the fleet. */
     z.strictObject({ kind: z.literal("Compared"), isInformed: z.boolean() }),
 ]);
 /** See {@link evidenceMessageSchema}. */
 export type EvidenceMessage = z.infer<typeof evidenceMessageSchema>;
-type EvidenceTold = Extract<EvidenceMessage, { readonly kind: "Evidence" }>;
+type EvidencePayload = Extract<EvidenceMessage, { readonly kind: "Evidence" }>;
 
-const toAge = (at: Milliseconds, now: Milliseconds): Milliseconds =>
-    Math.min(LONGEST_AGE_MS, Math.max(0, Math.round(now - at)));
+const computeAge = (at: Milliseconds, now: Milliseconds): Milliseconds =>
+    Math.min(MAX_AGE_MS, Math.max(0, Math.round(now - at)));
 
-const cut = <Item>(items: readonly Item[], size: number): readonly (readonly Item[])[] =>
+const splitIntoChunks = <Item>(items: readonly Item[], size: number): readonly (readonly Item[])[] =>
     Array.from({ length: Math.ceil(items.length / size) }, (_, index) => items.slice(index * size, (index + 1) * size));
 
-/** Reports with few names each, so that any of them fits into a datagram. */
+/** Splits a report into reports with few enough fingerprints to fit into a datagram. */
 const splitReport = (report: CrashReport): readonly CrashReport[] =>
-    cut<Fingerprint>(report.fingerprints, MOST_NAMES).map((fingerprints) => ({ ...report, fingerprints }));
+    splitIntoChunks<Fingerprint>(report.fingerprints, MAX_FINGERPRINTS)
+        .map((fingerprints) => ({ ...report, fingerprints }));
 
-/** A crash's id, node and age take the room of so many names. */
-const NAMES_OF_A_HEAD = 4;
+/** Size of a crash's id, node and age, in fingerprints. */
+const REPORT_OVERHEAD = 4;
 
-const packReports = (reports: readonly CrashReport[]): readonly (readonly CrashReport[])[] => {
-    const packs: CrashReport[][] = [];
-    let room = 0;
+const groupReports = (reports: readonly CrashReport[]): readonly (readonly CrashReport[])[] => {
+    const groups: CrashReport[][] = [];
+    let remainingSize = 0;
     for (const report of reports.flatMap(splitReport)) {
-        const size = report.fingerprints.length + NAMES_OF_A_HEAD;
-        if (size > room || packs.length === 0) {
-            packs.push([]);
-            room = MOST_NAMES + NAMES_OF_A_HEAD;
+        const size = report.fingerprints.length + REPORT_OVERHEAD;
+        if (size > remainingSize || groups.length === 0) {
+            groups.push([]);
+            remainingSize = MAX_FINGERPRINTS + REPORT_OVERHEAD;
         }
-        packs.at(-1)?.push(report);
-        room -= size;
+        groups.at(-1)?.push(report);
+        remainingSize -= size;
     }
-    return packs;
+    return groups;
 };
 
-const describeCrash = ({ at, ...report }: CrashReport, now: Milliseconds): EvidenceTold["crashes"][number] =>
-    ({ ...report, fingerprints: [...report.fingerprints], ageMs: toAge(at, now) });
+const encodeCrash = ({ at, ...report }: CrashReport, now: Milliseconds): EvidencePayload["crashes"][number] =>
+    ({ ...report, fingerprints: [...report.fingerprints], ageMs: computeAge(at, now) });
 
-const describeGoodRun = ({ fingerprint, at }: GoodRun, now: Milliseconds): EvidenceTold["goodRuns"][number] =>
-    ({ fingerprint, ageMs: toAge(at, now) });
+const encodeGoodRun = ({ fingerprint, at }: GoodRun, now: Milliseconds): EvidencePayload["goodRuns"][number] =>
+    ({ fingerprint, ageMs: computeAge(at, now) });
 
-/** The messages that tell `evidence`, each small enough for a datagram. */
-export const describeEvidence = ({ crashes, goodRuns }: Evidence, now: Milliseconds): readonly EvidenceMessage[] => [
-    ...packReports(crashes).map((reports): EvidenceMessage =>
-        ({ kind: "Evidence", crashes: reports.map((report) => describeCrash(report, now)), goodRuns: [] })),
-    ...cut(goodRuns, MOST_GOOD_RUNS).map((runs): EvidenceMessage =>
-        ({ kind: "Evidence", crashes: [], goodRuns: runs.map((run) => describeGoodRun(run, now)) })),
+/** Returns the messages that contain `evidence`, each small enough for a datagram. */
+export const encodeEvidence = ({ crashes, goodRuns }: Evidence, now: Milliseconds): readonly EvidenceMessage[] => [
+    ...groupReports(crashes).map((reports): EvidenceMessage =>
+        ({ kind: "Evidence", crashes: reports.map((report) => encodeCrash(report, now)), goodRuns: [] })),
+    ...splitIntoChunks(goodRuns, MAX_GOOD_RUNS).map((runs): EvidenceMessage =>
+        ({ kind: "Evidence", crashes: [], goodRuns: runs.map((run) => encodeGoodRun(run, now)) })),
 ];
 
-/** What a message tells, in this node's time. */
-export const readEvidence = ({ crashes, goodRuns }: EvidenceTold, now: Milliseconds): Evidence => ({
+/** Converts the ages of a message to times on this node's monotonic clock. */
+export const decodeEvidence = ({ crashes, goodRuns }: EvidencePayload, now: Milliseconds): Evidence => ({
     crashes: crashes.map(({ ageMs, ...report }) => ({ ...report, at: now - ageMs })),
     goodRuns: goodRuns.map(({ fingerprint, ageMs }) => ({ fingerprint, at: now - ageMs })),
 });
--- a/packages/oleandergap-containment/src/evidenceSpread.ts
+++ b/packages/oleandergap-containment/src/evidenceSpread.ts
@@ -1,145 +1,159 @@
 /**
- * Brings evidence to all nodes. A crash is told at once to some members of the zone and to the contacts in other zones,
- * each of which tells it on; what was lost on the way is found by comparing digests, and a node that has just started
- * asks. Nothing is sent while nothing is held against any request.
+ * Gossip of evidence to all nodes. A node sends a crash immediately to some members of its zone and to its contacts in
+ * other zones, and each receiver forwards it. Comparing digests finds evidence that was lost on the way, and a node
+ * that has just started queries its peers. After the start, nothing is sent while there is no evidence against any
+ * request.
  */
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { createTokenBucket, pickSeveral, type Random } from "oleandergap-utils";
 import type { CrashReport, Evidence, GoodRun } from "./evidence.js";
-import type { EvidenceBook } from "./evidenceBook.js";
-import { describeEvidence, readEvidence, type EvidenceMessage } from "./evidenceMessage.js";
+import type { EvidenceStore } from "./evidenceBook.js";
+import { decodeEvidence, encodeEvidence, type EvidenceMessage } from "./evidenceMessage.js";
 import type { Fingerprint } from "./fingerprint.js";
-import { createInformer } from "./informer.js";
+import { createEvidenceBootstrap } from "./informer.js";
 
-/** Members of the zone that are told of what this node has seen, or heard from another zone; of ten nodes all. */
+/**
+ * Number of zone members to which a node sends its own evidence or evidence from another zone. In a zone of ten nodes,
+ * these are all other members.
+ */
 const FANOUT = 9;
-/** Members that are told of what came from the own zone, where the first teller could not reach all of it. */
-const FURTHER_FANOUT = 4;
-/** Rounds in which a node tells of a crash of its own target; what both miss is found by comparing. */
+/**
+ * Number of zone members to which a node forwards evidence from its own zone, if the original sender could not reach
+ * the whole zone.
+ */
+const FORWARD_FANOUT = 4;
+/** Number of times that a node sends a crash of its own target. Comparing digests finds what both rounds missed. */
 const CRASH_ROUNDS = 2;
-const ROUND_DISTANCE_MS: Milliseconds = 200;
-/** Good runs come by the dozen after a crash; so long they are collected. */
-const COLLECT_MS: Milliseconds = 200;
-const COMPARISON_DISTANCE_MS: Milliseconds = 1000;
-const ASKED_AT_ONCE = 2;
-/** Answers with all that is held that a node sends a second; each may take several datagrams. */
-const ANSWERS_PER_SECOND = 10;
-
-/** The nodes that can be told, and how. */
+const ROUND_INTERVAL_MS: Milliseconds = 200;
+/** Time for which good runs are collected into one batch, because a crash is followed by dozens of them. */
+const BATCH_WINDOW_MS: Milliseconds = 200;
+const COMPARISON_INTERVAL_MS: Milliseconds = 1000;
+const PEERS_PER_QUERY = 2;
+/** Maximum number of replies with all evidence that a node sends per second; each may take several datagrams. */
+const REPLIES_PER_SECOND = 10;
+
+/** The nodes that can be reached, and how to send to them. */
 export interface EvidenceNetwork<Peer> {
-    /** Members of the own availability zone without this node. */
+    /** Members of this node's availability zone, without this node. */
     readonly members: () => readonly Peer[];
     /** Some nodes of each other availability zone. */
     readonly contacts: () => readonly Peer[];
     readonly isNear: (peer: Peer) => boolean;
-    /** Whether this node is the first of its zone in an order that all its members share. */
+    /** Returns whether this node is the first of its zone, in an order that all members of the zone share. */
     readonly isFirst: () => boolean;
-    /** Sends without any promise that the message arrives. */
+    /** Sends a message without guaranteed delivery. */
     readonly send: (to: Peer, message: EvidenceMessage) => void;
 }
 
-/** What the spread is made from. */
-export interface EvidenceSpreadDependencies<Peer> {
+/** Dependencies of the gossip. */
+export interface GossipDependencies<Peer> {
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
-    readonly book: EvidenceBook;
+    readonly evidenceStore: EvidenceStore;
     readonly network: EvidenceNetwork<Peer>;
-    /** What was contained when all nodes were gone; undefined when nobody wants to know any more. */
-    readonly loadContained: (isWanted: () => boolean) => Promise<Evidence | undefined>;
-    /** Told which requests evidence of others was about. */
-    readonly onChange: (touched: readonly Fingerprint[]) => void;
+    /**
+     * Reads the requests that were contained before a restart of all nodes; resolves to undefined when they are no
+     * longer needed.
+     */
+    readonly loadContained: (isNeeded: () => boolean) => Promise<Evidence | undefined>;
+    /** Runs with the fingerprints of the requests on which new evidence was received or read. */
+    readonly onChange: (changedFingerprints: readonly Fingerprint[]) => void;
     readonly signal: AbortSignal;
 }
 
-/** Tells and hears evidence. */
-export interface EvidenceSpread<Peer> {
-    /** Begins to ask other nodes, and to compare. */
+/** Sends and receives evidence. */
+export interface EvidenceGossip<Peer> {
+    /** Starts to query other nodes and to compare digests. */
     readonly start: () => void;
-    /** Tells what this node's own target showed; the book knows it already. */
-    readonly tellCrash: (report: CrashReport) => void;
-    /** `isUrgent` if the request is about to be refused, or is already. */
-    readonly tellGoodRun: (run: GoodRun, isUrgent: boolean) => void;
+    /** Sends a crash of this node's own target. The crash is already in the evidence store. */
+    readonly broadcastCrash: (report: CrashReport) => void;
+    /** Sends a good run. `isUrgent` states that the request is contained or on probation. */
+    readonly broadcastGoodRun: (run: GoodRun, isUrgent: boolean) => void;
     readonly receive: (from: Peer, message: EvidenceMessage) => void;
 }
 
-const listNames = ({ crashes, goodRuns }: Evidence): readonly Fingerprint[] =>
+const listFingerprints = ({ crashes, goodRuns }: Evidence): readonly Fingerprint[] =>
     [...crashes.flatMap(({ fingerprints }) => fingerprints), ...goodRuns.map(({ fingerprint }) => fingerprint)];
 
-/** Creates the spread; it ends when the signal aborts. */
-export const createEvidenceSpread = <Peer>(
-    { clock, random, logger, book, network, loadContained, onChange, signal }: EvidenceSpreadDependencies<Peer>,
-): EvidenceSpread<Peer> => {
-    const answers = createTokenBucket({ clock, ratePerSecond: () => ANSWERS_PER_SECOND, burst: ANSWERS_PER_SECOND });
-    const collected: GoodRun[] = [];
+/** Creates the gossip; it ends when the signal aborts. */
+export const createEvidenceGossip = <Peer>(
+    { clock, random, logger, evidenceStore, network, loadContained, onChange, signal }: GossipDependencies<Peer>,
+): EvidenceGossip<Peer> => {
+    const replyLimit = createTokenBucket({ clock, ratePerSecond: () => REPLIES_PER_SECOND, burst: REPLIES_PER_SECOND });
+    const goodRunBatch: GoodRun[] = [];
 
     const sendEvidence = (to: Peer, evidence: Evidence): void => {
-        for (const message of describeEvidence(evidence, clock.monotonic())) {
+        for (const message of encodeEvidence(evidence, clock.monotonic())) {
             network.send(to, message);
         }
     };
 
-    const tellMembers = (evidence: Evidence, count: number): void =>
+    const sendToMembers = (evidence: Evidence, count: number): void =>
         pickSeveral(random, network.members(), count).forEach((peer) => sendEvidence(peer, evidence));
 
-    const tellAll = (evidence: Evidence): void => {
-        tellMembers(evidence, FANOUT);
+    const sendToMembersAndContacts = (evidence: Evidence): void => {
+        sendToMembers(evidence, FANOUT);
         network.contacts().forEach((peer) => sendEvidence(peer, evidence));
     };
 
-    const tellCrash = (report: CrashReport, rounds: number): void => {
+    const broadcastCrash = (report: CrashReport, rounds: number): void => {
         if (rounds > 0 && !signal.aborted) {
-            tellAll({ crashes: [report], goodRuns: [] });
-            clock.after(ROUND_DISTANCE_MS, () => tellCrash(report, rounds - 1));
+            sendToMembersAndContacts({ crashes: [report], goodRuns: [] });
+            clock.after(ROUND_INTERVAL_MS, () => broadcastCrash(report, rounds - 1));
         }
     };
 
-    const tellGoodRun = (run: GoodRun, isUrgent: boolean): void => {
+    const broadcastGoodRun = (run: GoodRun, isUrgent: boolean): void => {
         if (isUrgent) {
-            tellAll({ crashes: [], goodRuns: [run] });
+            sendToMembersAndContacts({ crashes: [], goodRuns: [run] });
             return;
         }
-        collected.push(run);
-        if (collected.length === 1) {
-            clock.after(COLLECT_MS, () => tellAll({ crashes: [], goodRuns: collected.splice(0) }));
+        goodRunBatch.push(run);
+        if (goodRunBatch.length === 1) {
+            clock.after(BATCH_WINDOW_MS, () =>
+                sendToMembersAndContacts({ crashes: [], goodRuns: goodRunBatch.splice(0) }));
         }
     };
 
-    /** Where the first teller reached the whole zone, telling it on would only double the datagrams. */
-    const tellOn = (from: Peer, evidence: Evidence): void => {
+    /**
+     * Forwards new evidence. If the original sender reached the whole zone, forwarding within the zone would only
+     * double the datagrams.
+     */
+    const forwardEvidence = (from: Peer, evidence: Evidence): void => {
         if (!network.isNear(from)) {
-            tellMembers(evidence, FANOUT);
+            sendToMembers(evidence, FANOUT);
         }
         else if (network.members().length > FANOUT) {
-            tellMembers(evidence, FURTHER_FANOUT);
+            sendToMembers(evidence, FORWARD_FANOUT);
         }
     };
 
-    const takeEvidence = (from: Peer, evidence: Evidence): void => {
-        const crashes = evidence.crashes.flatMap((report) => book.noteCrash(report) ?? []);
-        const goodRuns = evidence.goodRuns.filter(book.noteGoodRun);
+    const handleEvidence = (from: Peer, evidence: Evidence): void => {
+        const crashes = evidence.crashes.flatMap((report) => evidenceStore.noteCrash(report) ?? []);
+        const goodRuns = evidence.goodRuns.filter(evidenceStore.noteGoodRun);
         if (crashes.length > 0 || goodRuns.length > 0) {
-            tellOn(from, { crashes, goodRuns });
-            onChange(listNames({ crashes, goodRuns }));
+            forwardEvidence(from, { crashes, goodRuns });
+            onChange(listFingerprints({ crashes, goodRuns }));
         }
     };
 
-    const compare = (to: Peer, isAnswer: boolean): void =>
-        network.send(to, { kind: "Comparison", digest: book.digest(), isAnswer });
+    const sendComparison = (to: Peer, isAnswer: boolean): void =>
+        network.send(to, { kind: "Comparison", digest: evidenceStore.digest(), isAnswer });
 
-    const answerComparison = (from: Peer, digest: number, isAnswer: boolean): void => {
-        const differs = digest !== book.digest();
-        if (differs && !answers.tryTake()) {
+    const handleComparison = (from: Peer, digest: number, isAnswer: boolean): void => {
+        const isDifferent = digest !== evidenceStore.digest();
+        if (isDifferent && !replyLimit.tryTake()) {
             return;
         }
-        if (differs) {
-            sendEvidence(from, book.list());
+        if (isDifferent) {
+            sendEvidence(from, evidenceStore.list());
         }
-        if (differs && !isAnswer) {
-            compare(from, true);
+        if (isDifferent && !isAnswer) {
+            sendComparison(from, true);
         }
-        network.send(from, { kind: "Compared", isInformed: informer.isInformed() });
+        network.send(from, { kind: "Compared", isInformed: bootstrap.isInformed() });
     };
 
     const pickPeers = (count: number): readonly Peer[] => {
@@ -147,57 +161,57 @@
         return pickSeveral(random, members.length > 0 ? members : network.contacts(), count);
     };
 
-    /** Tells the own zone at once that it need not read as well. */
-    const takeContained = (evidence: Evidence): void => {
-        evidence.crashes.forEach(book.noteCrash);
-        tellAll(evidence);
+    /** Sends the stored evidence to the zone immediately, so that the other members need not read it too. */
+    const handleLoadedEvidence = (evidence: Evidence): void => {
+        evidence.crashes.forEach(evidenceStore.noteCrash);
+        sendToMembersAndContacts(evidence);
         pickPeers(FANOUT).forEach((peer) => network.send(peer, { kind: "Compared", isInformed: true }));
-        onChange(listNames(evidence));
+        onChange(listFingerprints(evidence));
     };
 
-    const informer = createInformer({
+    const bootstrap = createEvidenceBootstrap({
         clock,
         random,
         logger,
-        ask: () => pickPeers(ASKED_AT_ONCE).forEach((peer) => compare(peer, false)),
-        isFirst: network.isFirst,
+        queryPeers: () => pickPeers(PEERS_PER_QUERY).forEach((peer) => sendComparison(peer, false)),
+        isFirstInZone: network.isFirst,
         load: loadContained,
-        take: takeContained,
+        onLoaded: handleLoadedEvidence,
         signal,
     });
 
-    const compareRepeatedly = (): void => {
-        clock.after(COMPARISON_DISTANCE_MS, () => {
+    const scheduleComparison = (): void => {
+        clock.after(COMPARISON_INTERVAL_MS, () => {
             if (signal.aborted) {
                 return;
             }
-            book.prune(clock.monotonic());
-            if (book.digest() !== 0) {
-                pickPeers(1).forEach((peer) => compare(peer, false));
-                pickSeveral(random, network.contacts(), 1).forEach((peer) => compare(peer, false));
+            evidenceStore.prune(clock.monotonic());
+            if (evidenceStore.digest() !== 0) {
+                pickPeers(1).forEach((peer) => sendComparison(peer, false));
+                pickSeveral(random, network.contacts(), 1).forEach((peer) => sendComparison(peer, false));
             }
-            compareRepeatedly();
+            scheduleComparison();
         });
     };
 
     return {
         start: () => {
-            informer.start();
-            compareRepeatedly();
+            bootstrap.start();
+            scheduleComparison();
         },
-        tellCrash: (report) => tellCrash(report, CRASH_ROUNDS),
-        tellGoodRun,
+        broadcastCrash: (report) => broadcastCrash(report, CRASH_ROUNDS),
+        broadcastGoodRun,
         receive: (from, message) => {
             switch (message.kind) {
                 case "Evidence":
-                    takeEvidence(from, readEvidence(message, clock.monotonic()));
+                    handleEvidence(from, decodeEvidence(message, clock.monotonic()));
                     return;
                 case "Comparison":
-                    answerComparison(from, message.digest, message.isAnswer);
+                    handleComparison(from, message.digest, message.isAnswer);
                     return;
                 case "Compared":
                     if (message.isInformed) {
-                        informer.noteInformed();
+                        bootstrap.markInformed();
                     }
             }
         },
--- a/packages/oleandergap-containment/src/fingerprint.ts
+++ b/packages/oleandergap-containment/src/fingerprint.ts
@@ -1,31 +1,34 @@
-/** Names requests that ask for the same, whoever sends them, whenever and at whichever node. */
+/** Fingerprints that identify equal requests, independent of the sender, the time and the node. */
 import { createHash } from "node:crypto";
 import { z } from "zod";
 
-/** Bytes of the digest that are kept: nobody finds a second request with the name of a given one. */
+/** Number of bytes kept of the digest. Finding a second request with a given fingerprint is infeasible. */
 const DIGEST_BYTES = 12;
-/** Characters of a name: base64url of the kept bytes. */
+/** Length of a fingerprint in characters: base64url of the kept bytes. */
 const FINGERPRINT_LENGTH = 16;
 
-/** The name of all requests with one method, host, path and body. */
+/** Identifies all requests with the same method, host, path and body. */
 export const fingerprintSchema = z.string().length(FINGERPRINT_LENGTH).regex(/^[\w-]+$/);
 /** See {@link fingerprintSchema}. */
 export type Fingerprint = z.infer<typeof fingerprintSchema>;
 
-/** What a name is computed from. Headers are left out: some are new with each send. */
+/**
+ * The parts of a request from which its fingerprint is computed. Headers are left out because some of them differ each
+ * time the request is sent.
+ */
 export interface FingerprintedRequest {
     readonly method: string;
     /** Value of the `host` header. */
     readonly host: string;
     /** Path with query, as received. */
     readonly path: string;
-    /** Size of the whole body in bytes; undefined when the sender did not tell. */
+    /** Size of the whole body in bytes; undefined if the sender did not specify it. */
     readonly bodyLength: number | undefined;
-    /** The body, or the beginning of a large one; every node must keep the same part of it. */
+    /** The body, or the beginning of a large one. Every node must keep the same number of bytes. */
     readonly bodyStart: Uint8Array;
 }
 
-/** Equal requests have equal names on every node. */
+/** Returns the fingerprint of a request, which is the same on every node for equal requests. */
 export const computeFingerprint = (
     { method, host, path, bodyLength, bodyStart }: FingerprintedRequest,
 ): Fingerprint => createHash("sha256")
--- a/packages/oleandergap-containment/src/options.ts
+++ b/packages/oleandergap-containment/src/options.ts
@@ -4,21 +4,24 @@
 const durationSchema = z.number().int().min(1).max(86_400_000);
 
 export const containmentOptionsSchema = z.strictObject({
-    /** Crashes of targets beside a request, without a run of it that ended well since, after which it is refused. */
+    /** Number of crashes while a request was running, without a good run since, after which the request is refused. */
     crashesToContain: z.number().int().min(2).max(100).default(3),
-    /** Time for which it is refused; doubled with each further crash. */
+    /** Time for which a request is refused; doubled with each further crash. */
     holdMs: durationSchema.default(600_000),
-    /** Longest time for which it is refused. */
+    /** Maximum time for which a request is refused. */
     holdMaximumMs: durationSchema.default(3_600_000),
-    /** After a run that ended well, one crash is no reason for care for this time. */
+    /** Time after a good run during which a single crash does not make a request a suspect. */
     trustMs: durationSchema.default(60_000),
-    /** Evidence of which nothing has been heard for this time is dropped. */
+    /** Evidence is deleted if nothing new was received on the request for this time. */
     forgetMs: durationSchema.default(3_600_000),
-    /** Requests of which evidence is kept, about half a kilobyte each; those with the fewest crashes go first. */
+    /**
+     * Maximum number of requests on which evidence is kept, about half a kilobyte each. Requests with the fewest
+     * crashes are deleted first.
+     */
     mostSuspects: z.number().int().min(16).max(100_000).default(2000),
 });
 /** See {@link containmentOptionsSchema}. */
 export type ContainmentOptions = z.infer<typeof containmentOptionsSchema>;
 
-/** The settings without any of them given. */
+/** The default settings. */
 export const defaultContainmentOptions: ContainmentOptions = containmentOptionsSchema.parse({});
--- a/packages/oleandergap-containment/src/suspectRecord.ts
+++ b/packages/oleandergap-containment/src/suspectRecord.ts
@@ -1,72 +1,81 @@
 /**
  * The evidence on one request.
  *
- * What ran beside a crash is no more than suspect: a popular read runs at every target that crashes. It also ends well
- * at others all the while, which a request that crashes whatever runs it never does. A good run therefore takes back
- * all crashes before it; without that, one would see a partner's most wanted page refused by the whole fleet.
+ * A request that was running during a crash is only a suspect: a popular read is running at every target that crashes.
+ * Such a read also completes at other targets all the time, while a request that crashes every target never completes.
+ * A good run therefore clears all earlier crashes. Otherwise the whole fleet would refuse the most popular page of a
+ * partner.
  */
 import type { Milliseconds } from "oleandergap-types";
 import type { CrashId, Judgement } from "./evidence.js";
 import type { ContainmentOptions } from "./options.js";
 
-/** The evidence on one request; `crashes` holds the time of each crash beside it. */
+/** The evidence on one request. `crashes` contains the time of each crash during which the request was running. */
 export interface SuspectRecord {
     readonly crashes: Map<CrashId, Milliseconds>;
-    /** Time of the last run that ended well; minus infinity for none. */
+    /** Time of the last good run; negative infinity if there was none. */
     goodRunAt: Milliseconds;
 }
 
 const FREE: Judgement = { kind: "Free" };
 
-/** A record without evidence. */
+/** Creates a record without evidence. */
 export const createSuspectRecord = (): SuspectRecord => ({
     crashes: new Map(),
     goodRunAt: Number.NEGATIVE_INFINITY,
 });
 
-/** A crash is told again within this time; its id is kept so long, so that it does not count anew. */
-const TOLD_AGAIN_MS: Milliseconds = 10_000;
+/**
+ * A crash may be reported again within this time. Its id is kept as long, so that the duplicate is not counted as a new
+ * crash.
+ */
+const DUPLICATE_REPORT_MS: Milliseconds = 10_000;
 
-/** Takes in a good run; false when it takes no crash back. */
-export const takeBackCrashes = (record: SuspectRecord, at: Milliseconds): boolean => {
-    const takesBack = [...record.crashes.values()].some((crashAt) => crashAt > record.goodRunAt && crashAt <= at);
-    if (takesBack) {
+/** Applies a good run. Returns false if it clears no crash. */
+export const clearCrashes = (record: SuspectRecord, at: Milliseconds): boolean => {
+    const isAnyCleared = [...record.crashes.values()].some((crashAt) => crashAt > record.goodRunAt && crashAt <= at);
+    if (isAnyCleared) {
         record.goodRunAt = at;
         for (const [crash, crashAt] of record.crashes) {
-            if (crashAt < at - TOLD_AGAIN_MS) {
+            if (crashAt < at - DUPLICATE_REPORT_MS) {
                 record.crashes.delete(crash);
             }
         }
     }
-    return takesBack;
+    return isAnyCleared;
 };
 
-/** Whether a crash would say something new of the request. */
+/** Returns whether a crash is new evidence on the request. */
 export const isNewCrash = (record: SuspectRecord, crash: CrashId, at: Milliseconds): boolean =>
     at > record.goodRunAt && !record.crashes.has(crash);
 
-/** Crashes that no good run has taken back. */
-export const listOpenCrashes = ({ crashes, goodRunAt }: SuspectRecord): readonly CrashId[] =>
+/** Returns the crashes after the last good run. */
+export const listUnclearedCrashes = ({ crashes, goodRunAt }: SuspectRecord): readonly CrashId[] =>
     [...crashes].filter(([, at]) => at > goodRunAt).map(([crash]) => crash);
 
-/** Time of the last crash; minus infinity for none. */
-export const lastCrashAt = ({ crashes }: SuspectRecord): Milliseconds =>
+/** Returns the time of the last crash; negative infinity if there was none. */
+export const getLastCrashAt = ({ crashes }: SuspectRecord): Milliseconds =>
     Math.max(Number.NEGATIVE_INFINITY, ...crashes.values());
 
-const holdTime = (crashes: number, { crashesToContain, holdMs, holdMaximumMs }: ContainmentOptions): Milliseconds =>
+const computeHoldTime = (
+    crashes: number,
+    { crashesToContain, holdMs, holdMaximumMs }: ContainmentOptions,
+): Milliseconds =>
     Math.min(holdMaximumMs, holdMs * 2 ** (crashes - crashesToContain));
 
-/** Time until which a request with so many open crashes is refused. */
-const containedUntil = (record: SuspectRecord, crashes: number, options: ContainmentOptions): Milliseconds =>
-    crashes < options.crashesToContain ? Number.NEGATIVE_INFINITY : lastCrashAt(record) + holdTime(crashes, options);
+/** Returns the time until which a request with this number of uncleared crashes is refused. */
+const computeContainedUntil = (record: SuspectRecord, crashes: number, options: ContainmentOptions): Milliseconds =>
+    crashes < options.crashesToContain ?
+        Number.NEGATIVE_INFINITY :
+        getLastCrashAt(record) + computeHoldTime(crashes, options);
 
-/** How the request is to be treated at `now`. */
+/** Returns how the request is treated at `now`. */
 export const judgeSuspect = (record: SuspectRecord, now: Milliseconds, options: ContainmentOptions): Judgement => {
-    const crashes = listOpenCrashes(record).length;
+    const crashes = listUnclearedCrashes(record).length;
     if (crashes === 0) {
         return FREE;
     }
-    const until = containedUntil(record, crashes, options);
+    const until = computeContainedUntil(record, crashes, options);
     if (now < until) {
         return { kind: "Contained", crashes, until };
     }
@@ -76,10 +85,10 @@
     return now - record.goodRunAt <= options.trustMs ? FREE : { kind: "Suspect", crashes };
 };
 
-/** Time after which the record says nothing any more. */
-export const forgetAt = (record: SuspectRecord, options: ContainmentOptions): Milliseconds =>
+/** Returns the time after which the record has no effect and can be deleted. */
+export const computeExpiry = (record: SuspectRecord, options: ContainmentOptions): Milliseconds =>
     options.forgetMs + Math.max(
-        lastCrashAt(record),
+        getLastCrashAt(record),
         record.goodRunAt,
-        containedUntil(record, listOpenCrashes(record).length, options),
+        computeContainedUntil(record, listUnclearedCrashes(record).length, options),
     );
