--- a/packages/oleandergap-gate/src/__tests__/objectives.test.ts
+++ b/packages/oleandergap-gate/src/__tests__/objectives.test.ts
@@ -101,7 +101,7 @@
 const computeCapacity = (durationMs: number): number => (durationMs * SLOTS) / SERVICE_MS;
 
 describe("createGate with objectives", () => {
-    it("meets the objective for as many requests as the target can run at twice its capacity", async () => {
+    it("meets the objective for as many requests as the target can run when offered twice its capacity", async () => {
         // Failure: a target is busy all the time, and almost no response meets its objective.
         // Cause: twice as many requests arrive as the target can run. A queue in arrival order grows as long as the
         // deadline allows, and every request waits through all of it.
@@ -133,8 +133,8 @@
         // Failure: under overload a third to a half of the responses are late, although requests are refused to prevent
         // this.
         // Cause: with the median as estimate, a request counts as on time if half of the runs of its kind would be, so
-        // the queue grows until half are late. Of a capacity of 1200 in 10 s at 1.33 times the load, with the first
-        // seed, 924 are on time and 314 late with the median; 1117 and 111 with the 90th percentile.
+        // the queue grows until half are late. At 1.33 times the capacity, with the first seed and a capacity of 1200
+        // in 10 s, 924 responses are on time and 314 late with the median; 1117 and 111 with the 90th percentile.
         for (const seed of [1, 2, 3]) {
             const { inTime, late } = await runLoad(
                 1.33, 10_000, "objectiveFirst", NO_RETRIES, createVaryingServiceTimes(seed),
@@ -146,11 +146,11 @@
 
     it("meets the objective for some requests when the service time is close to the objective", async () => {
         // Failure: almost all responses that could meet their objective are late.
-        // Cause: the 90th percentile of the service time exceeds the objective, so all requests count as late by it
-        // alone. The typical run takes two thirds of the objective, 1.33 times the capacity arrives, and refused
-        // callers retry. On time of a capacity of 1200 with objectives of 120, 160, 200 and 300 ms: 665, 822, 856 and
-        // 924 with the median; 40, 276, 999 and 1149 with the 90th percentile; 552, 952, 1059 and 1117 with the bounded
-        // margin.
+        // Cause: the 90th percentile of the service time exceeds the objective, so without a bound on the margin all
+        // requests count as late. The typical run takes two thirds of the objective, 1.33 times the capacity arrives,
+        // and refused callers retry. On time of a capacity of 1200 with objectives of 120, 160, 200 and 300 ms: 665,
+        // 822, 856 and 924 with the median; 40, 276, 999 and 1149 with the 90th percentile; 552, 952, 1059 and 1117
+        // with the bounded margin.
         for (const [objectiveMs, minimumInTime] of [[120, 520], [160, 900], [200, 1000], [300, 1070]] as const) {
             const callers: CallerBehaviour = { retries: 2, isObjectiveFromFirstAttempt: true };
             const { inTime } = await runLoad(
--- a/packages/oleandergap-types/src/__tests__/rowVersion.test.ts
+++ b/packages/oleandergap-types/src/__tests__/rowVersion.test.ts
@@ -2,16 +2,16 @@
 import { isSameWrite, type RowVersion } from "../index.js";
 
 describe("isSameWrite", () => {
-    const write = (era: number, version: number, writeId?: string): RowVersion => ({ era, version, writeId });
+    const createVersion = (era: number, version: number, writeId?: string): RowVersion => ({ era, version, writeId });
 
-    it("does not take equal versions of two eras for the same write", () => {
-        expect(isSameWrite(write(1, 7), write(2, 7))).to.equal(false);
-        expect(isSameWrite(write(1, 7, "a"), write(2, 7, "b"))).to.equal(false);
-        expect(isSameWrite(write(1, 7), write(1, 7))).to.equal(true);
+    it("distinguishes equal versions of two eras", () => {
+        expect(isSameWrite(createVersion(1, 7), createVersion(2, 7))).to.equal(false);
+        expect(isSameWrite(createVersion(1, 7, "a"), createVersion(2, 7, "b"))).to.equal(false);
+        expect(isSameWrite(createVersion(1, 7), createVersion(1, 7))).to.equal(true);
     });
 
-    it("knows a write again that a restore has kept", () => {
-        expect(isSameWrite(write(1, 7, "a"), write(2, 7, "a"))).to.equal(true);
-        expect(isSameWrite(write(1, 7, "a"), write(1, 7))).to.equal(false);
+    it("recognises a write that was kept by a restore", () => {
+        expect(isSameWrite(createVersion(1, 7, "a"), createVersion(2, 7, "a"))).to.equal(true);
+        expect(isSameWrite(createVersion(1, 7, "a"), createVersion(1, 7))).to.equal(false);
     });
 });
--- a/packages/oleandergap-types/src/headers.ts
+++ b/packages/oleandergap-types/src/headers.ts
@@ -1,24 +1,24 @@
-/** Names of the HTTP headers that the system reads and writes. Documented for callers in docs/REQUESTS.md. */
+/** Names of the HTTP headers that the system reads and writes. docs/REQUESTS.md documents them for callers. */
 
-/** Answer: the {@link Verdict} of the request. Present on every answer. */
+/** Response: the {@link Verdict} of the request. Present on every response. */
 export const VERDICT_HEADER = "oleandergap-verdict";
-/** Answer: the {@link RefusalReason} or failure kind when the system itself answered. */
+/** Response: the {@link RefusalReason} or failure kind if the system itself responded. */
 export const REASON_HEADER = "oleandergap-reason";
-/** Request: how long the caller will wait, in milliseconds. Counted down at every hop. */
+/** Request: how long the caller waits, in milliseconds. Every hop subtracts the elapsed time. */
 export const TIMEOUT_HEADER = "oleandergap-timeout-ms";
-/** Both ways: identifies one attempt; an answer with another id is never delivered. */
+/** Request and response: identifies one attempt. A response with a different id is never delivered. */
 export const REQUEST_ID_HEADER = "oleandergap-request-id";
-/** Answer: `no` when a hop below has already retried, so that no hop above does. */
+/** Response: `no` if a hop closer to the target has already retried, so that no earlier hop retries again. */
 export const RETRY_HEADER = "oleandergap-retry";
-/** Answer from a gate: the load that it saw when it answered, see `GateLoad`. */
+/** Response from a gate: the load of the gate when it responded, see `GateLoad`. */
 export const LOAD_HEADER = "oleandergap-load";
-/** Answer: the table version that routed the request, as `partner:sequence`. */
+/** Response: the table version that routed the request, as `partner:sequence`. */
 export const VERSION_HEADER = "oleandergap-version";
-/** Request between nodes: the service the request is for, as `partner/service`. */
+/** Request between nodes: the requested service, as `partner/service`. */
 export const SERVICE_HEADER = "oleandergap-service";
 /** Request: the caller's key for a non-idempotent request, as in the IETF draft. */
 export const IDEMPOTENCY_KEY_HEADER = "idempotency-key";
-/** Answer: when to come back, in whole seconds (RFC 9110). */
+/** Response: when to retry, in whole seconds (RFC 9110). */
 export const RETRY_AFTER_HEADER = "retry-after";
-/** Answer: when to come back, in milliseconds; finer than `retry-after`. */
+/** Response: when to retry, in milliseconds; more precise than `retry-after`. */
 export const RETRY_AFTER_MS_HEADER = "retry-after-ms";
--- a/packages/oleandergap-types/src/member.ts
+++ b/packages/oleandergap-types/src/member.ts
@@ -1,85 +1,96 @@
-/** Nodes and the targets that announced themselves to them. */
+/** Nodes and the targets that have announced themselves to the nodes. */
 import { z } from "zod";
 import { nodeIdSchema, partnerNameSchema, serviceNameSchema, zoneNameSchema } from "./names.js";
 
-/** An IP number; names are never resolved. */
+/** An IP address; host names are never resolved. */
 export const addressSchema = z.union([z.ipv4(), z.ipv6()]);
-/** A port that a peer can be reached at; 0 is none. */
+/** A port at which a peer can be reached; 0 is not a valid port. */
 export const portSchema = z.number().int().min(1).max(65_535);
 
-/** What a target says of itself to the node on its VM. */
+/** The announcement that a target sends to the node on its VM. */
 export const announcementSchema = z.strictObject({
     partner: partnerNameSchema,
     service: serviceNameSchema,
     address: addressSchema,
     port: portSchema,
-    /** Requests that the target works on at once. */
+    /** Number of requests that the target runs concurrently. */
     slots: z.number().int().min(1).max(10_000),
-    /** Connections that the target accepts. */
+    /** Number of connections that the target accepts. */
     connections: z.number().int().min(1).max(100_000),
-    /** The target will stop soon: it receives no new request. */
+    /** Whether the target will stop soon; it then receives no new requests. */
     leaving: z.boolean().default(false),
-    /** Names the target's process; a target that restarts may have another one or the same. */
+    /** Identifies the target's process. The id may change or stay the same when the target restarts. */
     instanceId: z.string().min(1).max(128).optional(),
-    /** Unix time at which the process started, if it says so: tells lifetimes of one `instanceId` apart. */
+    /**
+     * Unix time at which the process started, if the target sends it. Distinguishes process lifetimes with the same
+     * `instanceId`.
+     */
     bornAt: z.number().int().nonnegative().optional(),
-    /** Grows with each announcement of one lifetime; an older one that arrives late is dropped. */
+    /**
+     * Increases with each announcement within one process lifetime. An older announcement that arrives late is dropped.
+     */
     sequence: z.number().int().nonnegative().optional(),
-    /** How long a target that has just started stays slow; absent when it does not say. */
+    /** Remaining time of the target's cold start, during which it is slow; absent if the target does not send it. */
     coldLeftMs: z.number().min(0).max(3_600_000).optional(),
 });
 export type Announcement = z.infer<typeof announcementSchema>;
 
-/** The part of an announcement that other nodes need in order to route. */
+/** The part of an announcement that other nodes need for routing. */
 export const memberTargetSchema = announcementSchema
     .pick({ partner: true, service: true, slots: true, leaving: true })
     .extend({
-        /** Wall-clock time at which the target was first announced; a young target is started slowly. */
+        /**
+         * Wall-clock time at which the target was first announced. The load of a recently started target is increased
+         * gradually (slow start).
+         */
         since: z.number(),
     });
 export type MemberTarget = z.infer<typeof memberTargetSchema>;
 
-/** `left` was announced by the member itself; `dead` is what the others concluded from its silence. */
+/** `left` was announced by the member itself; `dead` was concluded by the other members after it stopped responding. */
 export const memberStateSchema = z.enum(["alive", "suspect", "left", "dead"]);
 export type MemberState = z.infer<typeof memberStateSchema>;
 
-/** Largest class of a link: a terabit a second. */
+/** Largest link class, for one terabit per second. */
 const MAX_LINK_CLASS = 20;
-/** Width of a VM's link as a power of two: 0 up to 2 Mbit/s, 1 up to 4, 6 from 64 to 128. */
+/** Bandwidth of a VM's link as a power of two: 0 up to 2 Mbit/s, 1 up to 4, 6 from 64 to 128. */
 export const linkClassSchema = z.number().int().min(0).max(MAX_LINK_CLASS);
 export type LinkClass = z.infer<typeof linkClassSchema>;
 
-/** The class of a link of so many megabits a second. */
+/** Returns the class of a link with the given bandwidth in megabits per second. */
 export const classifyLink = (megabitsPerSecond: number): LinkClass =>
     Math.min(MAX_LINK_CLASS, Math.max(0, Math.floor(Math.log2(megabitsPerSecond))));
 
-/** A node as its peers know it. */
+/** A node as its peers see it. */
 export const memberSchema = z.strictObject({
     id: nodeIdSchema,
     zone: zoneNameSchema,
     address: addressSchema,
-    /** Peers' and operators' port: UDP for membership, TCP for trpc. */
+    /** Port for peers and operators: UDP for membership, TCP for tRPC. */
     controlPort: portSchema,
-    /** Port at which other nodes hand requests to this node's gate. */
+    /** Port at which other nodes send requests to this node's gate. */
     gatePort: portSchema,
-    /** Raised by the member itself only; the record with the higher one wins. Starts at the process's start time. */
+    /**
+     * Increased only by the member itself; the record with the higher incarnation wins. Starts at the start time of the
+     * process.
+     */
     incarnation: z.number().int().nonnegative(),
     state: memberStateSchema,
-    /** Raised by the member with each change of its target; breaks ties within an incarnation. */
+    /** Increased by the member with each change of its target; breaks ties within an incarnation. */
     revision: z.number().int().nonnegative(),
     target: memberTargetSchema.optional(),
-    /** Absent when the node does not know its link. */
+    /** Absent if the bandwidth of the node's link is unknown. */
     linkClass: linkClassSchema.optional(),
 });
 export type Member = z.infer<typeof memberSchema>;
 
-/** What a gate reports of itself on each answer. */
+/** The load that a gate reports with each response. */
 export const gateLoadSchema = z.strictObject({
     inFlight: z.number().int().nonnegative(),
     queued: z.number().int().nonnegative(),
-    /** Requests that the gate lets run at once, after the table's limit and the target's slots. */
+    /** Number of requests that the gate runs concurrently, limited by the table and by the target's slots. */
     capacity: z.number().int().nonnegative(),
-    /** Longest expected wait of a request that arrives now. */
+    /** Maximum expected wait of a request that arrives now, in milliseconds. */
     expectedWaitMs: z.number().nonnegative(),
 });
 export type GateLoad = z.infer<typeof gateLoadSchema>;
--- a/packages/oleandergap-types/src/names.ts
+++ b/packages/oleandergap-types/src/names.ts
@@ -1,7 +1,7 @@
-/** Names of partners, services, availability zones and nodes, and their shared format. */
+/** Names of partners, services, availability zones and nodes, and their common format. */
 import { z } from "zod";
 
-/** Longest accepted name, in characters. Names travel in every datagram, so they are kept short. */
+/** Maximum length of a name in characters. Names are short because every datagram contains them. */
 export const MAX_NAME_LENGTH = 48;
 
 const NAME_PATTERN = /^[a-z0-9]([a-z0-9-]*[a-z0-9])?$/;
@@ -11,13 +11,13 @@
     .max(MAX_NAME_LENGTH)
     .regex(NAME_PATTERN, "use lower-case letters, digits and inner hyphens, for example \"grant-filer\"");
 
-/** First part of the names of all that a partner owns. */
+/** First part of the names of everything that a partner owns. */
 export const partnerNameSchema = nameSchema;
 /** Unique within its partner. */
 export const serviceNameSchema = nameSchema;
-/** Unique over the whole system. */
+/** Unique within the whole system. */
 export const zoneNameSchema = nameSchema;
-/** Unique over the whole system. */
+/** Unique within the whole system. */
 export const nodeIdSchema = nameSchema;
 
 /** One of the organisations that share the capacity, for example `halloway`. */
@@ -26,10 +26,10 @@
 export type ServiceName = z.infer<typeof serviceNameSchema>;
 /** An availability zone, for example `hall-a`. */
 export type ZoneName = z.infer<typeof zoneNameSchema>;
-/** Names a node for the life of its VM; a restarted process keeps it. */
+/** Identifies a node for the lifetime of its VM; a restarted process keeps the id. */
 export type NodeId = z.infer<typeof nodeIdSchema>;
 
-/** Names a service over both partners. */
+/** Identifies a service across all partners. */
 export const serviceReferenceSchema = z.strictObject({
     partner: partnerNameSchema,
     service: serviceNameSchema,
@@ -38,6 +38,6 @@
 /** A service together with the partner that owns its row. */
 export type ServiceReference = z.infer<typeof serviceReferenceSchema>;
 
-/** `partner/service`: the key under which per-service state is kept. */
+/** Returns `partner/service`, the key of per-service state. */
 export const formatServiceReference = (reference: ServiceReference): string =>
     `${reference.partner}/${reference.service}`;
--- a/packages/oleandergap-types/src/platform.ts
+++ b/packages/oleandergap-types/src/platform.ts
@@ -1,51 +1,54 @@
 /**
- * Ports to the platform: the transactional table service and the object store. The platform has outages, is slow at
- * times, and may lose an answer after the write took effect.
+ * Ports to the platform: the transactional table service and the object store. The platform has outages, is sometimes
+ * slow, and may lose a response after the write took effect.
  */
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import { isSamePosition, type StoreEra, type StorePosition } from "./storePosition.js";
 
-/** Why a call to the platform gave no result. */
+/** Why a call to the platform returned no result. */
 export type PlatformError =
-    /** The call surely had no effect: no connection, or the platform refused it. */
+    /** The call certainly had no effect: there was no connection, or the platform refused it. */
     | { readonly kind: "Unavailable"; readonly detail: string }
-    /** The call may have taken effect: the answer was lost, late or unreadable. Read back, never guess. */
+    /**
+     * The call may have taken effect: the response was lost, late or unreadable. Read the data back instead of assuming
+     * an outcome.
+     */
     | { readonly kind: "OutcomeUnknown"; readonly detail: string }
-    /** This process's own budget of calls is used up; nothing was sent. */
+    /** The call budget of this process is exhausted; nothing was sent. */
     | { readonly kind: "OverBudget"; readonly retryAfterMs: number };
 
 /**
- * Names one write of a row; handed back in conditions as it was read. An adapter must guarantee that no two writes of a
- * key are taken for one, also when the row is deleted and created anew, or when the store is restored and gives its
- * versions out again: otherwise a delayed write with a `VersionIs` condition could replace a row that its sender never
- * read (the ABA problem).
+ * Identifies one write of a row; conditions contain the version that was read. An adapter must guarantee that two
+ * writes of a key never have the same version, even if the row is deleted and created again, or if the store is
+ * restored and reuses its version numbers. Otherwise a delayed write with a `VersionIs` condition could replace a row
+ * that its sender never read (the ABA problem).
  */
 export interface RowVersion extends StorePosition {
-    /** Unique to the write, where the position is not. */
+    /** Unique id of the write, for stores in which the position is not unique. */
     readonly writeId?: string | undefined;
 }
 
-/** Whether two versions of one key name the same write. */
+/** Returns whether two versions of one key identify the same write. */
 export const isSameWrite = (left: RowVersion, right: RowVersion): boolean =>
     left.writeId === undefined && right.writeId === undefined ?
         isSamePosition(left, right) :
         left.writeId === right.writeId;
 
-/** A row as read. */
+/** A row that was read. */
 export interface TableRow {
     readonly key: string;
     readonly version: RowVersion;
-    /** A JSON value; its reader checks it against a schema. */
+    /** A JSON value; the reader validates it against a schema. */
     readonly value: unknown;
 }
 
-/** What a transaction demands of a key before it writes. */
+/** Precondition of a transaction on one key. */
 export type RowCondition =
     | { readonly kind: "Any" }
     | { readonly kind: "Absent" }
     | { readonly kind: "VersionIs"; readonly version: RowVersion };
 
-/** Whether a condition holds for a row as it is; undefined when there is none. */
+/** Returns whether a condition holds for the current row, which is undefined if there is no row. */
 export const isConditionMet = (condition: RowCondition, row: Pick<TableRow, "version"> | undefined): boolean => {
     switch (condition.kind) {
         case "Any":
@@ -57,31 +60,31 @@
     }
 };
 
-/** One step of a transaction. All conditions hold and all steps take effect, or none. */
+/** One operation of a transaction. Either all conditions hold and all operations take effect, or none does. */
 export type TableOperation =
     | { readonly kind: "Check"; readonly key: string; readonly condition: RowCondition }
     | { readonly kind: "Put"; readonly key: string; readonly condition: RowCondition; readonly value: unknown }
     | { readonly kind: "Delete"; readonly key: string; readonly condition: RowCondition };
 
-/** What a transaction came to when its answer arrived. */
+/** Result of a transaction whose response was received. */
 export type TransactionResult =
     | { readonly kind: "Committed" }
-    /** Nothing was written; `keys` are those whose condition failed. */
+    /** Nothing was written; `keys` are the keys whose condition failed. */
     | { readonly kind: "ConditionFailed"; readonly keys: readonly string[] };
 
-/** A range of keys that share a prefix, in key order. */
+/** A range of keys with a common prefix, in key order. */
 export interface TableScan {
     readonly prefix: string;
-    /** Only keys after this one. */
+    /** Returns only keys after this one. */
     readonly after?: string;
     readonly limit: number;
-    /** Last key first. */
+    /** Returns the keys in descending order. */
     readonly descending?: boolean;
 }
 
 /** The transactional table service. */
 export interface TableService {
-    /** The rows that exist among `keys`, in any order; counts as one read. */
+    /** Returns the existing rows among `keys`, in any order. Counts as one read. */
     readonly read: (keys: readonly string[], signal: AbortSignal) => TaskEither<PlatformError, readonly TableRow[]>;
     readonly scan: (scan: TableScan, signal: AbortSignal) => TaskEither<PlatformError, readonly TableRow[]>;
     readonly transact: (
@@ -90,15 +93,15 @@
     ) => TaskEither<PlatformError, TransactionResult>;
 }
 
-/** The object store. Objects are small: each is read and written whole. */
+/** The object store. Objects are small, so each one is read and written as a whole. */
 export interface ObjectStore {
     readonly get: (key: string, signal: AbortSignal) => TaskEither<PlatformError, Uint8Array | undefined>;
-    /** Replaces the object whole. */
+    /** Replaces the whole object. */
     readonly put: (key: string, body: Uint8Array, signal: AbortSignal) => TaskEither<PlatformError, void>;
     readonly list: (prefix: string, signal: AbortSignal) => TaskEither<PlatformError, readonly string[]>;
     /**
-     * The newest era seen in the store's answers, undefined before the first. A higher one than before says that
-     * objects that were put may be gone. Absent where the store keeps what it has acknowledged.
+     * Returns the latest era in the store's responses, or undefined before the first response. An increased era means
+     * that stored objects may be lost. Absent if the store never loses acknowledged writes.
      */
     readonly era?: () => StoreEra | undefined;
 }
--- a/packages/oleandergap-types/src/storePosition.ts
+++ b/packages/oleandergap-types/src/storePosition.ts
@@ -1,24 +1,27 @@
 /**
- * Positions in the history of a store that may be restored from a backup. The restored store gives versions out again,
- * for other contents, so that a version means something only within one era: the time from one restore to the next.
+ * Positions in the history of a store that may be restored from a backup. A restored store reuses version numbers for
+ * different contents, so versions are comparable only within one era, the period between two restores.
  */
 import { z } from "zod";
 
-/** Counts the restores of a store; 0 for a store that does not tell. */
+/** Number of restores of a store; 0 if the store does not report it. */
 export const storeEraSchema = z.number().int().nonnegative();
 export type StoreEra = z.infer<typeof storeEraSchema>;
 
-/** The era of a store that does not tell one: all of its life. */
+/** The only era of a store that does not report its era. */
 export const UNTOLD_ERA: StoreEra = 0;
 
-/** A transaction of a store. */
+/** The position of a transaction in the history of a store. */
 export const storePositionSchema = z.strictObject({
     era: storeEraSchema,
-    /** Grows within an era. Those of two eras say nothing about each other. */
+    /** Increases within an era. Versions of different eras are not comparable. */
     version: z.number().int().nonnegative(),
 });
 export type StorePosition = z.infer<typeof storePositionSchema>;
 
-/** False for equal versions of two eras: they may stand for different contents. */
+/**
+ * Returns whether two positions are the same. Equal versions of two eras are different positions, because they may
+ * refer to different contents.
+ */
 export const isSamePosition = (left: StorePosition, right: StorePosition): boolean =>
     left.era === right.era && left.version === right.version;
--- a/packages/oleandergap-types/src/verdict.ts
+++ b/packages/oleandergap-types/src/verdict.ts
@@ -1,47 +1,48 @@
 /**
- * Whether a request may have run at its target. Every hop returns a verdict with a failure, and the caller reads it in
- * the `oleandergap-verdict` header.
+ * Whether a request may have run at its target. Every hop returns a verdict with a failure, and the caller reads it
+ * from the `oleandergap-verdict` header.
  */
 import { z } from "zod";
 
-/** In the words of the header; see {@link Verdict}. */
+/** The values of the header; see {@link Verdict}. */
 export const verdictSchema = z.enum(["notRun", "mayHaveRun", "ran"]);
 
 /**
- * - `notRun`: no byte of the request reached the target, or the target's gate says that it did not start it.
- * - `mayHaveRun`: the request was sent, and nothing is known of its fate.
+ * - `notRun`: no byte of the request reached the target, or the target's gate reports that it did not start the
+ *   request.
+ * - `mayHaveRun`: the request was sent, and its outcome is unknown.
  * - `ran`: the target answered.
  */
 export type Verdict = z.infer<typeof verdictSchema>;
 
-/** Why a request was not answered by its target. */
+/** Why a target did not answer a request. */
 export type RequestFailure =
-    /** The gate or the router gave the request up before any byte reached the target. */
+    /** The gate or the router refused the request before any byte of it reached the target. */
     | {
         readonly kind: "Refused";
         readonly verdict: "notRun";
         readonly reason: RefusalReason;
-        /** When to come back, computed from the state that refused. */
+        /** Time after which to retry, computed from the state at the time of the refusal. */
         readonly retryAfterMs: number;
     }
-    /** No connection could be made, so nothing was sent. */
+    /** No connection could be established, so nothing was sent. */
     | { readonly kind: "ConnectFailed"; readonly verdict: "notRun"; readonly detail: string }
-    /** The request was sent, and no answer came. */
+    /** The request was sent, but no response was received. */
     | {
         readonly kind: "AnswerLost";
         readonly verdict: "mayHaveRun";
         readonly detail: string;
-        /** Names the crash of the target that it was lost to, if the target's gate found one. */
+        /** Id of the crash of the target during which the response was lost, if the target's gate detected a crash. */
         readonly crash?: string | undefined;
     }
-    /** The answer's head came and its body broke off. */
+    /** The head of the response was received, but its body was incomplete. */
     | { readonly kind: "AnswerCut"; readonly verdict: "ran"; readonly detail: string }
-    /** A request with this idempotency key was already accepted, and its outcome is unknown or still open. */
+    /** A request with this idempotency key was already accepted, and its outcome is unknown or pending. */
     | { readonly kind: "DuplicateKey"; readonly verdict: "mayHaveRun"; readonly retryAfterMs: number }
-    /** The request itself is wrong and would be refused again. */
+    /** The request itself is invalid and would be refused again. */
     | { readonly kind: "BadRequest"; readonly verdict: "notRun"; readonly detail: string };
 
-/** In the words of the header `oleandergap-reason`. */
+/** The values of the header `oleandergap-reason` for refusals. */
 export const refusalReasonSchema = z.enum([
     "UnknownService",
     "NoTarget",
@@ -59,5 +60,5 @@
     "Contained",
 ]);
 
-/** Why a request was given up before it ran. */
+/** Why a request was refused before it ran. */
 export type RefusalReason = z.infer<typeof refusalReasonSchema>;
