--- a/packages/oleandergap-containment/src/__tests__/fingerprint.test.ts
+++ b/packages/oleandergap-containment/src/__tests__/fingerprint.test.ts
@@ -26,7 +26,7 @@
             { bodyLength: undefined },
             { bodyStart: Buffer.from("abd") },
         ];
-        const fingerprints = differences.map((other) => computeFingerprint({ ...request, ...other }));
+        const fingerprints = differences.map((difference) => computeFingerprint({ ...request, ...difference }));
 
         expect(new Set([computeFingerprint(request), ...fingerprints]).size).to.equal(differences.length + 1);
     });
--- a/packages/oleandergap-containment/src/__tests__/suspectRecord.test.ts
+++ b/packages/oleandergap-containment/src/__tests__/suspectRecord.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { createSuspectRecord, isNewCrash, clearCrashes } from "../suspectRecord.js";
+import { clearCrashes, createSuspectRecord, isNewCrash } from "../suspectRecord.js";
 
 const SECOND_MS = 1000;
 
--- a/packages/oleandergap-gate/src/__tests__/gateFailures.test.ts
+++ b/packages/oleandergap-gate/src/__tests__/gateFailures.test.ts
@@ -137,8 +137,8 @@
                     }
                 });
         };
-        for (let place = 0; place < testLimit.queue; place++) {
-            submit(`slow${place}`, 2);
+        for (let count = 0; count < testLimit.queue; count++) {
+            submit(`slow${count}`, 2);
         }
         submit("urgent", 1);
         await harness.clock.advance(0);
--- a/packages/oleandergap-gate/src/admission.ts
+++ b/packages/oleandergap-gate/src/admission.ts
@@ -13,7 +13,7 @@
     readonly service: ServiceName;
     /** Priority among the requests for the target: waiting requests with a lower number start first. Defaults to 0. */
     readonly priority?: number;
-    /** Requests of one kind have similar service times at the target. Without it, the request has the default kind. */
+    /** Requests of one kind have similar service times at the target. Defaults to {@link DEFAULT_KIND}. */
     readonly kind?: string;
     /** Deadline for the complete response, on the monotonic clock. */
     readonly deadline: Milliseconds;
