--- a/packages/oleandergap-routing/src/attemptProgress.ts
+++ b/packages/oleandergap-routing/src/attemptProgress.ts
@@ -1,4 +1,4 @@
-/** What an attempt tells of its target on the way, so that other requests need not wait for its end to learn it. */
+/** Reports what an attempt reveals about its target before it ends, so that other requests can react at once. */
 import type { Clock } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { learnBodyEnd } from "./learnOutcome.js";
@@ -12,18 +12,18 @@
 export interface Choice<Target extends RoutableTarget> {
     readonly zone: ZoneState<Target>;
     readonly state: TargetState<Target>;
-    /** The request finds out whether an ejected target is well again. */
+    /** Whether the request probes an ejected target. */
     readonly isProbe: boolean;
 }
 
-/** What learning depends on. */
+/** Dependencies of the progress of an attempt. */
 export interface ProgressContext {
     readonly clock: Clock;
     readonly random: Random;
     readonly options: PickerOptions;
 }
 
-/** The progress of one attempt at the chosen target. */
+/** Creates the progress of one attempt at the chosen target. */
 export const createProgress = <Target extends RoutableTarget>(
     { zone, state, isProbe }: Choice<Target>,
     { clock, random, options }: ProgressContext,
--- a/packages/oleandergap-routing/src/circuit.ts
+++ b/packages/oleandergap-routing/src/circuit.ts
@@ -1,45 +1,48 @@
 /**
- * Ejection with growing back-off, for a target or a whole zone. After each back-off a single request is let through;
- * its success closes the circuit, its failure opens it for longer.
+ * A circuit breaker with exponential backoff, for a target or a whole zone. After each backoff, a single request is let
+ * through as a probe. Its success closes the circuit; its failure opens the circuit for longer.
  *
- * Without the single probing request, all callers would return at once to a target that is still down, or starting
- * under their very load; one would see errors in bursts at the distance of the back-off.
+ * Without the limit to a single probe, all callers would return at once to a target that is still down, or that is
+ * starting and not ready for the full load. Errors would then come in bursts, one after each backoff.
  */
 import type { Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 
-/** A probe that was never reported back is forgotten after this many back-offs. */
+/** A probe whose outcome was never reported expires after this many backoffs. */
 const PROBE_TIMEOUT_FACTOR = 2;
 /**
- * And not before this time, longer than a usual request takes. After a back-off that was cut short to nothing, every
- * request would otherwise be a probe; one would see all requests of a node go to a target that is still cut off.
+ * Minimum time before a probe expires; it is longer than a typical request takes. When the backoff was shortened to 0,
+ * every request would otherwise be a probe, and all requests of a node would go to a target that is still unreachable.
  */
 const MINIMUM_PROBE_TIMEOUT_MS = 500;
-/** Requests that may not be sent again probe only after so many back-offs more, within the bound below. */
+/** Requests that must not be sent again may probe only after this many additional backoffs, up to the limit below. */
 const UNSAFE_PROBE_FACTOR = 10;
 const MAXIMUM_UNSAFE_DELAY_MS = 30_000;
-/** Part of each back-off that is drawn at random, so that callers do not probe in step. */
+/** Fraction of each backoff that is random, so that callers do not probe at the same time. */
 const JITTER = 0.5;
 
-/** The state of one circuit breaker. */
+/** State of one circuit breaker. */
 export interface Circuit {
     state: "closed" | "open" | "probing";
-    /** Failures since the last success. */
+    /** Number of failures since the last success. */
     failures: number;
-    /** How often it opened, less one for each run of answers; sets the back-off. */
+    /**
+     * Number of times that the circuit opened, reduced by one after each series of successful responses. It determines
+     * the backoff.
+     */
     trips: number;
     backoffMs: Milliseconds;
-    /** When the next probe may go out, on the monotonic clock. */
+    /** Time from which the next probe may be sent, on the monotonic clock. */
     probeAt: Milliseconds;
 }
 
-/** Bounds of the back-off; it doubles with each trip. */
+/** Limits of the backoff. It doubles with each trip. */
 export interface BackoffOptions {
     readonly ejectionMs: Milliseconds;
     readonly maximumEjectionMs: Milliseconds;
 }
 
-/** Starts closed. */
+/** Creates a closed circuit. */
 export const createCircuit = (): Circuit => ({
     state: "closed",
     failures: 0,
@@ -48,7 +51,7 @@
     probeAt: 0,
 });
 
-/** Stops the requests until the next probe is due. */
+/** Opens the circuit: no requests are sent until the next probe is due. */
 export const openCircuit = (circuit: Circuit, now: Milliseconds, options: BackoffOptions, random: Random): void => {
     const backoff = Math.min(options.maximumEjectionMs, options.ejectionMs * 2 ** circuit.trips);
     circuit.state = "open";
@@ -61,25 +64,29 @@
     Math.min(MAXIMUM_UNSAFE_DELAY_MS, UNSAFE_PROBE_FACTOR * backoffMs);
 
 /**
- * Whether a request may go out as the probe. Requests that may not be sent again wait for much longer, so that the
- * probe is a request that can be saved if the target is still dead; they serve where a service has no other requests.
+ * Returns whether a request may be sent as a probe. Requests that must not be sent again have to wait much longer, so
+ * that the probe is normally a request that can be retried elsewhere if the target is still down. They are used as
+ * probes if a service has no other requests.
  */
 export const isProbeDue = (circuit: Circuit, now: Milliseconds, canResend: boolean): boolean =>
     circuit.state !== "closed" && now >= circuit.probeAt + (canResend ? 0 : unsafeDelay(circuit));
 
-/** Lets one request through. If its outcome never comes, another one may follow later. */
+/** Marks the circuit as being probed. If the outcome of the probe is never reported, another probe may follow later. */
 export const startProbe = (circuit: Circuit, now: Milliseconds): void => {
     circuit.state = "probing";
     circuit.probeAt = now + Math.max(MINIMUM_PROBE_TIMEOUT_MS, PROBE_TIMEOUT_FACTOR * circuit.backoffMs);
 };
 
-/** Lets all requests through again; the number of trips stays, so that a relapse is ejected for longer. */
+/** Closes the circuit. The number of trips is kept, so that a relapse leads to a longer ejection. */
 export const closeCircuit = (circuit: Circuit): void => {
     circuit.state = "closed";
     circuit.failures = 0;
 };
 
-/** Makes the next ejection shorter again, after a number of answers. */
+/**
+ * Reduces the number of trips, so that the next ejection is shorter. It is called after a number of successful
+ * responses.
+ */
 export const reduceTrips = (circuit: Circuit): void => {
     circuit.trips = Math.max(0, circuit.trips - 1);
 };
--- a/packages/oleandergap-routing/src/drawTarget.ts
+++ b/packages/oleandergap-routing/src/drawTarget.ts
@@ -1,6 +1,6 @@
 /**
- * Draws the target of a request within a zone by the power of two choices: of two candidates drawn at random, the less
- * loaded one. The cost does not grow with the number of targets.
+ * Selects the target of a request within a zone by the power of two choices: the less loaded of two randomly sampled
+ * candidates. The cost does not grow with the number of targets.
  */
 import type { Milliseconds, NodeId } from "oleandergap-types";
 import { pickIndex, type Random } from "oleandergap-utils";
@@ -8,17 +8,20 @@
 import { scoreTarget, slowStartShare, type ScoreContext, type TargetState } from "./targetState.js";
 import type { Candidates } from "./zoneCandidates.js";
 
-/** Draws until a candidate is taken as it comes. */
+/** Number of random samples after which the first eligible candidate is taken instead. */
 const MAXIMUM_DRAWS = 8;
 
-/** What a draw depends on besides the candidates. */
+/** Inputs of the sampling besides the candidates. */
 export interface DrawContext extends ScoreContext {
     readonly random: Random;
     readonly slowStartMs: Milliseconds;
     readonly exclude: readonly NodeId[];
 }
 
-/** Whether a drawn target is kept: always after its slow start, else by its share relative to the zone's oldest. */
+/**
+ * Returns whether a sampled target is accepted. After its slow start, a target is always accepted; before, it is
+ * accepted with a probability relative to the slow-start share of the zone's oldest target.
+ */
 const isKept = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     oldestStartedAt: Milliseconds,
@@ -31,7 +34,10 @@
     return random() * oldestShare < slowStartShare(state.startedAt, now, slowStartMs);
 };
 
-/** Rarely needed: drawing at random only met excluded targets. */
+/**
+ * Returns the first eligible target from a random position on. It is needed only in the rare case that random sampling
+ * found no eligible target.
+ */
 const findAny = <Target extends RoutableTarget>(
     pool: readonly TargetState<Target>[],
     { exclude, random }: DrawContext,
@@ -64,8 +70,9 @@
 };
 
 /**
- * The less loaded one of two candidates drawn at random. If all targets are ejected or silent, the fault may as well be
- * this node's, and refusing everything would make it certain: then they are drawn from all the same.
+ * Returns the less loaded of two randomly sampled candidates. If all targets are ejected or unresponsive, the fault may
+ * be on this node, and refusing all requests would make the outage certain; the candidates are then sampled from the
+ * ejected targets.
  */
 export const drawTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
--- a/packages/oleandergap-routing/src/index.ts
+++ b/packages/oleandergap-routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Choice of target, ejection, spill and retries. */
+/** Selects targets, ejects failing ones, spills traffic over to other zones and retries requests. */
 export * from "./options.js";
 export * from "./requestExecution.js";
 export * from "./target.js";
--- a/packages/oleandergap-routing/src/learnOutcome.ts
+++ b/packages/oleandergap-routing/src/learnOutcome.ts
@@ -1,4 +1,4 @@
-/** What an attempt's outcome teaches about its target and zone. */
+/** Updates the state of a target and its zone with the outcome of an attempt. */
 import type { GateLoad, Milliseconds, RefusalReason } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { closeCircuit, reduceTrips } from "./circuit.js";
@@ -17,43 +17,58 @@
     type ZoneState,
 } from "./zoneState.js";
 
-/** Answers after which a target's latency is compared with its zone's; fewer for one that was ejected lately. */
+/**
+ * Minimum number of responses before a target's latency is compared with that of its zone. The number is lower for a
+ * target that was ejected recently.
+ */
 const MINIMUM_ANSWERS = 10;
 const MINIMUM_ANSWERS_AFTER_EJECTION = 3;
-/** So many answers in a row that are each too slow eject a target before its running average does. */
+/**
+ * Number of consecutive responses that are each too slow after which a target is ejected, even before its average
+ * latency is too high.
+ */
 const SLOW_ANSWERS_IN_A_ROW = 4;
-/** Part of a zone's remaining share that an answer moves elsewhere when requests are queued for want of targets. */
+/**
+ * Fraction of the remaining share of a zone that a response moves to other zones while requests queue for lack of
+ * targets.
+ */
 const QUEUED_SPILL_STEP = 0.05;
-/** An ejected target returns only when this many times faster than what ejects, else it would come and go by chance. */
+/**
+ * An ejected target is readmitted only if it is faster than the ejection threshold by this factor. Without the margin,
+ * random variation would eject and readmit it in turn.
+ */
 const READMISSION_MARGIN = 4 / 3;
-/** A target is not ejected for being slower by less than this. */
+/** Minimum excess over the typical latency for which a target is ejected as slow. */
 const MINIMUM_EXCESS_MS = 20;
-/** A timeout counts against a target only if it had this many times the usual latency. */
+/** A timeout counts against a target only if the request waited for at least this many typical latencies. */
 const TIMEOUT_FACTOR = 2;
-/** Answers after which the next ejection is shorter by one step. */
+/** Number of responses after which the trips of a target are reduced by one. */
 const ANSWERS_PER_REDUCED_TRIP = 50;
 
-/** When and by what rules something is learnt. */
+/** Inputs of an update besides the outcome. */
 export interface LearnContext {
     readonly now: Milliseconds;
     readonly options: PickerOptions;
     readonly random: Random;
-    /** The gate's load with this outcome, if it told. */
+    /** The gate's load at the time of this outcome, if the gate reported it. */
     readonly load: GateLoad | undefined;
     readonly kind: string;
-    /** Whether the request was let through to find out if an ejected target is well again. */
+    /** Whether the request probed an ejected target. */
     readonly isProbe: boolean;
 }
 
-/** Whether a refusal says that the target, and likely its zone, has no room. */
+/** Returns whether a refusal indicates that the target, and probably its zone, lacks capacity. */
 export const isShortage = (reason: RefusalReason): boolean =>
     reason === "QueueFull" || reason === "LimitReached" || reason === "DeadlineTooShort" ||
     reason === "FairShareExceeded" || reason === "DeadlinePassed" || reason === "TargetBusy";
 
-/** A deadline shorter than the service time is refused by a gate with free slots as well; that is no shortage. */
+/**
+ * Returns whether the gate reported free slots. A gate refuses a deadline shorter than the service time even with free
+ * slots; such a refusal does not indicate a lack of capacity.
+ */
 const hasFreeSlots = (load: GateLoad | undefined): boolean => load !== undefined && load.inFlight < load.capacity;
 
-/** Whether a refusal says that the node has no target that it may use. */
+/** Returns whether a refusal indicates that the node has no usable target. */
 const isAbsence = (reason: RefusalReason): boolean =>
     reason === "Draining" || reason === "NotReady" || reason === "NoTarget" || reason === "UnknownService";
 
@@ -65,8 +80,9 @@
     latencyMs > options.slowFactor * zone.typicalLatencyMs && latencyMs > zone.typicalLatencyMs + MINIMUM_EXCESS_MS;
 
 /**
- * A zone that has lost targets to ejection may be short without any refusal: the rest of its targets queue what they
- * cannot run. One would see one zone's requests wait, and go to the ejected target, while another zone has free slots.
+ * Increases the spill of a zone whose available targets queue requests while others are ejected. Such a zone lacks
+ * capacity although no gate refuses anything. Without the spill, its requests would wait, or go to the ejected target,
+ * while another zone has free slots.
  */
 const spillQueued = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
@@ -130,7 +146,9 @@
     }
 };
 
-/** A refusal is an answer of the node: it is reachable, whatever its target does. */
+/**
+ * Records a refusal. A refusal is a response of the node, so the node is reachable, whatever the state of its target.
+ */
 const learnRefusal = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
@@ -140,8 +158,8 @@
     const { now, options, load } = context;
     markZoneReached(zone, now);
     if (isAbsence(reason)) {
-        // A node without a target refuses at once and reports no load, so that it looks like the least loaded of all;
-        // one would see it draw ever more requests until the directory forgets it.
+        // A node without a target refuses at once and reports no load, so it appears to be the least loaded. Without an
+        // ejection, it would attract more and more requests until the directory removes it.
         markFailed(state, now);
         ejectOrExtend(zone, state, context);
         return;
@@ -166,8 +184,8 @@
     const { now, options, random, isProbe } = context;
     markFailed(state, now);
     markZoneFailed(zone, state.target.nodeId, now, options, random);
-    // What was sent before the ejection fails after it, and tells nothing new; one would see back-offs of half a minute
-    // after a single fault under load.
+    // Requests that were sent before the ejection fail after it and give no new information. If they counted, a single
+    // fault under load would lead to backoffs of half a minute.
     const isTold = state.circuit.state === "closed" ? state.circuit.failures >= options.ejectAfterFailures : isProbe;
     if (isTold) {
         ejectOrExtend(zone, state, context);
@@ -175,8 +193,9 @@
 };
 
 /**
- * Takes in how an answer's body ended. A target that breaks off its answers has answered as far as the outcome goes,
- * and each new head clears its failures; one would see broken answers go on for as long as the fault lasts.
+ * Records how a response body ended. If a target interrupts its responses after the head, their outcomes are still
+ * successes, and each new head clears the earlier failures. Without this separate count, interrupted responses would
+ * continue for as long as the fault lasts.
  */
 export const learnBodyEnd = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
@@ -193,10 +212,10 @@
 };
 
 /**
- * Takes in how long a caller waited for nothing. Calls expire together with the requests that made them, so that their
- * callers always hang up first. If nothing were learnt from that, a target beside a process that is short of processor
- * time would look like the least loaded of all, as what it does not answer leaves it; one would see calls go there and
- * expire while other targets are idle.
+ * Records how long a caller waited before it disconnected without a response. Calls expire together with the requests
+ * that made them, so their callers always disconnect first. If these waits were ignored, a target whose process is
+ * short of processor time would appear to be the least loaded, because unanswered requests no longer count as in flight
+ * there. Calls would then go to this target and expire while other targets are idle.
  */
 const learnWait = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
@@ -208,12 +227,12 @@
     const usualMs = usualLatency(zone, kind);
     if (usualMs > 0 && waitedMs >= TIMEOUT_FACTOR * usualMs) {
         addLatency(state, normaliseLatency(zone, kind, waitedMs), now);
-        // As with a timeout, three in a row without any answer between them eject.
+        // As with timeouts, `ejectAfterFailures` consecutive waits without a response between them lead to an ejection.
         learnFailure(zone, state, context);
     }
 };
 
-/** Updates what is known of the target and its zone; may eject or readmit the target. */
+/** Updates the state of the target and its zone. It may eject or readmit the target. */
 export const learnOutcome = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
--- a/packages/oleandergap-routing/src/nearTarget.ts
+++ b/packages/oleandergap-routing/src/nearTarget.ts
@@ -1,8 +1,10 @@
 /**
- * Prefers targets nearby while they have room. An answer from the own VM costs neither a second hop nor bytes between
- * availability zones, and one from the own zone no such bytes; a target that is nearly full is not worth that. The load
- * of the own VM's target is known exactly, so that there a single free slot is room enough: under load, when processor
- * time is dearest, the second hop would otherwise be made for every request.
+ * Prefers local targets while they have free slots. A response from the local VM needs no second hop and no traffic
+ * between availability zones; a response from the local zone needs no such traffic. A nearly full target is not
+ * preferred, because the added latency would outweigh this saving.
+ *
+ * The load of the target on the local VM is known exactly, so a single free slot suffices there. With a stricter limit,
+ * every request would take the second hop under load, just when processor time is scarcest.
  */
 import type { NodeId, ZoneName } from "oleandergap-types";
 import { rankByRendezvous } from "oleandergap-utils";
@@ -12,19 +14,22 @@
 import { scoreTarget, type TargetState } from "./targetState.js";
 import type { Candidates } from "./zoneCandidates.js";
 
-/** Where a node stands, and how full a target nearby may be. */
+/** Position of this node, and the load limits up to which local targets are preferred. */
 export interface Nearness {
     readonly ownNode: NodeId | undefined;
     readonly ownZone: ZoneName;
-    /** Highest expected load per slot at which a target nearby is chosen; 0 switches the preference off. */
+    /** Highest expected load per slot at which a local target is chosen; 0 disables the preference. */
     readonly nearLoad: number;
-    /** The same for the target on the own VM. */
+    /** Like `nearLoad`, for the target on the local VM. */
     readonly ownLoad: number;
-    /** How many times as loaded as one further away a target nearby may be when none nearby has room. */
+    /**
+     * Factor by which a local target may be more loaded than a remote one and still be chosen, when no local target has
+     * a free slot.
+     */
     readonly nearAdvantage: number;
 }
 
-/** What the settings say; a `nearLoad` of 0 switches all preference for what is near off. */
+/** Creates the preference from the settings. A `nearLoad` of 0 disables every preference for local targets. */
 export const createNearness = (
     { nearLoad, ownLoad, nearAdvantage }: PickerOptions,
     ownNode: NodeId | undefined,
@@ -33,19 +38,22 @@
     { ownNode, ownZone, nearLoad, ownLoad: 0, nearAdvantage: 0 } :
     { ownNode, ownZone, nearLoad, ownLoad, nearAdvantage };
 
-/** Targets nearby that are looked at for one request, so that a choice costs the same in a large zone. */
+/**
+ * Maximum number of local targets that are scored per request, so that the cost does not grow with the size of the
+ * zone.
+ */
 const MAXIMUM_LOOKS = 8;
 
 const isOwn = <Target extends RoutableTarget>({ target }: TargetState<Target>, { ownNode }: Nearness): boolean =>
     target.nodeId === ownNode;
 
 /**
- * The targets of the own VM and zone: the own VM's first, the others in an order of this node's own, which hardly
- * changes when one comes or goes.
+ * Lists the targets of the local zone: first the one on the local VM, then the others in an order that is specific to
+ * this node and hardly changes when a target is added or removed.
  *
- * Only the first few are looked at. If all nodes listed them in the same order, those few would get nearly all requests
- * of a large zone: with 40 nodes and 20 targets 5 would get all of a calm load. With an order of its own each
- * node still uses few targets, over connections that it has open.
+ * Only the first few targets of the list are scored. If all nodes used the same order, those few would receive nearly
+ * all requests of a large zone: with 40 nodes and 20 targets, 5 targets would receive all requests at low load. With a
+ * node-specific order, each node still uses few targets, over connections that are already open.
  */
 export const listNearTargets = <Target extends RoutableTarget>(
     states: Iterable<TargetState<Target>>,
@@ -59,15 +67,18 @@
     ];
 };
 
-/** A target nearby, with its expected load per slot. */
+/** A local target with its expected load per slot. */
 interface NearTarget<Target extends RoutableTarget> {
     readonly state: TargetState<Target>;
     readonly load: number;
-    /** Whether it is chosen without a look at the others. */
+    /** Whether the target is chosen without a comparison with other targets. */
     readonly hasRoom: boolean;
 }
 
-/** The least loaded one, or the own VM's while that has room; one that has just started is left to the slow start. */
+/**
+ * Returns the target on the local VM while that has a free slot, else the least loaded local target. Targets in slow
+ * start are skipped, because sampling limits their share.
+ */
 const findNearTarget = <Target extends RoutableTarget>(
     near: readonly TargetState<Target>[],
     nearness: Nearness,
@@ -91,8 +102,9 @@
 };
 
 /**
- * A target nearby that has room, else one drawn from all, unless a target nearby is hardly more loaded than that. In an
- * overload no target has room; drawn from all, nearly every request would then cross the availability zones.
+ * Returns a local target with a free slot, or else a target sampled from all targets, unless a local target is hardly
+ * more loaded than the sampled one. In an overload no target has a free slot; without this exception, nearly every
+ * request would then cross availability zones.
  */
 export const chooseTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
--- a/packages/oleandergap-routing/src/pickRequest.ts
+++ b/packages/oleandergap-routing/src/pickRequest.ts
@@ -1,9 +1,9 @@
-/** What the choice of a target needs to know of a request on its way. */
+/** Converts a request execution into the input of the target picker. */
 import type { AttemptHistory } from "./attemptHistory.js";
 import type { RequestExecution } from "./requestExecution.js";
 import type { PickRequest, RoutableTarget } from "./target.js";
 
-/** Without a history, the request has tried nothing yet. */
+/** Returns the input of the target picker. Without a history, no target counts as tried. */
 export const toPickRequest = <Target extends RoutableTarget>(
     { service, row, targets, idempotent, replayable, kind }: RequestExecution<Target>,
     history?: AttemptHistory,
--- a/packages/oleandergap-routing/src/serviceState.ts
+++ b/packages/oleandergap-routing/src/serviceState.ts
@@ -1,4 +1,4 @@
-/** What one node knows of one service; rebuilt when the service's row or its targets change. */
+/** State that one node keeps about one service. It is rebuilt when the service's row or targets change. */
 import type { Clock, NodeId, ServiceRow, ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { listNearTargets, type Nearness } from "./nearTarget.js";
@@ -14,15 +14,15 @@
     row: ServiceRow | undefined;
     targets: readonly Target[] | undefined;
     states: Map<NodeId, TargetState<Target>>;
-    /** Kept also for zones without targets at the moment, so that what is known of them survives. */
+    /** Includes zones that have no targets at the moment, so that their state is kept. */
     readonly allZones: Map<ZoneName, ZoneState<Target>>;
-    /** Zones that may be chosen: with a weight and with targets. */
+    /** Zones that may be chosen: those with a weight and targets. */
     zones: readonly ZoneState<Target>[];
-    /** Targets of the own VM and zone; empty unless targets are placed by load. */
+    /** Targets on the local VM and in the local zone. Empty unless targets are placed by load. */
     near: readonly TargetState<Target>[];
 }
 
-/** What a rebuild depends on besides row and targets. */
+/** Inputs of a rebuild besides the row and the targets. */
 export interface RebuildContext {
     readonly clock: Clock;
     readonly random: Random;
@@ -30,7 +30,7 @@
     readonly callerSpread: CallerSpread;
 }
 
-/** Starts without targets. */
+/** Creates the state of a service without targets. */
 export const createServiceState = <Target extends RoutableTarget>(): ServiceState<Target> => ({
     row: undefined,
     targets: undefined,
@@ -55,8 +55,9 @@
 };
 
 /**
- * Stands for all availability zones where targets are chosen by load alone. Within one group the less loaded target
- * wins wherever it stands; split by zone, a zone with one target of a service would get as much as one with three.
+ * Represents all availability zones together where targets are chosen by load alone. Within one group, the less loaded
+ * target is chosen in whichever zone it is. With a group per zone, a zone with one target of a service would receive as
+ * many requests as a zone with three.
  */
 const ALL_ZONES: ZoneName = "";
 
@@ -85,19 +86,22 @@
     let zone = service.allZones.get(name);
     if (zone === undefined) {
         zone = createZoneState<Target>(name, clock.monotonic());
-        // Nodes that start together would otherwise all send their first requests to the same zone.
+        // Without a random start value, nodes that start together would all send their first requests to the same zone.
         zone.credit = random();
         service.allZones.set(name, zone);
     }
     return zone;
 };
 
-/** A directory may hand out a new array of the same records; comparing them is far cheaper than a rebuild. */
+/**
+ * Compares two lists by their items. A directory may return a new array of the same records, and this comparison is far
+ * cheaper than a rebuild.
+ */
 const isSameList = <Item>(left: readonly Item[] | undefined, right: readonly Item[]): boolean =>
     left === right ||
     (left?.length === right.length && left.every((item, index) => item === right[index]));
 
-/** Takes in a new row or new targets; does nothing when both are the ones known. */
+/** Applies a new row or new targets. Does nothing if neither has changed. */
 export const refreshService = <Target extends RoutableTarget>(
     service: ServiceState<Target>,
     row: ServiceRow,
@@ -127,7 +131,7 @@
     service.near = row.placement === "load" ? listNearTargets(service.states.values(), context.nearness) : [];
 };
 
-/** A zone without targets leaves its share to the others in proportion to their weights. */
+/** Distributes the shares of zones without targets over the other zones, in proportion to their weights. */
 const normaliseShares = <Target extends RoutableTarget>(
     zones: readonly ZoneState<Target>[],
 ): readonly ZoneState<Target>[] => {
--- a/packages/oleandergap-routing/src/target.ts
+++ b/packages/oleandergap-routing/src/target.ts
@@ -1,4 +1,4 @@
-/** What routing needs to know of targets, and what it learns from attempts. */
+/** Describes targets, the requests for which a target is picked, and the reports about the attempts. */
 import type {
     GateLoad,
     Milliseconds,
@@ -9,91 +9,110 @@
     ZoneName,
 } from "oleandergap-types";
 
-/** A target as the directory lists it. */
+/** A target as listed in the target directory. */
 export interface RoutableTarget {
     readonly nodeId: NodeId;
     readonly zone: ZoneName;
     readonly slots: number;
     readonly leaving: boolean;
-    /** Wall-clock time of the first announcement. */
+    /** Wall-clock time of the target's first announcement. */
     readonly since: Milliseconds;
 }
 
-/** What is known of a request when its target is chosen. */
+/** Properties of a request that are available when its target is picked. */
 export interface PickRequest<Target extends RoutableTarget> {
     readonly service: ServiceReference;
     readonly row: ServiceRow;
-    /** The same records as long as nothing changed, at best in the same array; others make the picker rebuild. */
+    /**
+     * The service's targets. The records must stay the same objects while nothing changes, preferably in the same
+     * array; new objects make the picker rebuild its state.
+     */
     readonly targets: readonly Target[];
-    /** Nodes that this request has tried. */
+    /** Nodes that this request has already been sent to. */
     readonly exclude: readonly NodeId[];
-    /** A zone to leave out while another one can serve, after a refusal for want of capacity there. */
+    /**
+     * Zone that is skipped while another zone can serve the request, because it refused the request for lack of
+     * capacity.
+     */
     readonly avoidZone?: ZoneName | undefined;
-    /** Whether the request may be sent again if its answer is lost; such requests go first to targets on probation. */
+    /**
+     * Whether the request may be sent again if its response is lost. Such requests are preferred as probes of ejected
+     * targets.
+     */
     readonly canResend: boolean;
-    /** Requests of one kind take about the same time; all are alike when it is not given. */
+    /**
+     * Kind of the request. Requests of one kind take about the same time; without a kind, all requests are treated
+     * alike.
+     */
     readonly kind?: string | undefined;
 }
 
-/** How an attempt ended, as far as it tells something of the target. */
+/** Result of an attempt, as far as it says something about the target. */
 export type AttemptOutcome =
     | { readonly kind: "Answered"; readonly latencyMs: Milliseconds }
     | { readonly kind: "Refused"; readonly reason: RefusalReason }
     | { readonly kind: "ConnectFailed" }
-    /** The answer did not come or broke off; a timeout says little if the usual service takes longer. */
+    /**
+     * The response did not arrive or was interrupted. A timeout says little about the target if the service usually
+     * takes longer than that.
+     */
     | { readonly kind: "AnswerLost"; readonly waitedMs: Milliseconds; readonly isTimeout: boolean }
     /**
-     * The caller hung up, or the request was at fault. A caller that hung up after `waitedMs` shows that the answer
-     * would have taken longer; it counts like a timeout.
+     * The caller disconnected, or the request was invalid. If the caller disconnected after `waitedMs`, the response
+     * would have taken longer than that, so the attempt is treated like a timeout.
      */
     | { readonly kind: "Abandoned"; readonly waitedMs?: Milliseconds };
 
-/** What an attempt tells of its target besides its outcome. */
+/** Receives events of an attempt that occur before or after its outcome. */
 export interface AttemptProgress {
-    /** The request finds out whether an ejected target is well again; it had better not wait long for a sign. */
+    /** Whether the request probes an ejected target. A probe should wait only briefly for a heartbeat. */
     readonly isProbe: boolean;
-    /** From now on the target's gate gives signs of life at regular distances until it answers. */
+    /** Records that the target's gate sends heartbeats at regular intervals until it responds. */
     readonly expectSigns: () => void;
-    /** A sign of life came. */
+    /** Records a heartbeat. */
     readonly heard: () => void;
     /**
-     * No sign came within the limit: other requests avoid the target until it gives one. True if the target was known
-     * to be silent already, so that another try at the same target is pointless.
+     * Records that no heartbeat arrived within the limit. Other requests avoid the target until its next heartbeat.
+     * Returns true if the target was already known to be unresponsive, so that another try at the same target is
+     * pointless.
      */
     readonly silent: () => boolean;
-    /** The answer's body ended, or broke off through no fault of the caller, after the outcome was reported. */
+    /**
+     * Records that the response body ended completely (`isWhole`) or was interrupted through no fault of the caller. It
+     * is called after the outcome was reported.
+     */
     readonly bodyEnded: (isWhole: boolean) => void;
 }
 
-/** A chosen target. Each pick must be reported once. */
+/** A picked target. The outcome of each pick must be reported once. */
 export interface TargetPick<Target extends RoutableTarget> {
     readonly target: Target;
     readonly progress: AttemptProgress;
-    /** Takes in the outcome and, if the gate answered, its load; further calls do nothing. */
+    /** Records the outcome and, if the gate responded, its load. Further calls have no effect. */
     readonly report: (outcome: AttemptOutcome, load?: GateLoad) => void;
 }
 
-/** Chooses targets, and learns from how the attempts end. */
+/** Picks targets and updates its state with the outcomes of the attempts. */
 export interface TargetPicker<Target extends RoutableTarget> {
-    /** Chooses the next target, undefined when the table and `exclude` leave none. */
+    /** Picks the next target. Returns undefined when the table and `exclude` leave none. */
     readonly pick: (request: PickRequest<Target>) => TargetPick<Target> | undefined;
     /**
-     * Whether a target that the request has not tried is believed to have a free slot. Only known where targets are
-     * placed by load; with weights the share of each zone decides, whatever room there is.
+     * Returns whether a target that the request has not been sent to is expected to have a free slot. Always false
+     * unless targets are placed by load: with weights, each zone receives its share whether it has free slots or not.
      */
     readonly hasRoom: (request: PickRequest<Target>) => boolean;
-    /** When a caller had better come back after no target could be reached. */
+    /** Returns the retry delay to suggest to a caller when no target could be reached. */
     readonly retryAfter: (service: ServiceReference) => Milliseconds;
-    /** What the picker thinks of a service's zones, for metrics. */
+    /** Returns the picker's view of a service's zones, for metrics. */
     readonly zones: (service: ServiceReference) => readonly ZoneSummary[];
 }
 
-/** One zone of a service, as the picker sees it. */
+/** State of one zone of a service, as seen by the picker. */
 export interface ZoneSummary {
     readonly zone: ZoneName;
     readonly targets: number;
     readonly ejected: number;
-    /** Share of the zone's requests that goes elsewhere for want of capacity, from 0 to 1. */
+    /** Share of the zone's requests that is sent to other zones for lack of capacity, from 0 to 1. */
     readonly spill: number;
     readonly isReachable: boolean;
 }
--- a/packages/oleandergap-routing/src/targetPicker.ts
+++ b/packages/oleandergap-routing/src/targetPicker.ts
@@ -1,4 +1,6 @@
-/** Chooses targets: the zone by the table's weights, within it the less loaded of two random candidates. */
+/**
+ * Picks targets: first a zone by the weights of the table, then the less loaded of two random candidates in that zone.
+ */
 import { formatServiceReference, type Clock, type Milliseconds, type NodeId, type ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { createProgress, type Choice } from "./attemptProgress.js";
@@ -13,15 +15,18 @@
 import { chooseZone } from "./zoneChoice.js";
 import { fadeSpill, noteZoneProbe, usualLatency, type ZoneState } from "./zoneState.js";
 
-/** A target that owes answers for this many usual latencies counts as silent, if that is longer than the setting. */
+/**
+ * A target that has sent no response for this many typical latencies counts as unresponsive, if that is longer than
+ * `silenceMs`.
+ */
 const SILENCE_FACTOR = 10;
 
-/** Expected load per slot up to which one request more finds a free slot. */
+/** Expected load per slot up to which one more request finds a free slot. */
 const FULL_LOAD = 1;
 
-/** What a picker works with. */
+/** Dependencies of a target picker. */
 export interface TargetPickerDependencies {
-    /** Undefined where no target stands on this node's VM. */
+    /** This node, or undefined when no target runs on its VM. */
     readonly ownNode?: NodeId;
     readonly ownZone: ZoneName;
     readonly clock: Clock;
@@ -39,7 +44,7 @@
     isReachable: circuit.state === "closed",
 });
 
-/** Creates the picker of one node; it serves all services. */
+/** Creates the target picker of one node. It serves all services. */
 export const createTargetPicker = <Target extends RoutableTarget>({
     ownNode,
     ownZone,
@@ -85,7 +90,10 @@
         return state === undefined ? undefined : { zone, state, isProbe: probed !== undefined };
     };
 
-    /** The chosen zone first; the others serve when the request has been to all of its targets. */
+    /**
+     * Picks a target in the chosen zone, or in another zone if the request has already been sent to all targets of the
+     * chosen zone.
+     */
     const choose = (request: PickRequest<Target>, now: Milliseconds): Choice<Target> | undefined => {
         const { zones, near } = stateOf(request);
         for (const zone of zones) {
--- a/packages/oleandergap-routing/src/targetState.ts
+++ b/packages/oleandergap-routing/src/targetState.ts
@@ -1,74 +1,84 @@
-/** What one node knows of one target: load, latency, failures, age. */
+/** State that one node keeps about one target: load, latency, failures and age. */
 import type { Clock, GateLoad, Milliseconds } from "oleandergap-types";
 import { createCircuit, type Circuit } from "./circuit.js";
 import type { RoutableTarget } from "./target.js";
 
-/** Weight of the newest latency in the running average. */
+/** Weight of the newest latency in the exponential moving average. */
 const LATENCY_WEIGHT = 0.2;
-/** A fresh failure since the last success counts as this many requests in flight. */
+/** Number of requests in flight that a recent failure since the last success counts as. */
 const FAILURE_PENALTY = 2;
-/** A silent target counts as this many requests more, which leaves it to be chosen only among its like. */
+/**
+ * Number of requests in flight that an unresponsive target is charged. It is chosen only if the other candidate is
+ * unresponsive as well.
+ */
 const SILENCE_PENALTY = 1_000_000;
-/** Latencies up to this multiple of the zone's usual one are taken for chance. */
+/** Latencies up to this multiple of the zone's typical latency are treated as normal variation. */
 const USUAL_VARIATION = 2;
-/** A single long request, such as an upload, must not keep a target idle while the others are full. */
+/**
+ * Upper bound of the slowness factor. Without it, a single long request, such as an upload, would keep a target idle
+ * while the others are full.
+ */
 const MAXIMUM_SLOWNESS = 8;
-/** A latency that was seen so long ago says nothing of the target any more. */
+/** Age at which a latency measurement no longer says anything about the target. */
 const LATENCY_LIFETIME_MS = 10_000;
-/** Weight of the newest request in the part that is refused: about the last twenty count. */
+/** Weight of the newest request in the refused share: about the last twenty requests count. */
 const REFUSED_PART_WEIGHT = 0.05;
-/** However much a target refuses, its load counts for at most ten times as much. */
+/** Lower bound of the accepted share. However much a target refuses, its load is multiplied by ten at most. */
 const MINIMUM_ACCEPTED_PART = 0.1;
-/** Share of a target that has just started. */
+/** Traffic share of a target that has just started. */
 const MINIMUM_SLOW_START_SHARE = 0.1;
 
-/** Changes with every request; times are on the monotonic clock. */
+/** State of one target. It changes with every request; times are on the monotonic clock. */
 export interface TargetState<Target extends RoutableTarget> {
     target: Target;
     readonly circuit: Circuit;
-    /** Place among its zone's candidates; -1 while it is ejected. */
+    /** Position in the `open` list of the zone's candidates; -1 while the target is ejected. */
     index: number;
-    /** Requests of this node that are out at the target. */
+    /** Number of requests from this node that are in flight at the target. */
     inFlight: number;
-    /** Sum of the times at which these were sent, for their mean age. */
+    /** Sum of the times at which the requests in flight were sent, for computing their mean age. */
     sentAtSum: Milliseconds;
-    /** Sum of the times that these usually take. */
+    /** Sum of the typical latencies of the requests in flight. */
     usualSum: Milliseconds;
-    /** Whether its gate gives signs of life while it works on a request. */
+    /** Whether the target's gate sends heartbeats while it processes a request. */
     givesSigns: boolean;
-    /** Ejected because its gate gave no sign within the limit; the next sign or answer ends it. */
+    /**
+     * Whether the target is ejected because its gate sent no heartbeat within the limit. The next heartbeat or response
+     * ends this ejection.
+     */
     isSilent: boolean;
-    /** Requests of others at the target when its gate last reported. */
+    /** Number of requests from other nodes at the target when its gate last reported its load. */
     othersInFlight: number;
     reportedAt: Milliseconds;
-    /** Requests that the target runs at once, as announced or last reported. */
+    /** Number of requests that the target runs concurrently, as announced or last reported. */
     capacity: number;
-    /** Running average; 0 while nothing is known. */
+    /** Exponential moving average; 0 while no latency was measured. */
     latencyMs: Milliseconds;
     answers: number;
     answeredAt: Milliseconds;
-    /** Answers in a row that were far slower than usual in the zone. */
+    /** Number of consecutive responses that were far slower than typical for the zone. */
     slowInARow: number;
-    /** Answers in a row that broke off after their heads. */
+    /** Number of consecutive responses whose bodies were interrupted after the response head. */
     cutsInARow: number;
     failedAt: Milliseconds;
-    /** Part of this node's requests that the gate lately refused for want of capacity. */
+    /** Share of this node's recent requests that the gate refused for lack of capacity. */
     refusedPart: number;
     refusedPartAt: Milliseconds;
-    /** Since when the target owes answers and has given none. */
+    /** Time since which the target has had requests in flight without sending any response or heartbeat. */
     waitingSince: Milliseconds;
-    /** Start of its slow start, on the monotonic clock. */
+    /** Time at which the target's slow start began, on the monotonic clock. */
     startedAt: Milliseconds;
 }
 
 /**
- * The announced start is another VM's wall clock. A clock that runs ahead would keep a target young for ever, so the
- * start is never taken to lie after the moment at which this node first saw the target.
+ * Converts the announced start time to the monotonic clock. The announcement carries the wall clock of another VM. If
+ * that clock runs ahead, the target would stay in slow start for ever, so the start is never assumed to be later than
+ * the time at which this node first saw the target.
  */
 const estimateStart = (since: Milliseconds, clock: Clock): Milliseconds =>
     clock.monotonic() - Math.max(0, clock.now() - since);
 
-/** A target that nothing is known of yet. */
+/** Creates the state of a target that has not been used yet. */
 export const createTargetState = <Target extends RoutableTarget>(
     target: Target,
     clock: Clock,
@@ -96,7 +106,7 @@
     startedAt: estimateStart(target.since, clock),
 });
 
-/** Takes in a new record of the same node's target; another start time means another target. */
+/** Applies a new directory record of the same node. A different start time means that the target was replaced. */
 export const updateTarget = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     target: Target,
@@ -113,7 +123,7 @@
     state.target = target;
 };
 
-/** A request goes out to the target. */
+/** Records that a request was sent to the target. */
 export const markSent = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     now: Milliseconds,
@@ -127,14 +137,14 @@
     state.usualSum += usualMs;
 };
 
-/** A request that is out at a target. */
+/** A request in flight at a target. */
 export interface SentRequest {
     readonly sentAt: Milliseconds;
-    /** What its kind usually took when it was sent. */
+    /** Typical latency of the request's kind at the time of sending. */
     readonly usualMs: Milliseconds;
 }
 
-/** A request has ended, with the load if the gate told it. */
+/** Records the end of an attempt and the load that the gate reported, if any. */
 export const markBack = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     load: GateLoad | undefined,
@@ -152,7 +162,7 @@
     }
 };
 
-/** Takes in the latency of an answer. */
+/** Adds the latency of a response to the moving average. */
 export const addLatency = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     latencyMs: Milliseconds,
@@ -163,7 +173,7 @@
     state.latencyMs += (latencyMs - state.latencyMs) * (state.answers === 1 ? 1 : LATENCY_WEIGHT);
 };
 
-/** Takes in whether the gate had capacity for a request. */
+/** Records whether the gate refused a request for lack of capacity. */
 export const noteCapacity = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     isRefused: boolean,
@@ -173,32 +183,32 @@
     state.refusedPartAt = now;
 };
 
-/** Takes in a failure to connect or a lost answer. */
+/** Records a failure to connect or a lost response. */
 export const markFailed = <Target extends RoutableTarget>(state: TargetState<Target>, now: Milliseconds): void => {
     state.circuit.failures += 1;
     state.failedAt = now;
 };
 
-/** Share of its full load that the target gets by its age, from 0.1 to 1. */
+/** Returns the share of its full load, from 0.1 to 1, that a target gets according to its age. */
 export const slowStartShare = (startedAt: Milliseconds, now: Milliseconds, slowStartMs: Milliseconds): number =>
     slowStartMs === 0 ? 1 : Math.min(1, Math.max(MINIMUM_SLOW_START_SHARE, (now - startedAt) / slowStartMs));
 
-/** What a score depends on besides the target. */
+/** Inputs of a score besides the target. */
 export interface ScoreContext {
     readonly now: Milliseconds;
     readonly loadReportLifetimeMs: Milliseconds;
-    /** Time without any answer from which on a target that owes some is avoided. */
+    /** Time without any response after which a target with requests in flight is avoided. */
     readonly silenceMs: Milliseconds;
-    /** The same for a target that gives signs of life. */
+    /** Like `silenceMs`, for a target whose gate sends heartbeats. */
     readonly missedSignsMs: Milliseconds;
-    /** Usual latency in the zone; 0 while nothing is known. */
+    /** Typical latency of the zone; 0 while no latency was measured. */
     readonly typicalLatencyMs: Milliseconds;
 }
 
 /**
- * How many times slower than usual the target is, from 1: by its last answers, and by the age of the requests that it
- * has not answered yet. Without the age a target that turns slow would draw its full share until its first slow
- * answers arrive; one would see requests pile up there for several times the usual latency.
+ * Returns how many times slower than typical the target is, at least 1. It takes the latest responses and the age of
+ * the requests in flight into account. Without the age, a target that becomes slow would receive its full share until
+ * its first slow responses arrive, and requests would pile up there for several times the typical latency.
  */
 const slownessOf = <Target extends RoutableTarget>(
     state: TargetState<Target>,
@@ -207,10 +217,11 @@
     if (typicalLatencyMs === 0) {
         return 1;
     }
-    // Measured by what the requests usually take: a target that runs long ones is not slow for that.
+    // The age is divided by the typical latency of the requests in flight, so that a target with long requests does not
+    // count as slow.
     const ageSum = now * state.inFlight - state.sentAtSum;
     const relativeAge = state.usualSum > 0 ? ageSum / state.usualSum : 0;
-    // What was seen long ago must not keep a target from the requests that would show it to be well again.
+    // Old measurements lose their weight, so that a recovered target receives the requests that show its recovery.
     const freshness = Math.max(0, 1 - (now - state.answeredAt) / LATENCY_LIFETIME_MS);
     const relativeLatency = (state.latencyMs * freshness) / typicalLatencyMs;
     const expected = Math.max(relativeAge, relativeLatency);
@@ -218,9 +229,9 @@
 };
 
 /**
- * Expected load per slot if the target got one request more; the lower one of two is chosen. What the gate reported of
- * others' requests fades with age, because a report says nothing of now once it is older than a few requests; the own
- * requests in flight are exact.
+ * Returns the expected load per slot if the target received one more request. Of two candidates, the one with the lower
+ * score is chosen. The reported load from other nodes decays with the age of the report, because a report is outdated
+ * after a few requests; the number of this node's own requests in flight is exact.
  */
 export const scoreTarget = <Target extends RoutableTarget>(
     state: TargetState<Target>,
@@ -228,16 +239,18 @@
 ): number => {
     const { now, loadReportLifetimeMs, silenceMs, missedSignsMs } = context;
     const freshnessOf = (time: Milliseconds): number => Math.max(0, 1 - (now - time) / loadReportLifetimeMs);
-    // A frozen process keeps its connections open and answers nothing. Its requests fail only at their deadlines, and
-    // until then no failure is counted; one would see calls hang one after the other. Silence shows it much sooner.
+    // A frozen process keeps its connections open and sends no response. Its requests fail only at their deadlines, and
+    // no failure is counted until then, so that one request after the other would hang. The missing responses or
+    // heartbeats reveal the fault much sooner.
     const isSilent = state.inFlight > 0 && now - state.waitingSince > (state.givesSigns ? missedSignsMs : silenceMs);
-    // The penalty fades as well. If it did not, a target that failed once would lose every comparison from then on, and
-    // never get the request that clears it: one would see an idle target among busy ones.
+    // The failure penalty decays as well. Without the decay, a target that failed once would lose every later
+    // comparison and never receive the request that clears the penalty: it would stay idle among busy targets.
     const failures = FAILURE_PENALTY * state.circuit.failures * freshnessOf(state.failedAt);
     const others = state.othersInFlight * freshnessOf(state.reportedAt);
     const load = state.inFlight + others + failures + 1 + (isSilent ? SILENCE_PENALTY : 0);
-    // Gates bound their queues by the objective, so that all full targets report about the same load, whatever is asked
-    // of them. Only what they refuse tells how much that is; by load alone, a zone with one target would be left to it.
+    // Gates limit their queues by the objective, so all full targets report about the same load, however many requests
+    // they receive. Only the refused share shows the difference. By load alone, local callers would all stay with the
+    // only target of a zone, however much it refuses.
     const acceptedPart = Math.max(MINIMUM_ACCEPTED_PART, 1 - state.refusedPart * freshnessOf(state.refusedPartAt));
     return load * slownessOf(state, context) / Math.max(1, state.capacity) / acceptedPart;
 };
--- a/packages/oleandergap-routing/src/zoneCandidates.ts
+++ b/packages/oleandergap-routing/src/zoneCandidates.ts
@@ -1,4 +1,4 @@
-/** The targets of one service in one zone: who may be chosen, who is ejected. */
+/** Tracks which targets of a service in one zone are available and which are ejected. */
 import type { Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { closeCircuit, isProbeDue, openCircuit, reduceTrips, startProbe } from "./circuit.js";
@@ -6,23 +6,23 @@
 import type { RoutableTarget } from "./target.js";
 import type { TargetState } from "./targetState.js";
 
-/** At most this part of a zone's targets is ejected. */
+/** Maximum share of a zone's targets that may be ejected. */
 const MAXIMUM_EJECTED_PART = 0.5;
-/** An ejected target that is this many times faster than another one returns in its place. */
+/** An ejected target that is this many times faster than another target is readmitted in its place. */
 const WORSE_FACTOR = 2;
 
-/** Targets that take requests (`open`) and those that are ejected; each target is in one of the two. */
+/** Available targets (`open`) and ejected targets. Each target is in exactly one of the two lists. */
 export interface Candidates<Target extends RoutableTarget> {
     readonly zone: ZoneName;
     readonly open: TargetState<Target>[];
     readonly ejected: TargetState<Target>[];
-    /** When the first of the ejected may be probed. */
+    /** Time at which the first ejected target may be probed. */
     nextProbeAt: Milliseconds;
-    /** Start of the oldest target; slow start is measured against it. */
+    /** Start time of the oldest target, the reference for the slow start of the others. */
     oldestStartedAt: Milliseconds;
 }
 
-/** Sorts targets by the state of their circuits. */
+/** Creates the lists by the circuit states of the targets. */
 export const createCandidates = <Target extends RoutableTarget>(
     zone: ZoneName,
     states: readonly TargetState<Target>[],
@@ -46,7 +46,7 @@
     return candidates;
 };
 
-/** Open and ejected ones. */
+/** Returns the number of available and ejected targets. */
 export const countTargets = <Target extends RoutableTarget>({ open, ejected }: Candidates<Target>): number =>
     open.length + ejected.length;
 
@@ -99,7 +99,7 @@
     return true;
 };
 
-/** Ends an ejection; the target starts slowly, as a young one does. */
+/** Ends an ejection. The target goes through the slow start again. */
 export const readmitTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     state: TargetState<Target>,
@@ -111,7 +111,7 @@
     }
 };
 
-/** A target that was ejected for being slow, and that is far better than `worse`. */
+/** Finds a target that was ejected as slow and is much better than `worse`. */
 const findBetterEjected = <Target extends RoutableTarget>(
     { ejected }: Candidates<Target>,
     worse: TargetState<Target>,
@@ -121,9 +121,9 @@
 });
 
 /**
- * Takes a target out of the choice, unless half of the zone's targets are out already. One of these returns if it is
- * far better: otherwise a good target that was ejected for a few slow answers would keep a bad one in. One would see
- * a small zone stay slow although its other target is well.
+ * Ejects a target, unless half of the zone's targets are ejected already. In that case, an ejected target that is much
+ * better is readmitted in its place. Otherwise a good target that was ejected after a few slow responses would keep a
+ * bad target available, and a small zone would stay slow although its other target is healthy.
  */
 export const ejectTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
@@ -149,13 +149,14 @@
     addEjected(candidates, state);
 };
 
-/** A target is slow for itself only if it is so many times slower than the middle one of the others. */
+/** A target is an outlier only if it is this many times slower than the median of the other targets. */
 const OUTLIER_FACTOR = 2;
 
 /**
- * Whether a target is slower than the others, and not just slow as they all are. Runs take long at every target when a
- * service that they call is cut off or overloaded. If that ejected them, half of the good targets would go, and those
- * that are really cut off could not be ejected any more; one would see requests wait for these beside idle targets.
+ * Returns whether a target is slower than the other targets. When a service that the targets call is unreachable or
+ * overloaded, runs take long at every target. If that caused ejections, half of the healthy targets would be ejected,
+ * and targets that are really unreachable could not be ejected any more: requests would wait for these beside idle
+ * targets.
  */
 export const isSlowerThanOthers = <Target extends RoutableTarget>(
     { open }: Candidates<Target>,
@@ -166,7 +167,7 @@
     return middle === undefined || state.latencyMs > OUTLIER_FACTOR * middle;
 };
 
-/** After a failed probe. */
+/** Extends an ejection after a failed probe. */
 export const extendEjection = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     state: TargetState<Target>,
@@ -179,9 +180,9 @@
 };
 
 /**
- * Takes a target out whose gate gave no sign of life, however many are out already: what is sent to a frozen process
- * hangs until its deadline, and a request that must not run twice is then lost. One would see such requests pile up
- * there until the first of them failed.
+ * Ejects a target whose gate sent no heartbeat within the limit, regardless of how many targets are ejected already.
+ * Requests that are sent to a frozen process hang until their deadlines, and requests that must not run twice are then
+ * lost. Without the ejection, such requests would pile up there until the first of them failed.
  */
 export const silenceTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
@@ -199,7 +200,10 @@
     addEjected(candidates, state);
 };
 
-/** A silent target gave a sign: it takes its full part again at once, since a short stall says nothing of its state. */
+/**
+ * Ends the ejection of an unresponsive target after a heartbeat or response. The target returns without a slow start,
+ * because a short stall says nothing about its health.
+ */
 export const endSilence = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     state: TargetState<Target>,
@@ -213,7 +217,7 @@
     returnTarget(candidates, state);
 };
 
-/** Lets all ejected targets be probed now, when the cause of their failures has gone. */
+/** Makes all ejected targets due for a probe, after the cause of their failures has gone. */
 export const shortenEjections = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     now: Milliseconds,
@@ -226,7 +230,7 @@
     refreshNextProbe(candidates);
 };
 
-/** The ejected target that this request may probe, marked as being probed. */
+/** Returns an ejected target that this request may probe, and marks it as being probed. */
 export const takeProbe = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     now: Milliseconds,
@@ -236,7 +240,8 @@
     if (now < candidates.nextProbeAt) {
         return undefined;
     }
-    // Each probe of a silent target holds a request up for the whole limit; one at a time bounds that cost.
+    // Each probe of an unresponsive target delays a request by the full heartbeat timeout. Limiting these probes to one
+    // at a time bounds the cost.
     const isHeldUp = candidates.ejected.some(({ circuit, isSilent }) =>
         isSilent && circuit.state === "probing" && now < circuit.probeAt);
     const due = candidates.ejected.find((state) =>
--- a/packages/oleandergap-routing/src/zoneChoice.ts
+++ b/packages/oleandergap-routing/src/zoneChoice.ts
@@ -1,4 +1,7 @@
-/** Chooses the zone of the next request: planned shares, less what cut-off or short zones cannot take. */
+/**
+ * Chooses the zone of the next request by the planned shares, reduced by what unreachable or overloaded zones cannot
+ * serve.
+ */
 import type { Milliseconds, ZoneName } from "oleandergap-types";
 import type { RoutableTarget } from "./target.js";
 import { isZoneUsable, type ZoneState } from "./zoneState.js";
@@ -32,8 +35,9 @@
 };
 
 /**
- * Smooth weighted rotation: after any number of picks each zone has had its exact share, give or take a few requests.
- * A random choice would honour the weights only on average, and a service with few requests would see the difference.
+ * Selects a zone by smooth weighted round robin: after any number of picks, each zone has received its exact share,
+ * within a few requests. A random choice would follow the weights only on average, which is visible for a service with
+ * few requests.
  */
 const rotate = <Target extends RoutableTarget>(
     zones: readonly ZoneState<Target>[],
@@ -57,7 +61,9 @@
 };
 
 /**
- * @param zones only zones with a weight and with targets
+ * Chooses the zone of the next request.
+ *
+ * @param zones The zones that have a weight and targets.
  */
 export const chooseZone = <Target extends RoutableTarget>(
     zones: readonly ZoneState<Target>[],
@@ -72,7 +78,7 @@
     if (total > 0) {
         return rotate(zones, total);
     }
-    // If no zone seems to be left, the fault may as well be this node's. Refusing everything would make it certain.
+    // If no zone seems usable, the fault may be on this node. Refusing all requests would make the outage certain.
     const reachableTotal = assignShares(zones, isReachable);
     return rotate(zones, reachableTotal > 0 ? reachableTotal : assignShares(zones, () => true));
 };
--- a/packages/oleandergap-routing/src/zoneShares.ts
+++ b/packages/oleandergap-routing/src/zoneShares.ts
@@ -1,8 +1,8 @@
-/** How the requests that arrive at a node are shared out over the availability zones. */
+/** Computes how the requests that arrive at a node are distributed over the availability zones. */
 import type { ZoneName } from "oleandergap-types";
 import type { CallerSpread } from "./options.js";
 
-/** Parts of a whole, by zone; they add up to 1 unless there is nothing to share. */
+/** Shares by zone. They add up to 1 unless all weights are 0. */
 export type ZoneShares = ReadonlyMap<ZoneName, number>;
 
 const normalise = (weights: ReadonlyMap<ZoneName, number>): ZoneShares => {
@@ -14,9 +14,10 @@
 };
 
 /**
- * With callers spread evenly, each of the `n` zones receives 1/n of the requests and serves its weight's share. A zone
- * that serves at least what it receives keeps all of it; one that serves less sends its surplus to the zones that
- * serve more than they receive, in proportion to what they lack.
+ * Computes shares that keep as many requests as possible in the local zone. With callers spread evenly, each of the `n`
+ * zones receives 1/n of the requests and has to serve the share given by its weight. A zone whose share is at least
+ * what it receives keeps all of its requests. Any other zone sends its surplus to the zones whose shares exceed what
+ * they receive, in proportion to the difference.
  */
 const shareLocally = (shares: ZoneShares, zones: readonly ZoneName[], ownZone: ZoneName): ZoneShares => {
     const received = 1 / zones.length;
@@ -36,8 +37,8 @@
 };
 
 /**
- * The share of each zone in the requests of a node in `ownZone`. Over the fleet the shares are the table's weights;
- * a zone of weight 0 gets none.
+ * Returns the share of each zone in the requests of a node in `ownZone`. Over the whole fleet, the shares match the
+ * weights of the table; a zone of weight 0 gets none.
  */
 export const planZoneShares = (
     weights: ReadonlyMap<ZoneName, number>,
--- a/packages/oleandergap-routing/src/zoneState.ts
+++ b/packages/oleandergap-routing/src/zoneState.ts
@@ -1,4 +1,4 @@
-/** What one node knows of one service's zone: reachability, shortage, usual latency. */
+/** State that one node keeps about one zone of a service: reachability, lack of capacity, typical latency. */
 import type { Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { closeCircuit, createCircuit, isProbeDue, openCircuit, startProbe, type Circuit } from "./circuit.js";
@@ -6,46 +6,49 @@
 import type { RoutableTarget } from "./target.js";
 import { countTargets, createCandidates, shortenEjections, type Candidates } from "./zoneCandidates.js";
 
-/** Part of a zone's remaining share that one refusal moves elsewhere. */
+/** Fraction of the remaining share of a zone that one refusal moves to other zones. */
 const SPILL_STEP = 0.2;
-/** Some requests always go to a short zone, so that its recovery shows. */
+/** Maximum spill. Some requests always go to an overloaded zone, so that its recovery is detected. */
 const MAXIMUM_SPILL = 0.95;
-/** Spill of a zone that has just become reachable again; its share returns as the spill fades. */
+/** Spill of a zone that has just become reachable again. Its share returns as the spill decays. */
 const SPILL_AFTER_CUT = 0.8;
-/** Failures in a row, with no success between, after which a zone counts as cut off: its targets, within these. */
+/**
+ * Bounds of the number of consecutive failures after which a zone counts as unreachable. Between the bounds, the number
+ * is that of the zone's targets.
+ */
 const MINIMUM_FAILURES_OF_CUT = 3;
 const MAXIMUM_FAILURES_OF_CUT = 8;
 /** Step of the running median of latencies, as a factor. */
 const TYPICAL_LATENCY_STEP = 1.02;
 
-/** Kinds of requests whose usual latency is remembered; the oldest gives way. */
+/** Maximum number of request kinds with a stored typical latency. The oldest kind is evicted. */
 const MAXIMUM_KINDS = 64;
 
-/** One zone's part in a service; times are on the monotonic clock. */
+/** State of one zone of a service. Times are on the monotonic clock. */
 export interface ZoneState<Target extends RoutableTarget> {
     readonly zone: ZoneName;
     candidates: Candidates<Target>;
-    /** The table's weight. */
+    /** Weight of the zone in the table. */
     weight: number;
-    /** Planned part of the node's requests. */
+    /** Planned share of this node's requests. */
     share: number;
-    /** Part of the share that goes elsewhere for want of capacity. */
+    /** Fraction of the share that is sent to other zones for lack of capacity, from 0 to 1. */
     spill: number;
     spillUpdatedAt: Milliseconds;
     readonly circuit: Circuit;
-    /** Node that failed last, and whether more than one failed since the last success. */
+    /** Node that failed last, and whether more than one node has failed since the last success. */
     lastFailed: NodeId | undefined;
     hasSeveralFailed: boolean;
-    /** Running median over all kinds of requests; 0 while nothing is known. */
+    /** Running median over all kinds of requests; 0 while no latency was measured. */
     typicalLatencyMs: Milliseconds;
-    /** Running medians by kind of request. */
+    /** Running median by kind of request. */
     readonly typicalByKind: Map<string, Milliseconds>;
-    /** Part that the zone gets at the moment, and its credit in the smooth weighted rotation. */
+    /** Current share of the zone, and its credit in the smooth weighted round robin. */
     effectiveShare: number;
     credit: number;
 }
 
-/** A zone that nothing is known of yet. */
+/** Creates the state of a zone that has not been used yet. */
 export const createZoneState = <Target extends RoutableTarget>(
     zone: ZoneName,
     now: Milliseconds,
@@ -65,7 +68,7 @@
     credit: 0,
 });
 
-/** Lets the spill fade with the time since it was last looked at. */
+/** Decays the spill exponentially by the time since its last update. */
 export const fadeSpill = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     now: Milliseconds,
@@ -79,14 +82,15 @@
 };
 
 /**
- * A refusal for want of capacity. The share moves by steps and returns by time: if it returned with the first accepted
- * request, all nodes would swing between the zones together; one would see zones overloaded in turn.
+ * Increases the spill after a refusal for lack of capacity. The share moves in steps and returns over time. If it
+ * returned with the first accepted request, all nodes would switch between the zones together, and the zones would be
+ * overloaded in turn.
  */
 export const raiseSpill = <Target extends RoutableTarget>(zone: ZoneState<Target>, step = SPILL_STEP): void => {
     zone.spill = Math.min(MAXIMUM_SPILL, zone.spill + step * (1 - zone.spill));
 };
 
-/** One step of a running median towards the latest value. */
+/** Moves a running median one step towards the latest value. */
 const stepMedian = (median: Milliseconds, latest: Milliseconds): Milliseconds => {
     if (median === 0) {
         return latest;
@@ -94,13 +98,16 @@
     return median * (latest > median ? TYPICAL_LATENCY_STEP : 1 / TYPICAL_LATENCY_STEP);
 };
 
-/** The usual latency of a kind of request in the zone; that of all kinds while nothing is known of it. */
+/**
+ * Returns the typical latency of a kind of request in the zone, or that of all kinds while none of this kind was
+ * measured.
+ */
 export const usualLatency = <Target extends RoutableTarget>(zone: ZoneState<Target>, kind: string): Milliseconds =>
     zone.typicalByKind.get(kind) ?? zone.typicalLatencyMs;
 
 /**
- * A latency as if the request were of the usual kind. A service that runs short and long requests would otherwise seem
- * slow whenever a few long ones follow each other; one would see good targets ejected in turn.
+ * Scales a latency to that of a request of typical duration. Otherwise a service with both short and long requests
+ * would seem slow whenever a few long ones follow each other, and healthy targets would be ejected in turn.
  */
 export const normaliseLatency = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
@@ -111,7 +118,7 @@
     return usual === 0 ? latencyMs : (latencyMs * zone.typicalLatencyMs) / usual;
 };
 
-/** Takes in the latency of an answer. */
+/** Adds the latency of a response to the running medians. */
 export const addZoneLatency = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     kind: string,
@@ -126,7 +133,7 @@
     zone.typicalLatencyMs = stepMedian(zone.typicalLatencyMs, latencyMs);
 };
 
-/** An answer of any kind from the zone. */
+/** Records a response of any kind from the zone. */
 export const markZoneReached = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
     zone.circuit.failures = 0;
     zone.lastFailed = undefined;
@@ -144,7 +151,10 @@
 const failuresOfCut = <Target extends RoutableTarget>(zone: ZoneState<Target>): number =>
     Math.min(MAXIMUM_FAILURES_OF_CUT, Math.max(MINIMUM_FAILURES_OF_CUT, countTargets(zone.candidates)));
 
-/** A connect failure or lost answer. A zone of several targets is not cut off because one of them fails. */
+/**
+ * Records a failure to connect or a lost response. A zone of several targets does not count as unreachable when only
+ * one of them fails.
+ */
 export const markZoneFailed = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     nodeId: NodeId,
@@ -163,14 +173,17 @@
     }
 };
 
-/** Silence may take out all of a zone's targets; then only probes go there. */
+/**
+ * Returns whether the zone has an available target, or an ejected one that the request may probe. All targets of a zone
+ * may be ejected as unresponsive; the zone then receives only probes.
+ */
 const hasOpenTarget = <Target extends RoutableTarget>(
     { candidates }: ZoneState<Target>,
     now: Milliseconds,
     canResend: boolean,
 ): boolean => candidates.open.length > 0 || (canResend && now >= candidates.nextProbeAt);
 
-/** Whether the zone takes part in the choice, or this request may probe it. */
+/** Returns whether the zone takes part in the selection, or whether this request may probe it. */
 export const isZoneUsable = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     now: Milliseconds,
@@ -178,7 +191,7 @@
 ): boolean => hasOpenTarget(zone, now, canResend) &&
     (zone.circuit.state === "closed" || isProbeDue(zone.circuit, now, canResend));
 
-/** Marks the probe when a request goes to a zone that counts as cut off. */
+/** Marks the zone as being probed when a request is sent to a zone that counts as unreachable. */
 export const noteZoneProbe = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
     if (zone.circuit.state !== "closed") {
         startProbe(zone.circuit, now);
