--- a/packages/oleandergap-routing/src/attemptHistory.ts
+++ b/packages/oleandergap-routing/src/attemptHistory.ts
@@ -1,22 +1,22 @@
-/** What the attempts of one request add up to. */
+/** Collects the attempts of one request and combines their failures. */
 import type { Milliseconds, NodeId, RequestFailure, ZoneName } from "oleandergap-types";
 import { isShortage } from "./learnOutcome.js";
 import type { RoutedFailure } from "./requestExecution.js";
 import type { RoutableTarget } from "./target.js";
 
-/** Grows with each attempt; one exists for each request. */
+/** The attempts of one request. There is one history per request, to which each attempt is added. */
 export interface AttemptHistory {
     readonly tried: readonly NodeId[];
     readonly shortages: () => number;
-    /** Targets that received the request: they ran it, may have run it, or refused it themselves. */
+    /** Number of targets that received the request: they ran it, may have run it, or refused it themselves. */
     readonly targetsReached: () => number;
-    /** The zone that last refused for want of capacity. */
+    /** The zone that last refused the request for lack of capacity. */
     readonly shortZone: () => ZoneName | undefined;
     readonly lastFailure: () => RequestFailure | undefined;
     readonly addAttempt: (target: RoutableTarget) => void;
     readonly addFailure: (target: RoutableTarget, failure: RequestFailure, retriedBelow: boolean) => void;
     readonly wasRetriedBelow: () => boolean;
-    /** The request's final failure; `fallbackRetryAfterMs` serves where no refusal named a time. */
+    /** Returns the final failure of the request. `fallbackRetryAfterMs` is used when no refusal named a retry delay. */
     readonly conclude: (failure: RequestFailure, fallbackRetryAfterMs: Milliseconds) => RoutedFailure;
 }
 
@@ -26,7 +26,7 @@
 const hasReachedTarget = (failure: RequestFailure): boolean =>
     failure.verdict !== "notRun" || (failure.kind === "Refused" && failure.reason === "TargetBusy");
 
-/** Starts before the first attempt. */
+/** Creates the history of a request that has not been attempted yet. */
 export const createAttemptHistory = (): AttemptHistory => {
     const tried: NodeId[] = [];
     const failures = new Map<NodeId, RequestFailure>();
@@ -46,8 +46,9 @@
     };
 
     /**
-     * If an idempotent request is lost at one target and then refused by another one, the refusal alone would say
-     * `notRun` of a request that may have run at the first. The caller would see a "not run" request take effect.
+     * If the response to an idempotent request is lost at one target and another target then refuses the request, the
+     * refusal alone would report `notRun` although the request may have run at the first target. The caller would see a
+     * "not run" request take effect.
      */
     const conclude: AttemptHistory["conclude"] = (failure, fallbackRetryAfterMs) => {
         noteRetryAfter(failure);
--- a/packages/oleandergap-routing/src/fadingCounts.ts
+++ b/packages/oleandergap-routing/src/fadingCounts.ts
@@ -1,17 +1,17 @@
-/** Counts by kind that fade with time, for decisions that follow what became of requests lately. */
+/** Counters by kind that decay exponentially over time, for decisions based on recent requests. */
 import type { Clock, Milliseconds } from "oleandergap-types";
 
-/** Kinds that are remembered; the oldest gives way. */
+/** Maximum number of kinds with counters. The oldest kind is evicted. */
 const MAXIMUM_KINDS = 512;
 
-/** What counts are kept with. */
+/** Settings of the counters. */
 export interface FadingCountsOptions<Counts> {
     readonly clock: Clock;
-    /** Time in which a count falls to a third. */
+    /** Time constant of the decay, in milliseconds: a count falls to about a third (1/e) in this time. */
     readonly memoryMs: Milliseconds;
-    /** The counts of a kind that nothing is known of. */
+    /** Returns the initial counters of a kind. */
     readonly create: () => Counts;
-    /** Multiplies each count by a part of one. */
+    /** Multiplies each counter by a factor between 0 and 1. */
     readonly scale: (counts: Counts, factor: number) => void;
 }
 
@@ -20,10 +20,10 @@
     countedAt: Milliseconds;
 }
 
-/** The counts of a kind as they are now; to be changed in place. */
+/** Returns the counters of a kind, decayed to the current time. Callers modify them in place. */
 export type FadingCounts<Counts> = (kind: string) => Counts;
 
-/** Starts without any kind. */
+/** Creates counters without any kinds. */
 export const createFadingCounts = <Counts>(
     { clock, memoryMs, create, scale }: FadingCountsOptions<Counts>,
 ): FadingCounts<Counts> => {
--- a/packages/oleandergap-routing/src/openAttempts.ts
+++ b/packages/oleandergap-routing/src/openAttempts.ts
@@ -1,20 +1,22 @@
 /**
- * Attempts of one request that failed by their silence, and go on while it is tried elsewhere.
+ * Keeps attempts of one request that timed out without a heartbeat but are left running while the request is sent to
+ * another target.
  *
- * A silent gate is most likely gone, so that nobody waits for it alone. But it may only be behind, or its signs of life
- * late, while its target works on the request: closed at once, the run would be cut, and if the other attempts are
- * refused, the caller would be told of a loss instead of receiving the answer.
+ * A gate without heartbeats has most likely failed, so the request does not wait for it alone. But the gate may only be
+ * slow, or its heartbeats late, while its target processes the request. If the attempt were cancelled at once, that run
+ * would be aborted; if the other attempts were then refused, the caller would receive a failure instead of the
+ * response.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { AttemptResult, DiscardAnswer, OpenAttempt } from "./requestExecution.js";
 
-/** The open attempts of one request, none at first. */
+/** The attempts of one request that are still running. It is empty at first. */
 export interface OpenAttempts<Answer> {
     readonly add: (attempt: OpenAttempt<Answer>) => void;
     readonly isEmpty: () => boolean;
-    /** The first answer of an open attempt; undefined once all have failed. */
+    /** Returns the first response of an open attempt, or undefined once all of them have failed. */
     readonly answer: () => Promise<AttemptResult<Answer> | undefined>;
-    /** Gives all of them up but the one that ended with `kept`. */
+    /** Cancels all attempts except the one that ended with `kept`. */
     readonly giveUp: (kept?: AttemptResult<Answer>) => void;
 }
 
@@ -23,7 +25,7 @@
     result: AttemptResult<Answer> | undefined;
 }
 
-/** `discard` takes the answers that come although nobody wants them any more. */
+/** Creates an empty list. `discard` receives the responses that arrive after another response was chosen. */
 export const createOpenAttempts = <Answer>(discard: DiscardAnswer<Answer>): OpenAttempts<Answer> => {
     const entries: Entry<Answer>[] = [];
 
--- a/packages/oleandergap-routing/src/overloadThrottle.ts
+++ b/packages/oleandergap-routing/src/overloadThrottle.ts
@@ -1,30 +1,33 @@
 /**
- * Refuses requests at this node while the targets of their service refuse most of their like.
+ * Refuses requests at this node while the targets of their service refuse most requests of the same kind.
  *
- * A refusal costs the node of a target hardly less processor time than a request that runs. When a service has lost
- * all its targets but one, that one's node meets the requests of the whole fleet; one would see it too busy with
- * refusals to keep its target at work, and calls that need an answer in a quarter of a second run out of time. Each
- * node therefore sends at most a multiple of what was accepted lately, and refuses the rest itself, at once: where a
- * tenth of the requests can be accepted, less than 0.35 of them are sent.
+ * A refusal costs the node of a target almost as much processor time as a request that runs. When a service has lost
+ * all its targets but one, the node of that target receives the requests of the whole fleet. It would be too busy with
+ * refusals to keep its target at work, and calls that need a response within a quarter of a second would miss their
+ * deadlines. Each node therefore limits the requests that it sends to a multiple of those accepted recently, and
+ * refuses the rest itself at once. Where a tenth of the requests can be accepted, less than 0.35 of them are sent.
  *
- * A request that got no answer while its caller waited for long was not accepted either. A node that reads its requests
- * later than their callers wait finds each of them dead, and works for nobody while its target is idle; it catches up
- * only if less is sent.
+ * A request that received no response although its caller waited for a long time does not count as accepted either. A
+ * node that reads requests only after their callers have stopped waiting works on abandoned requests while its target
+ * is idle. It catches up only if it receives fewer requests.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { createFadingCounts } from "./fadingCounts.js";
 
 /**
- * Requests sent for each one accepted: while half are accepted nothing is refused here, and once there is room again
- * what is sent doubles in each span of the memory.
+ * Number of requests sent for each accepted one. While half of the requests are accepted, none are refused here. Once
+ * there is capacity again, the number of sent requests doubles in each period of `MEMORY_MS`.
  */
 const SENT_PER_ACCEPTED = 2;
-/** Part that is refused here at most, so that room is noticed soon also after nothing was accepted at all. */
+/**
+ * Maximum share of requests that is refused here. The remaining requests detect free capacity soon, even after a time
+ * in which none were accepted.
+ */
 const MAXIMUM_REFUSED_SHARE = 0.8;
-/** Memory of the counts: about ten requests of a usual kind at one node. */
+/** Time constant of the counters. It covers about ten requests of a typical kind at one node. */
 const MEMORY_MS: Milliseconds = 700;
-/** Requests in the memory below which nothing is refused here. */
+/** Minimum number of counted requests before any are refused here. */
 const MINIMUM_REQUESTS = 5;
 
 interface Counts {
@@ -32,15 +35,15 @@
     accepted: number;
 }
 
-/** Counts by kind; requests that are refused alike should share one. */
+/** Decides by counters per kind. Requests that are refused for the same reasons should share a kind. */
 export interface OverloadThrottle {
-    /** Counts a request; false when it is to be refused here. */
+    /** Counts a request. Returns false if it is to be refused here. */
     readonly admits: (kind: string) => boolean;
-    /** The targets took the request, or it ended for another reason than want of capacity. */
+    /** Records that the targets accepted a request, or that it ended for a reason other than lack of capacity. */
     readonly noteAccepted: (kind: string) => void;
 }
 
-/** Knows nothing at first, and then refuses nothing. */
+/** Creates a throttle without counts, which refuses nothing at first. */
 export const createOverloadThrottle = (clock: Clock, random: Random): OverloadThrottle => {
     const countsOf = createFadingCounts<Counts>({
         clock,
--- a/packages/oleandergap-routing/src/refuseBeforeSending.ts
+++ b/packages/oleandergap-routing/src/refuseBeforeSending.ts
@@ -1,4 +1,7 @@
-/** Wrappers of a router that refuse requests before they are sent, by what became of earlier ones of their kind. */
+/**
+ * Wrappers of a router that refuse requests before they are sent, based on the results of earlier requests of the same
+ * kind.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { formatServiceReference, type Clock, type Milliseconds, type RequestFailure } from "oleandergap-types";
@@ -11,18 +14,18 @@
 import type { RoutableTarget, TargetPicker } from "./target.js";
 
 /**
- * Whether a target turned a request away by itself while targets have free slots. That is no overload: some shed a part
- * of their requests whatever their load. Taken for one, requests would be refused at the first node, and callers sent
- * away for a second, while most slots are free; one would see `LimitReached` beside idle targets.
+ * Returns whether a target rejected a request by itself while targets have free slots. This is no overload, because
+ * some targets shed part of their requests at any load. If it counted as an overload, requests would be refused at the
+ * first node with `LimitReached` and callers would be asked to wait for a second while most slots are free.
  */
 export const isShed = (failure: RequestFailure, hasRoom: () => boolean): boolean =>
     failure.kind === "Refused" && failure.reason === "TargetBusy" && hasRoom();
 
-/** A refusal that names no time to come back; whoever concludes the request adds it. */
+/** Creates a refusal without a retry delay; `AttemptHistory.conclude` adds the delay. */
 export const refuse = (reason: "Cancelled" | "DeadlinePassed" | "LimitReached" | "NoTarget" | "Starved"): RequestFailure =>
     ({ kind: "Refused", verdict: "notRun", reason, retryAfterMs: 0 });
 
-/** Whether a request was refused for want of capacity in the end; `hasRoom` tells whether targets have free slots. */
+/** Returns whether a request finally failed for lack of capacity. `hasRoom` returns whether targets have free slots. */
 const wasShort = (routed: Either<RoutedFailure, unknown>, hasRoom: () => boolean): boolean =>
     either.isLeft(routed) &&
     routed.left.failure.kind === "Refused" &&
@@ -30,20 +33,21 @@
     !isShed(routed.left.failure, hasRoom);
 
 /**
- * Requests that fare alike. Those of returning callers fare worse than first ones: they have less time left, and what
- * failed for want of a call needs it again.
+ * Returns the key under which the throttles count a request: all requests with the same key should have similar
+ * results. Requests that their caller repeats succeed less often than first requests. They have less time left, and a
+ * request that failed because a call was not served needs that call again.
  */
 const nameAlike = <Target extends RoutableTarget>(
     { service, kind = "", isReturning = false }: RequestExecution<Target>,
 ): string => `${formatServiceReference(service)} ${kind} ${isReturning ? "again" : "first"}`;
 
 /**
- * Part of its time that a caller has to have waited for its leaving to tell of the service. One that leaves sooner
- * might have been answered.
+ * Fraction of its time that a caller must have waited before its disconnection counts against the service. A caller
+ * that disconnects earlier might still have received a response.
  */
 const PATIENT_PART = 0.5;
 
-/** Whether a request that was sent to a target got no answer although its caller was patient. */
+/** Returns whether a request was sent to a target and received no response although its caller waited long enough. */
 const wasUnanswered = (
     { deadline, signal }: Pick<RequestExecution<RoutableTarget>, "deadline" | "signal">,
     routed: Either<RoutedFailure, unknown>,
@@ -54,20 +58,21 @@
     return isLost && wasGivenUp && now - sentAt >= PATIENT_PART * (deadline - sentAt);
 };
 
-/** What throttling works with. */
+/** Dependencies of the overload throttle wrapper. */
 export interface ThrottleDependencies<Target extends RoutableTarget> {
     readonly clock: Clock;
     readonly throttle: OverloadThrottle;
     readonly picker: TargetPicker<Target>;
 }
 
-/** Refuses what the throttle does not admit, and tells it what became of the rest. */
+/** Refuses requests that the throttle does not admit, and records the results of the others in the throttle. */
 export const throttleRequests = <Target extends RoutableTarget>(
     { clock, throttle, picker }: ThrottleDependencies<Target>,
     execute: RequestRouter<Target>["execute"],
 ): RequestRouter<Target>["execute"] => async (execution, attempt, discard) => {
     const { service, row } = execution;
-    // With weights, each zone's share goes there whatever room it has; only placement by load tells of the service.
+    // With weights, each zone receives its share whether it has capacity or not. Only with placement by load do
+    // refusals reflect the capacity of the whole service.
     if (row.placement !== "load") {
         return execute(execution, attempt, discard);
     }
@@ -85,7 +90,7 @@
     return routed;
 };
 
-/** Refuses what would run for nothing, and learns from the runs of the rest. */
+/** Refuses requests whose runs would probably fail for lack of a call, and records the runs of the others. */
 export const refuseStarving = <Target extends RoutableTarget>(
     starvation: StarvationThrottle,
     picker: TargetPicker<Target>,
--- a/packages/oleandergap-routing/src/requestExecution.ts
+++ b/packages/oleandergap-routing/src/requestExecution.ts
@@ -1,81 +1,93 @@
-/** A request on its way: what the router is given, what one attempt yields, and what comes out in the end. */
+/** Types of a routed request: the input of the router, the result of one attempt, and the final result. */
 import type { Either } from "fp-ts/lib/Either.js";
 import type { GateLoad, Milliseconds, NodeId, RequestFailure, ServiceReference, ServiceRow } from "oleandergap-types";
 import type { AttemptProgress, RoutableTarget } from "./target.js";
 
-/** One request, and what it allows. */
+/** One request and its constraints. */
 export interface RequestExecution<Target extends RoutableTarget> {
     readonly service: ServiceReference;
     readonly row: ServiceRow;
-    /** The service's targets; the same array as long as nothing changed. */
+    /** The service's targets. The array must stay the same object while nothing changes. */
     readonly targets: readonly Target[];
     readonly idempotent: boolean;
-    /** Asked after a failed attempt: whether the body can still be sent whole, because it is kept or untouched. */
+    /**
+     * Called after a failed attempt. Returns whether the complete body can still be sent, because it is buffered or has
+     * not been read.
+     */
     readonly replayable: () => boolean;
-    /** Time by which the answer must be complete, on the monotonic clock. */
+    /** Time by which the response must be complete, on the monotonic clock. */
     readonly deadline: Milliseconds;
-    /** False when a hop above asks that nobody below retries. */
+    /** False when an upstream hop has requested that no downstream hop retries. */
     readonly retriesAllowed: boolean;
-    /** Most targets that the request may reach; undefined when the settings alone bound it. */
+    /** Maximum number of targets that the request may reach; undefined when only the settings limit it. */
     readonly maximumTargets?: number | undefined;
-    /** Requests of one kind take about the same time; all are alike when it is not given. */
+    /**
+     * Kind of the request. Requests of one kind take about the same time; without a kind, all requests are treated
+     * alike.
+     */
     readonly kind?: string;
-    /** The caller was refused before; such requests are the first that a busy target refuses. */
+    /** Whether the caller repeats a request that was refused before. A busy target refuses such requests first. */
     readonly isReturning?: boolean;
-    /** Why the request may not be sent, after so many attempts, if so; asked before each attempt. */
+    /**
+     * Called before each attempt with the number of earlier attempts. Returns a failure if the request must not be
+     * sent.
+     */
     readonly findObstacle?: ((attempts: number) => RequestFailure | undefined) | undefined;
-    /** Aborts when the caller hangs up. */
+    /** Aborts when the caller disconnects. */
     readonly signal: AbortSignal;
 }
 
-/** Bounds of one attempt. */
+/** Limits of one attempt and the receiver of its progress. */
 export interface AttemptContext {
     readonly deadline: Milliseconds;
     readonly signal: AbortSignal;
-    /** Takes what is learnt of the target on the way. */
+    /** Receives events of the attempt that occur before its outcome. */
     readonly progress: AttemptProgress;
 }
 
-/** What one attempt yields. */
+/** Result of one attempt. */
 export interface AttemptResult<Answer> {
     readonly outcome: Either<RequestFailure, Answer>;
-    /** The gate's load when it answered; undefined when it did not. */
+    /** The gate's load when it responded; undefined when it did not respond. */
     readonly load: GateLoad | undefined;
-    /** A hop below has already dealt with retries, as told by the header `oleandergap-retry: no`. */
+    /** Whether a downstream hop has already handled retries, as indicated by the header `oleandergap-retry: no`. */
     readonly retriedBelow: boolean;
-    /** The target answered with a failure because a call that it made was not served. */
+    /** Whether the target responded with a failure because a call that it made was not served. */
     readonly isStarved?: boolean | undefined;
-    /** Present when the outcome is the silence of a gate that may answer yet. */
+    /** Set when the attempt failed for lack of heartbeats but the gate may still respond. */
     readonly open?: OpenAttempt<Answer>;
 }
 
-/** An attempt that failed by its silence, and goes on until it is silent once more. */
+/** An attempt that failed for lack of heartbeats and is left running until the next heartbeat timeout. */
 export interface OpenAttempt<Answer> {
     /** Never rejects. */
     readonly result: Promise<AttemptResult<Answer>>;
     readonly cancel: () => void;
 }
 
-/** Sends the request to one target. Must keep to the deadline and the signal by itself. */
+/** Sends the request to one target. The implementation must observe the deadline and the signal. */
 export type Attempt<Target extends RoutableTarget, Answer> = (
     target: Target,
     context: AttemptContext,
 ) => Promise<AttemptResult<Answer>>;
 
-/** Gives an answer up that nobody wants, so that it holds no connection. */
+/** Releases a response that is not needed, so that it does not occupy a connection. */
 export type DiscardAnswer<Answer> = (answer: Answer) => void;
 
-/** An answer and how it was come by. */
+/** A response and how it was obtained. */
 export interface Routed<Answer> {
     readonly answer: Answer;
     readonly attempts: number;
-    /** The answer goes up with `oleandergap-retry: no`. */
+    /** Whether the response is returned to the caller with `oleandergap-retry: no`. */
     readonly retriedBelow: boolean;
-    /** The target answered with a failure because a call that it made was not served. */
+    /** Whether the target responded with a failure because a call that it made was not served. */
     readonly isStarved?: boolean;
 }
 
-/** A target that a request was sent to, and why it gave no answer; without a failure it was not heard of yet. */
+/**
+ * A target that a request was sent to, and why it gave no response. The failure is undefined while no result of the
+ * attempt is known.
+ */
 export interface TriedTarget {
     readonly nodeId: NodeId;
     readonly failure: RequestFailure | undefined;
@@ -86,17 +98,17 @@
     readonly failure: RequestFailure;
     readonly attempts: number;
     readonly tried: readonly TriedTarget[];
-    /** The failure goes up with `oleandergap-retry: no`. */
+    /** Whether the failure is returned to the caller with `oleandergap-retry: no`. */
     readonly retriedBelow: boolean;
-    /** When to come back, computed from what refused or failed. */
+    /** Retry delay for the caller, computed from the refusals and failures. */
     readonly retryAfterMs: Milliseconds;
 }
 
-/** Carries requests to their end over one or several attempts. */
+/** Routes requests, each with one or more attempts. */
 export interface RequestRouter<Target extends RoutableTarget> {
     /**
-     * Sends a request, and again elsewhere where that is safe. Never rejects. `discard` takes answers that come after
-     * another one was chosen.
+     * Sends a request and retries it at other targets where that is safe. Never rejects. `discard` receives responses
+     * that arrive after another response was chosen.
      */
     readonly execute: <Answer>(
         execution: RequestExecution<Target>,
--- a/packages/oleandergap-routing/src/requestRouter.ts
+++ b/packages/oleandergap-routing/src/requestRouter.ts
@@ -1,4 +1,7 @@
-/** Sends a request to a target, and elsewhere again where that is safe, within budget and deadline. */
+/**
+ * Sends a request to a target and retries it at other targets where that is safe, within the retry budget and the
+ * deadline.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { formatServiceReference, type Clock, type RequestFailure } from "oleandergap-types";
@@ -23,18 +26,24 @@
 import { toPickRequest } from "./pickRequest.js";
 import type { RoutableTarget, TargetPicker } from "./target.js";
 
-/** What a router works with. */
+/** Dependencies of a request router. */
 export interface RequestRouterDependencies<Target extends RoutableTarget> {
     readonly clock: Clock;
     readonly picker: TargetPicker<Target>;
     readonly options?: RetryOptions;
-    /** Refuses requests of overloaded services placed by load before they are sent; nothing is refused without it. */
+    /**
+     * Refuses requests before they are sent if their service is overloaded and placed by load. Without it, no requests
+     * are refused for overload.
+     */
     readonly throttle?: OverloadThrottle | undefined;
-    /** Refuses requests whose runs would fail for want of a call; nothing is refused without it. */
+    /**
+     * Refuses requests whose runs would fail because a downstream call is not served. Without it, no requests are
+     * refused for this reason.
+     */
     readonly starvation?: StarvationThrottle | undefined;
 }
 
-/** Creates the router of one node; each service has a retry budget of its own. */
+/** Creates the router of one node. Each service has a separate retry budget. */
 export const createRequestRouter = <Target extends RoutableTarget>({
     clock,
     picker,
--- a/packages/oleandergap-routing/src/retryBudget.ts
+++ b/packages/oleandergap-routing/src/retryBudget.ts
@@ -1,29 +1,29 @@
 /**
- * How many retries a service may have. Without a budget, a service that fails gets a multiple of its usual requests
- * just when it can serve the fewest; one would see its load rise with its errors.
+ * Limits the retries of a service. Without a budget, a failing service would receive a multiple of its usual requests
+ * just when it can serve the fewest, so its load would rise with its error rate.
  */
 
-/** Tokens that one success earns for going elsewhere after a target was found gone. */
+/** Number of reroute tokens that one success adds. */
 const REROUTES_PER_SUCCESS = 1;
 
 /**
- * - `Repeat`: the request has made work for a target or a gate, and would make it again.
- * - `Reroute`: it has only met a target that is gone, so that a second attempt adds no load to the living ones.
+ * - `Repeat`: the failed attempt caused work for a target or a gate, and the retry may cause it again.
+ * - `Reroute`: the failed attempt only met a target that is gone, so the retry adds no load to the healthy targets.
  */
 export type RetryCost = "Repeat" | "Reroute";
 
 /** The retries that one service has left. */
 export interface RetryBudget {
-    /** Takes in a success; `ratio` is the row's allowance of retries per request. */
+    /** Records a success. `ratio` is the number of retries per request that the row allows. */
     readonly deposit: (ratio: number) => void;
-    /** Takes a token, or returns false when none is left. */
+    /** Takes a token. Returns false if none is left. */
     readonly tryWithdraw: (cost: RetryCost) => boolean;
 }
 
 /**
- * Both kinds are paid from successes alone, so that a service that fails altogether gets almost no retries. Repeats
- * earn the row's ratio per success, reroutes one per success: when half of a service's targets die at once, every
- * second attempt meets a dead one, and the living can serve them all.
+ * Creates a budget with a full reserve. Only successes add tokens, so that a service that fails completely gets almost
+ * no retries. Each success adds `ratio` repeat tokens and one reroute token: when half of a service's targets fail at
+ * once, every second attempt meets a failed target, and the healthy targets can serve all of the rerouted requests.
  */
 export const createRetryBudget = (reserve: number): RetryBudget => {
     let repeats = reserve;
--- a/packages/oleandergap-routing/src/retryDecision.ts
+++ b/packages/oleandergap-routing/src/retryDecision.ts
@@ -1,30 +1,34 @@
-/** Whether a failed attempt may be followed by another one. */
+/** Decides whether a failed attempt may be retried. */
 import type { RefusalReason, RequestFailure } from "oleandergap-types";
 import { isShortage } from "./learnOutcome.js";
 import type { RetryBudget, RetryCost } from "./retryBudget.js";
 
-/** Refusals for want of capacity by different targets that show the whole service to be overloaded. */
+/**
+ * Number of refusals for lack of capacity, by different targets, after which the whole service counts as overloaded.
+ */
 const REFUSALS_OF_OVERLOAD = 2;
 
-/** What the decision depends on. */
+/** Inputs of the decision. */
 export interface RetryQuestion {
     readonly failure: RequestFailure;
     readonly idempotent: boolean;
     readonly replayable: () => boolean;
-    /** False when a hop above forbids it, a hop below has retried, or the row allows none. */
+    /**
+     * False when an upstream hop forbids retries, a downstream hop has already retried, or the row allows no retries.
+     */
     readonly retriesAllowed: boolean;
     readonly attempts: number;
     readonly maximumAttempts: number;
-    /** Whether the route lets the request reach another target. */
+    /** Whether the route allows the request to reach another target. */
     readonly hasTargetsLeft: boolean;
-    /** Attempts of this request that were refused for want of capacity. */
+    /** Number of attempts of this request that were refused for lack of capacity. */
     readonly shortages: number;
-    /** Whether another target is believed to have a free slot. */
+    /** Returns whether another target is expected to have a free slot. */
     readonly hasRoomElsewhere: () => boolean;
     readonly budget: RetryBudget;
 }
 
-/** Reasons that any other target would give as well, or that leave nobody to answer to. */
+/** Refusal reasons that any other target would give as well, or after which no caller is waiting any more. */
 const finalReasons: ReadonlySet<RefusalReason> = new Set<RefusalReason>([
     "Cancelled",
     "ClaimUnavailable",
@@ -44,7 +48,7 @@
     }
 };
 
-/** Whether a second run is impossible (`notRun`) or harmless (idempotent). */
+/** Returns whether a second run is impossible (`notRun`) or harmless (idempotent). */
 const isSafe = ({ failure, idempotent, replayable }: RetryQuestion): boolean => {
     switch (failure.verdict) {
         case "notRun":
@@ -57,8 +61,9 @@
 };
 
 /**
- * A refusal by the gate itself has cost its target nothing. Where another target has a free slot, going there is no
- * repeat; counted as one, requests would be refused by a full target while others are idle.
+ * Returns the kind of token that a retry costs. A refusal by the gate itself causes no work for its target, so a retry
+ * at a target with a free slot counts as a reroute. If it counted as a repeat, requests would be refused by a full
+ * target while other targets are idle.
  */
 const costOf = ({ failure, hasRoomElsewhere }: RetryQuestion): RetryCost => {
     if (failure.kind === "ConnectFailed") {
@@ -70,7 +75,7 @@
     return isShortage(failure.reason) && !hasRoomElsewhere() ? "Repeat" : "Reroute";
 };
 
-/** Takes a token from the budget when it answers true. */
+/** Returns whether the request may be retried. If so, it also takes a token from the budget. */
 export const mayRetry = (question: RetryQuestion): boolean => {
     const { failure, retriesAllowed, attempts, maximumAttempts, hasTargetsLeft, shortages, budget } = question;
     const mayGoOn = retriesAllowed && hasTargetsLeft && attempts < maximumAttempts;
--- a/packages/oleandergap-routing/src/starvationThrottle.ts
+++ b/packages/oleandergap-routing/src/starvationThrottle.ts
@@ -1,26 +1,30 @@
 /**
- * Refuses requests whose runs would fail for want of a call that they have to make.
+ * Refuses requests whose runs would fail because a downstream call is not served ("starved" runs).
  *
- * When a service is short, targets of other services that call it still take requests, work on them and fail. Their
- * callers repeat them at once, and what needs no such call waits behind runs that end for nothing; one would see most
- * runs of a service end with its targets' own 500 while their queues are full. Each node therefore follows which part
- * of the runs of a kind ended well lately, and sends no more than a multiple of that part; the rest is refused at once,
- * truly not run. Where one run in eight ends well, four in ten are sent (`starvationThrottle.test.ts`).
+ * When a service lacks capacity, targets of other services that call it still accept requests, work on them and fail.
+ * Their callers retry at once, and requests that need no such call wait behind runs that fail anyway. Most runs of such
+ * a service would end with status 500 from its own targets while their queues are full. Each node therefore tracks the
+ * share of successful runs per kind of request, limits the requests that it sends to a multiple of that share, and
+ * refuses the rest at once with the verdict `notRun`. Where one run in eight succeeds, four in ten are sent
+ * (`starvationThrottle.test.ts`).
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { createFadingCounts } from "./fadingCounts.js";
 
 /**
- * Part that is sent for each part that ends well: a run that ends well in one of three cases is worth its time, as
- * nothing tells beforehand which of the three it is.
+ * Multiple of the share of successful runs that is sent. A request that succeeds in one of three cases justifies the
+ * time of its run, because nothing shows in advance which of the three will succeed.
  */
 const SENT_PER_GOOD = 3;
-/** Part that is always sent, so that room at the service that was short is noticed within a second. */
+/** Share of requests that is always sent, so that a recovery of the downstream service is detected within a second. */
 const MINIMUM_SENT_PART = 0.1;
-/** Memory of the runs: some dozens of a usual kind at one node, and short enough to follow a restart. */
+/**
+ * Time constant of the counters. It covers some dozens of runs of a typical kind at one node and is short enough to
+ * follow a restart.
+ */
 const MEMORY_MS: Milliseconds = 1000;
-/** Runs in the memory below which nothing is refused. */
+/** Minimum number of counted runs before any requests are refused. */
 const MINIMUM_RUNS = 5;
 
 interface Runs {
@@ -28,15 +32,15 @@
     starved: number;
 }
 
-/** Counts by kind; requests that fail alike should share one. */
+/** Decides by counters per kind. Requests that fail for the same reasons should share a kind. */
 export interface StarvationThrottle {
-    /** False when the request is to be refused here. */
+    /** Returns false if the request is to be refused here. */
     readonly admits: (kind: string) => boolean;
-    /** Takes in how a run ended: starved if it failed because a call that it made was not served. */
+    /** Records how a run ended. A run is starved if it failed because one of its own calls was not served. */
     readonly noteRun: (kind: string, isStarved: boolean) => void;
 }
 
-/** Knows nothing at first, and then refuses nothing. */
+/** Creates a throttle without counts, which refuses nothing at first. */
 export const createStarvationThrottle = (clock: Clock, random: Random): StarvationThrottle => {
     const runsOf = createFadingCounts<Runs>({
         clock,
--- a/packages/oleandergap-routing/src/tryTarget.ts
+++ b/packages/oleandergap-routing/src/tryTarget.ts
@@ -1,4 +1,4 @@
-/** Runs one attempt at a chosen target, and tells the picker what it teaches. */
+/** Runs one attempt at a picked target and reports its outcome to the picker. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, GateLoad, Milliseconds, RequestFailure } from "oleandergap-types";
 import { describeError } from "oleandergap-utils";
@@ -7,8 +7,9 @@
 import type { AttemptOutcome, RoutableTarget, TargetPick } from "./target.js";
 
 /**
- * A request whose time is over before it could be sent is refused by this node, not by the target's: no load was told.
- * Taken for an answer, it would bring a target back that is cut off; one would see requests wait there again and again.
+ * Returns whether this node refused the request itself, because its deadline passed before it could be sent: in that
+ * case, no load was reported. If such a refusal counted as a response of the target's node, it would readmit an
+ * unreachable target, and requests would wait there again and again.
  */
 const isUnheard = (failure: RequestFailure, load: GateLoad | undefined): boolean =>
     failure.kind === "Refused" && failure.reason === "DeadlinePassed" && load === undefined;
@@ -36,7 +37,10 @@
     }
 };
 
-/** Never rejects. An attempt that goes on beside open ones is given up if one of them answers first. */
+/**
+ * Runs an attempt. Never rejects. While earlier attempts of the request are still running, a response to one of them
+ * cancels this attempt.
+ */
 export type TryTarget<Target extends RoutableTarget> = <Answer>(
     pick: TargetPick<Target>,
     execution: RequestExecution<Target>,
@@ -46,7 +50,10 @@
 
 /** Creates the function that runs attempts. */
 export const createTryTarget = <Target extends RoutableTarget>(clock: Clock): TryTarget<Target> => {
-    /** An attempt that throws is a fault of this program; the request may be anywhere. */
+    /**
+     * An attempt that throws is a fault of this program. The request may or may not have been sent, so the verdict is
+     * `mayHaveRun`.
+     */
     const runAttempt = async <Answer>(
         { target, progress }: TargetPick<Target>,
         { deadline, signal }: RequestExecution<Target>,
@@ -71,7 +78,8 @@
         const result = await runAttempt(pick, execution, attempt);
         const now = clock.monotonic();
         if (either.isRight(result.outcome)) {
-            // A run that failed for want of a call took as long as the call, which says nothing of its target.
+            // A run that failed because its call was not served took as long as that call, so its latency says nothing
+            // about its target.
             pick.report(
                 result.isStarved === true ? { kind: "Abandoned" } : { kind: "Answered", latencyMs: now - sentAt },
                 result.load,
