--- a/packages/oleandergap-routing/src/measure/decisionCost.ts
+++ b/packages/oleandergap-routing/src/measure/decisionCost.ts
@@ -1,4 +1,4 @@
-/** What the decisions on a request's way cost the processor. */
+/** Measures the processor time of the decisions that are made for each request. */
 import { performance } from "node:perf_hooks";
 import * as either from "fp-ts/lib/Either.js";
 import { createGate } from "oleandergap-gate";
@@ -75,7 +75,10 @@
     });
 };
 
-/** Wall-clock time of each decision, averaged over many; the figure depends on the machine and what else it runs. */
+/**
+ * Measures the wall-clock time of each decision, averaged over many rounds. The result depends on the machine and its
+ * other load.
+ */
 export const measureDecisionCost = async (targets: number): Promise<DecisionCost> => ({
     targets,
     admitAndReleaseNs: await timeGate(),
--- a/packages/oleandergap-routing/src/measure/experiments.ts
+++ b/packages/oleandergap-routing/src/measure/experiments.ts
@@ -1,9 +1,12 @@
-/** Experiments on one service in a discrete-event run, ours against naive. */
+/** Discrete-event experiments on one service, which compare this project with a naive proxy. */
 import { defaultGateOptions, type GateOptions } from "oleandergap-gate";
 import type { LoadFigures, LoadPlan } from "./loadPlan.js";
 import { runLoad } from "./runLoad.js";
 
-/** Two workers' worth of Halloway's services, in three zones, with requests that take 50 ms and may take a second. */
+/**
+ * Two workers' worth of Halloway's services in three zones. Requests take 50 ms on average and have a timeout of one
+ * second.
+ */
 export const basePlan: LoadPlan = {
     seed: 1,
     durationMs: 20_000,
@@ -23,7 +26,7 @@
     gateOptions: defaultGateOptions,
 };
 
-/** The same load with and without this project. */
+/** Results of the same load with and without this project. */
 export interface Comparison {
     readonly name: string;
     readonly ours: LoadFigures;
@@ -36,7 +39,7 @@
     naive: await runLoad("naive", plan),
 });
 
-/** One, two and four times what the targets can serve. */
+/** Measures loads of one, two and four times the capacity of the targets. */
 export const measureOverload = async (plan: LoadPlan = basePlan): Promise<readonly Comparison[]> => {
     const comparisons: Comparison[] = [];
     for (const load of [1, 2, 4]) {
@@ -45,11 +48,14 @@
     return comparisons;
 };
 
-/** One target of six is ten times slower than the others; the service as a whole is half loaded. */
+/**
+ * Measures a service in which one of six targets is ten times slower than the others, at half of the service's
+ * capacity.
+ */
 export const measureSlowTarget = (plan: LoadPlan = basePlan): Promise<Comparison> =>
     compare("slow-target", { ...plan, slowFactor: 10, load: 0.5 });
 
-/** Figures of one policy. */
+/** Results with one policy. */
 export interface PolicyFigures {
     readonly name: string;
     readonly figures: LoadFigures;
@@ -57,7 +63,7 @@
 
 const queueOrders: readonly GateOptions["queueOrder"][] = ["oldestFirst", "newestFirst", "deadlineFirst", "adaptive"];
 
-/** The same gates with each queue order, at twice the capacity. */
+/** Measures the same gates with each queue order, at twice the capacity. */
 export const compareQueueOrders = async (plan: LoadPlan = basePlan): Promise<readonly PolicyFigures[]> => {
     const results: PolicyFigures[] = [];
     for (const queueOrder of queueOrders) {
@@ -67,6 +73,6 @@
     return results;
 };
 
-/** Targets that announce three times the slots that they have, at twice what they can serve. */
+/** Measures targets that announce three times the slots that they have, at twice their capacity. */
 export const measureOverstatedSlots = (plan: LoadPlan = basePlan): Promise<Comparison> =>
     compare("overstated-slots", { ...plan, load: 2, trueSlots: plan.announcedSlots / 3 });
--- a/packages/oleandergap-routing/src/measure/naiveService.ts
+++ b/packages/oleandergap-routing/src/measure/naiveService.ts
@@ -1,6 +1,6 @@
 /**
- * The service under measurement with a naive proxy: round robin, three retries on every error, an endless queue at each
- * target, no cancellation.
+ * The measured service behind a naive proxy: round robin, up to three retries after every error, an unbounded queue at
+ * each target, and no cancellation.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { LoadPlan } from "./loadPlan.js";
@@ -13,7 +13,7 @@
     readonly submit: (request: number, onEnd: () => void) => void;
 }
 
-/** What has been queued is worked on in order, also when its caller has gone. */
+/** Creates a target that processes its queue in order, including requests whose callers have disconnected. */
 const createNaiveTarget = (plan: LoadPlan, model: TargetModel): NaiveTarget => {
     const queue: (() => void)[] = [];
     const startNext = (): void => {
@@ -34,7 +34,7 @@
     };
 };
 
-/** Sends to targets in turn, whatever they do. */
+/** Creates a sender that uses the targets in turn, regardless of their state. */
 export const createNaiveService = (clock: Clock, plan: LoadPlan, models: readonly TargetModel[]): SendRequest => {
     const targets = models.map((model) => createNaiveTarget(plan, model));
     const attemptTimeoutMs = plan.timeoutMs / MAXIMUM_RETRIES;
--- a/packages/oleandergap-routing/src/measure/ourService.ts
+++ b/packages/oleandergap-routing/src/measure/ourService.ts
@@ -1,4 +1,4 @@
-/** The service under measurement with this project's router and gates. */
+/** The measured service behind this project's router and gates. */
 import * as either from "fp-ts/lib/Either.js";
 import { createGate, type Admission, type Gate } from "oleandergap-gate";
 import type { Clock, RequestFailure, ServiceReference, ServiceRow } from "oleandergap-types";
@@ -11,7 +11,7 @@
 import type { TargetModel } from "./targetModel.js";
 
 const SERVICE: ServiceReference = { partner: "halloway", service: "wills-desk" };
-/** The targets have been up for long. */
+/** Start time of the targets, long enough ago that their slow start is over. */
 const STARTED_LONG_AGO = -1_000_000;
 
 /** A simulated target behind a real gate. */
@@ -20,17 +20,17 @@
     readonly model: TargetModel;
 }
 
-/** One request of the load; its deadline is on the monotonic clock. */
+/** One request of the load. Its deadline is on the monotonic clock. */
 export interface SentRequest {
     readonly id: number;
     readonly idempotent: boolean;
     readonly deadline: number;
 }
 
-/** Carries one request to its end; `onAttempt` runs at each attempt. */
+/** Sends one request and returns its result. `onAttempt` is called at each attempt. */
 export type SendRequest = (request: SentRequest, onAttempt: () => void) => Promise<RequestEnd>;
 
-/** One gate for each model, spread over the zones in turn. */
+/** Creates a gate for each target model and distributes them over the zones in turn. */
 export const createModelTargets = (
     clock: Clock,
     plan: LoadPlan,
@@ -56,7 +56,10 @@
 
 const lost: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "deadline passed" };
 
-/** Runs an admitted request until it is answered or its deadline passes; the slot is free once the target stopped. */
+/**
+ * Runs an admitted request until it is answered or its deadline passes. The slot is released when the target has
+ * stopped.
+ */
 const serve = (
     clock: Clock,
     target: ModelTarget,
@@ -94,7 +97,7 @@
         return createRequestRouter({ clock, picker });
     });
 
-/** Sends each request through the router of a gateway drawn at random. */
+/** Creates a sender that routes each request through a randomly selected gateway. */
 export const createOurService = (
     clock: Clock,
     random: Random,
--- a/packages/oleandergap-routing/src/measure/runLoad.ts
+++ b/packages/oleandergap-routing/src/measure/runLoad.ts
@@ -1,4 +1,4 @@
-/** Runs a load plan against one kind of service and sums up what callers saw. */
+/** Runs a load plan against one kind of service and summarises the results for the callers. */
 import { createSeededRandom, type Random } from "oleandergap-utils";
 import type { LoadFigures, LoadPlan, RequestEnd } from "./loadPlan.js";
 import { createNaiveService } from "./naiveService.js";
@@ -6,10 +6,10 @@
 import { createTargetModel, type TargetModel } from "./targetModel.js";
 import { createVirtualClock, type VirtualClock } from "./virtualClock.js";
 
-/** With this project, or with a naive proxy. */
+/** A service behind this project, or behind a naive proxy. */
 export type ServiceKind = "ours" | "naive";
 
-/** The value below which `part` of the sorted values lie; 0 without any. */
+/** Returns the value below which the share `part` of the sorted values lies, or 0 if there are no values. */
 export const quantile = (sorted: readonly number[], part: number): number =>
     sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? 0;
 
@@ -17,7 +17,7 @@
     requests: number;
     attempts: number;
     readonly ended: Record<RequestEnd, number[]>;
-    /** Starts by request. */
+    /** Number of started runs by request. */
     readonly runs: Map<number, number>;
     readonly unsafeRequests: Set<number>;
 }
@@ -33,7 +33,7 @@
 const countDoubledRuns = ({ runs, unsafeRequests }: Tally): number =>
     [...unsafeRequests].filter((request) => (runs.get(request) ?? 0) > 1).length;
 
-/** Requests per millisecond that all targets together can serve. */
+/** Returns the requests per millisecond that all targets together can serve. */
 const capacityOf = (plan: LoadPlan): number => {
     const rate = plan.trueSlots / plan.meanServiceMs;
     return rate * (plan.targets - 1) + rate / plan.slowFactor;
@@ -61,7 +61,7 @@
 
 const drawGap = (random: Random, plan: LoadPlan): number => -Math.log(1 - random()) / (capacityOf(plan) * plan.load);
 
-/** Requests arrive independently of the answers, as they do from many callers. */
+/** Generates requests whose arrivals do not depend on the responses, as with many independent callers. */
 const startArrivals = (
     clock: VirtualClock,
     random: Random,
@@ -89,7 +89,7 @@
     return createTargetModel(clock, random, plan, mean, onRun);
 });
 
-/** Runs until all requests have ended; figures leave out those that arrived during the warm-up. */
+/** Runs until all requests have ended. The results exclude requests that arrived during the warm-up. */
 export const runLoad = async (kind: ServiceKind, plan: LoadPlan): Promise<LoadFigures> => {
     const clock = createVirtualClock();
     const random = createSeededRandom(plan.seed);
--- a/packages/oleandergap-routing/src/measure/targetModel.ts
+++ b/packages/oleandergap-routing/src/measure/targetModel.ts
@@ -1,21 +1,24 @@
-/** A target in a discrete-event run: takes requests, works on them for a random time, and can be slow or overfull. */
+/** A target in a discrete-event run. It processes each request for a random time and can be slow or overloaded. */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import type { LoadPlan } from "./loadPlan.js";
 
-/** How service times grow with requests beyond the true slots; above 1, answers per second fall. */
+/**
+ * Exponent with which service times grow once the concurrent requests exceed the true slots. Above 1, the throughput
+ * falls.
+ */
 const CONGESTION_EXPONENT = 1.5;
 
 /** One simulated target. */
 export interface TargetModel {
-    /** Starts a request; `onEnd` runs when it is done, unless the returned function stops it before. */
+    /** Starts a request. `onEnd` is called when it is done, unless the returned function stops it before. */
     readonly run: (request: number, onEnd: () => void) => () => void;
     readonly running: () => number;
 }
 
 const drawExponential = (random: Random, mean: Milliseconds): Milliseconds => -mean * Math.log(1 - random());
 
-/** `onRun` is told each request that starts. */
+/** Creates a simulated target. `onRun` is called with each request that starts. */
 export const createTargetModel = (
     clock: Clock,
     random: Random,
--- a/packages/oleandergap-routing/src/measure/virtualClock.ts
+++ b/packages/oleandergap-routing/src/measure/virtualClock.ts
@@ -1,24 +1,24 @@
-/** A clock for discrete-event runs: time jumps from one event to the next. */
+/** A clock for discrete-event runs: time advances from one event to the next. */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { createSleep } from "oleandergap-utils";
 
 interface VirtualTimer {
     readonly due: Milliseconds;
     readonly order: number;
-    /** Undefined once cancelled; the entry itself stays until it falls due. */
+    /** Undefined after cancellation. The timer itself stays in the heap until it is due. */
     callback: (() => void) | undefined;
 }
 
-/** A clock that stands still between events. */
+/** A clock whose time does not advance between events. */
 export interface VirtualClock extends Clock {
-    /** Runs all events up to `end`, letting promises settle after each. */
+    /** Runs all events up to `end` and lets promises settle after each. */
     readonly runUntil: (end: Milliseconds) => Promise<void>;
 }
 
 const isBefore = (left: VirtualTimer, right: VirtualTimer): boolean =>
     left.due !== right.due ? left.due < right.due : left.order < right.order;
 
-/** A binary heap, since a run holds thousands of timers at once. */
+/** Creates a binary heap, because a run holds thousands of timers at once. */
 const createTimerHeap = (): { push: (timer: VirtualTimer) => void; pop: () => VirtualTimer | undefined } => {
     const heap: VirtualTimer[] = [];
 
@@ -70,7 +70,7 @@
     };
 };
 
-/** Starts at 0, wall clock and monotonic alike. */
+/** Creates a clock whose wall-clock and monotonic times both start at 0. */
 export const createVirtualClock = (): VirtualClock => {
     const timers = createTimerHeap();
     let time = 0;
