--- a/packages/oleandergap-routing/src/__tests__/abandonedCalls.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/abandonedCalls.test.ts
@@ -4,12 +4,11 @@
 const USUAL_MS = 30;
 const EXPIRY_MS = 300;
 
-describe("calls that expire at a target", () => {
-    // Symptom: sixty calls a second expire at one target, while two others of its service have most slots free.
-    // Sequence: the process beside the target falls behind; calls wait there until their callers hang up, which ends
-    //   their requests before any deadline of this node passes.
-    // Cause: nothing was learnt from a caller that hung up, and what had expired no longer counted as load.
-    it("lead later calls elsewhere", async () => {
+describe("a target at which calls expire", () => {
+    // Guards against calls that keep expiring at one slow target while the other targets have most of their slots free.
+    // Callers disconnect before this node's deadline, so without counting their waits, the slow target would get no
+    // failures and its expired calls would not count as load.
+    it("receives few of the later calls", async () => {
         const row = { ...createRow({}), placement: "load" as const };
         const { clock, pick } = createPickerHarness(createTargets("hall-a", 3), row);
         const counts = { behind: 0, others: 0 };
--- a/packages/oleandergap-routing/src/__tests__/ejection.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/ejection.test.ts
@@ -17,7 +17,7 @@
 const failFor = (...nodeIds: readonly string[]) => ({ nodeId }: RoutableTarget) =>
     nodeIds.includes(nodeId) ? connectFailed : answered;
 
-/** Fails the first `count` targets until they are ejected; returns how many requests it took. */
+/** Fails the first `count` targets until they are ejected. Returns the number of requests that failed. */
 const failUntilEjected = async (harness: PickerHarness, count: number): Promise<number> => {
     const names = Array.from({ length: count }, (_, index) => `hall-a-${index}`);
     let failed = 0;
@@ -29,10 +29,9 @@
 };
 
 describe("ejection", () => {
-    // Symptom: a share of the requests goes on failing long after a target has died.
-    // Sequence: one target of six stops accepting connections.
-    // Cause: the choice looks at load alone, and a dead target has none.
-    it("takes a failing target out after a few failures, and back after a single good probe", async () => {
+    // Guards against requests that keep failing after a target has died. A target that accepts no connections has no
+    // load, so a choice by load alone would prefer it.
+    it("ejects a failing target after three failures and readmits it after one successful probe", async () => {
         const harness = createZone(6);
         expect(await failUntilEjected(harness, 1)).to.equal(3);
         expect((await harness.send(400, failFor("hall-a-0"))).get("hall-a-0")).to.equal(undefined);
@@ -46,10 +45,9 @@
         expect(harness.zone("hall-a")?.ejected).to.equal(0);
     });
 
-    // Symptom: a target that stays dead costs a failed request every second, for hours.
-    // Sequence: each probe fails.
-    // Cause: the back-off does not grow.
-    it("probes a dead target ever more rarely", async () => {
+    // Guards against a failed request per second for as long as a target is down, which happens if failed probes do not
+    // increase the backoff.
+    it("increases the interval between probes of a dead target", async () => {
         const harness = createZone(6);
         const firstMinute = (await harness.send(6000, failFor("hall-a-0"), 10)).get("hall-a-0") ?? 0;
         const secondMinute = (await harness.send(6000, failFor("hall-a-0"), 10)).get("hall-a-0") ?? 0;
@@ -57,32 +55,29 @@
         expect(secondMinute).to.be.within(1, 4);
     });
 
-    // Symptom: a whole service is refused although some of its targets are up.
-    // Sequence: half of the targets fail, then all of them, then all are good again.
-    // Cause: ejection goes on until nobody is left.
-    it("ejects at most half of a zone, and serves at once when all are good again", async () => {
+    // Guards against a service that refuses all requests although some of its targets are healthy, because ejection
+    // continues until no target is available.
+    it("ejects at most half of a zone and serves all requests once the targets recover", async () => {
         const harness = createZone(6);
-        expect(await failUntilEjected(harness, 3), "failures and probes").to.be.within(9, 16);
+        expect(await failUntilEjected(harness, 3), "failed requests and probes").to.be.within(9, 16);
         await harness.send(300, () => connectFailed);
         expect(harness.zone("hall-a")?.ejected).to.equal(3);
         const counts = await harness.send(100);
         expect(countFor(counts, "hall-a")).to.equal(100);
     });
 
-    // Symptom: one target answers in a second what the others answer in 10 ms, and keeps its share.
-    // Sequence: its disk or its neighbour is slow; its health endpoint is well.
-    // Cause: only failures count, and a slow answer is none.
-    it("takes a target out that is far slower than its zone", async () => {
+    // Guards against a target that responds in a second instead of 10 ms and keeps its share. A slow disk or a busy
+    // neighbour causes no failures, and the health endpoint stays healthy.
+    it("ejects a target that is far slower than its zone", async () => {
         const harness = createZone(6);
         const counts = await harness.send(600, ({ nodeId }) =>
             ({ kind: "Answered", latencyMs: nodeId === "hall-a-0" ? 1000 : 10 }));
         expect(counts.get("hall-a-0")).to.be.within(1, 4);
     });
 
-    // Symptom: a zone of two targets stays slow although one of them is well.
-    // Sequence: the good target is ejected for a few slow answers; the other one turns slow for good.
-    // Cause: at most one of two may be out, and the good one has that place until its back-off ends.
-    it("lets a good target return in place of a worse one", async () => {
+    // Guards against a zone of two targets that stays slow although one target is healthy. The healthy one was ejected
+    // after a few slow responses; then the other one became slow, but at most one of two may be ejected.
+    it("readmits a healthy target in place of a worse one", async () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), oneZone, { ejectionMs: 60_000 });
         const slowAs = (latencies: Readonly<Record<string, number>>) => ({ nodeId }: RoutableTarget) =>
             ({ kind: "Answered", latencyMs: latencies[nodeId] ?? 0 } as const);
@@ -96,10 +91,9 @@
         expect(counts.get("hall-a-1")).to.equal(undefined);
     });
 
-    // Symptom: requests hang one after the other until their deadlines.
-    // Sequence: a target's process is frozen; its connections stay open; nothing is answered, nothing fails.
-    // Cause: failures are counted only when deadlines pass.
-    it("avoids a target that owes answers and gives none", async () => {
+    // Guards against requests that hang until their deadlines, one after the other. A frozen process keeps its
+    // connections open, so no failure is counted before a deadline passes.
+    it("avoids a target that sends no responses to its requests in flight", async () => {
         const harness = createZone(6);
         const frozen = harness.pick()?.target.nodeId;
         const busy = { inFlight: 10, queued: 40, capacity: 10, expectedWaitMs: 0 };
@@ -117,30 +111,27 @@
         expect(hung).to.be.at.most(10);
     });
 
-    // Symptom: ever more requests are refused with NotReady, by one node.
-    // Sequence: a target has gone; the directory still lists it; its node refuses at once.
-    // Cause: who refuses at once has nothing in flight and looks the least loaded.
-    it("is not drawn to a node that refuses because its target has gone", async () => {
+    // Guards against a node that attracts more and more requests and refuses them with `NotReady`. Its target is gone
+    // but still listed, and a node that refuses at once has nothing in flight and appears to be the least loaded.
+    it("ejects a node that refuses requests because its target is gone", async () => {
         const harness = createZone(6);
         const counts = await harness.send(300, ({ nodeId }) =>
             nodeId === "hall-a-0" ? { kind: "Refused", reason: "NotReady" } : answered);
         expect(counts.get("hall-a-0")).to.equal(1);
     });
 
-    // Symptom: healthy targets are ejected.
-    // Sequence: callers name deadlines shorter than the usual service time.
-    // Cause: a timeout is taken for the target's fault.
-    it("does not blame a target for deadlines shorter than its usual service", async () => {
+    // Guards against the ejection of healthy targets when callers set deadlines shorter than the typical service time
+    // and each timeout counts as a failure of the target.
+    it("does not eject a target for timeouts shorter than its typical service time", async () => {
         const harness = createZone(4);
         await harness.send(50, () => ({ kind: "Answered", latencyMs: 100 }));
         await harness.send(50, () => ({ kind: "AnswerLost", waitedMs: 20, isTimeout: true }));
         expect(harness.zone("hall-a")?.ejected).to.equal(0);
     });
 
-    // Symptom: after a restart, a lodgement is lost that was used to find out whether a target is back.
-    // Sequence: a target's back-off ends; the next request may not be sent again.
-    // Cause: any request serves as the probe.
-    it("probes first with a request that could be sent again", async () => {
+    // Guards against losing a request that must not run twice, because it was used to probe whether an ejected target
+    // has recovered.
+    it("prefers requests that can be retried as probes", async () => {
         const harness = createZone(6);
         await failUntilEjected(harness, 1);
         harness.clock.freeze(1010);
--- a/packages/oleandergap-routing/src/__tests__/fairZones.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/fairZones.test.ts
@@ -19,10 +19,10 @@
 const STEP_MS = 5;
 const SLOTS = 10;
 
-/** Targets of each zone; callers are spread evenly over the zones. */
+/** Number of targets in each zone. Callers are spread evenly over the zones. */
 const TARGETS_OF_ZONES = [["hall-a", 3], ["hall-b", 2], ["hall-c", 1]] as const;
 
-/** Plays nodes beside targets of unequal zones, and gives the part of each zone's requests that is answered. */
+/** Simulates nodes and targets in zones of unequal size. Returns the answered share of each zone's requests. */
 const play = async (load: number, seed: number): Promise<readonly number[]> => {
     const clock = createManualClock();
     const random = createSeededRandom(seed);
@@ -43,7 +43,7 @@
     }));
     const counts = TARGETS_OF_ZONES.map(() => ({ asked: 0, answered: 0 }));
     const { signal } = new AbortController();
-    // All callers of the model listen to it.
+    // All simulated callers add a listener to this signal.
     setMaxListeners(0, signal);
 
     const ask = async (zoneIndex: number): Promise<void> => {
@@ -88,21 +88,20 @@
     return counts.map(({ asked, answered }) => answered / asked);
 };
 
-describe("zones with unequal targets in an overload", () => {
-    // Symptom: callers of one zone are refused ten times as often as those of another one.
-    // Sequence: a fifth more requests arrive than the targets can run; one zone has three of six targets, another one.
-    // Cause: gates bound their queues, so that full targets report about the same load whatever is asked of them; those
-    //   nearby were preferred although they refused far more of what they were sent.
-    it("fare much alike", async () => {
-        // Parts answered with three, two and one target: 0.98, 0.90, 0.63 before and 0.90, 0.86, 0.77 now; at 1.4 times
-        // the capacity 0.95, 0.75, 0.46 before and 0.80, 0.73, 0.63 now.
+describe("zones with different numbers of targets", () => {
+    // Guards against zones with few targets whose callers are refused ten times as often as others. Gates limit their
+    // queues, so all full targets report about the same load; without the refused share, local targets would be
+    // preferred although they refuse far more requests.
+    it("have similar shares of answered requests in an overload", async () => {
+        // Answered shares with three, two and one target: 0.90, 0.86, 0.77 at 1.2 times the capacity and 0.80, 0.73,
+        // 0.63 at 1.4 times. Without the refused share in the score, they are 0.98, 0.90, 0.63 and 0.95, 0.75, 0.46.
         const [, , worst = 0] = await play(1.2, 1);
         expect(worst).to.be.above(0.72);
         const [best = 1, , worstOfMore = 0] = await play(1.4, 1);
         expect(best - worstOfMore).to.be.below(0.25);
     });
 
-    it("answer nearly all while there is room for it", async () => {
+    it("answer nearly all requests at the capacity of the targets", async () => {
         const parts = await play(1, 2);
         expect(Math.min(...parts)).to.be.above(0.93);
     });
--- a/packages/oleandergap-routing/src/__tests__/manyNear.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/manyNear.test.ts
@@ -1,8 +1,5 @@
-// Symptom: in a large zone some targets have several times the load of others and their callers' answers come late,
-// while others of the same service stand idle; small zones are well.
-// Sequence: all nodes of a zone list its 20 targets of a service in the same order; each looks at the first eight for
-// one that has room; a calm load always finds room there.
-// Cause: the nodes' lists began with the same eight.
+// Guards against targets of a large zone with several times the load of others. If all nodes listed the zone's 20
+// targets in the same order, they would all score the same first eight and find a free slot there.
 import { expect } from "chai";
 import { createManualClock, createSeededRandom } from "oleandergap-utils";
 import { createTargetPicker } from "../targetPicker.js";
@@ -34,17 +31,17 @@
     return counts;
 };
 
-describe("many targets nearby", () => {
+describe("many targets in the local zone", () => {
     const nodes = Array.from({ length: NODES }, (_, index) => createNode(index));
     const counts = countPicks(nodes);
     const mean = NODES * REQUESTS_PER_NODE / targets.length;
 
-    it("gives every target of the zone its part, as nodes look at different ones", () => {
+    it("spreads the requests of many nodes over all targets of the zone", () => {
         expect(counts.size).to.equal(targets.length);
         counts.forEach((count, nodeId) => expect(count, nodeId).to.be.within(mean / 3, 2 * mean));
     });
 
-    it("stays with the same few at one node, so that its connections are used again", () => {
+    it("uses few targets per node, so that connections are reused", () => {
         const ofOneNode = countPicks([createNode(3)]);
         expect(ofOneNode.size).to.be.at.most(8);
     });
--- a/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
@@ -19,7 +19,7 @@
 const failed = (failure: Parameters<typeof either.left>[0]): Result =>
     ({ outcome: either.left(failure), load: undefined, retriedBelow: false } as Result);
 
-/** An attempt that ends when the test says so. */
+/** An attempt that ends when the test resolves it. */
 interface Controlled {
     readonly result: Promise<Result>;
     readonly end: (result: Result) => void;
@@ -33,16 +33,14 @@
     return { result, end };
 };
 
-/** Enough turns for all that waits only for promises. */
+/** Waits until all pending promise callbacks have run. */
 const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 /*
- * Symptom: reads that a target works on are cut, and their callers get an answer of the system's own.
- * Sequence: a gate whose signs of life are late was silent to another request already, so that there is no second try
- *   at it; the request is sent elsewhere, and refused there.
- * Cause: the silent attempt was closed as soon as the next one began.
+ * Guards against aborted reads whose callers receive an error of the routing layer. The gate's heartbeats are late, so
+ * the request is sent to another target and refused there. The first attempt must still be running at that time.
  */
-describe("an attempt that is silent and goes on", () => {
+describe("an attempt that is left running after a heartbeat timeout", () => {
     const clock = createManualClock();
     let open: Controlled;
     let second: Controlled;
@@ -50,7 +48,10 @@
     let secondSignal: AbortSignal | undefined;
     let discarded: string[];
 
-    /** Two targets: the first attempt is silent and stays open, the second is under the test's control. */
+    /**
+     * Routes a request with two targets: the first attempt times out without a heartbeat and stays open, and the test
+     * controls the second.
+     */
     const execute = (): Promise<Either<RoutedFailure, Routed<string>>> => {
         open = createControlled();
         second = createControlled();
@@ -85,7 +86,7 @@
         }, (answer) => discarded.push(answer));
     };
 
-    it("gives the answer when the request is refused elsewhere", async () => {
+    it("provides the response when the other target refuses the request", async () => {
         const routed = execute();
         second.end(failed(refused("DeadlineTooShort")));
         await settle();
@@ -95,7 +96,7 @@
         expect(discarded).to.deep.equal([]);
     });
 
-    it("gives the answer when it comes before another one, which is given up", async () => {
+    it("cancels the other attempt when it responds first", async () => {
         const routed = execute();
         await settle();
         open.end(answered("late"));
@@ -106,7 +107,7 @@
         expect(discarded).to.deep.equal(["second"]);
     });
 
-    it("is given up when another target answers first", async () => {
+    it("is cancelled when another target responds first", async () => {
         const routed = execute();
         second.end(answered("second"));
         expect(either.toUnion(await routed)).to.include({ answer: "second" });
@@ -116,7 +117,7 @@
         expect(discarded).to.deep.equal(["late"]);
     });
 
-    it("leaves the verdict open when it ends without an answer", async () => {
+    it("leads to the verdict mayHaveRun when it ends without a response", async () => {
         const routed = execute();
         second.end(failed(refused("DeadlineTooShort")));
         await settle();
--- a/packages/oleandergap-routing/src/__tests__/overload.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/overload.test.ts
@@ -4,10 +4,9 @@
 const shortPlan = { ...basePlan, durationMs: 4000, warmUpMs: 2000, targets: 3, gateways: 4 };
 
 describe("overload", () => {
-    // Symptom: at a multiple of its capacity a service answers next to nothing in time.
-    // Sequence: requests come faster than they can be served; queues grow beyond the deadlines; callers ask again.
-    // Cause: queues without limit serve those whose callers have given up, and retries multiply the load.
-    it("serves as much at four times the capacity as at its capacity, and refuses the rest at once", async () => {
+    // Guards against a service that answers almost no requests in time under overload. Unbounded queues serve requests
+    // whose callers have given up, and retries multiply the load.
+    it("keeps the goodput at four times the capacity and refuses the remaining requests at once", async () => {
         const atCapacity = await runLoad("ours", shortPlan);
         const overloaded = await runLoad("ours", { ...shortPlan, load: 4 });
         const naive = await runLoad("naive", { ...shortPlan, load: 4 });
--- a/packages/oleandergap-routing/src/__tests__/overloadThrottle.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/overloadThrottle.test.ts
@@ -10,7 +10,7 @@
     readonly accepted: number;
 }
 
-/** Offers a request every 10 ms for a time, to a target that accepts one each `acceptEveryMs`. */
+/** Offers a request every 10 ms to a target that accepts one every `acceptEveryMs`, for `durationMs`. */
 const play = async (acceptEveryMs: number, durationMs: number): Promise<Played> => {
     const clock = createManualClock();
     const throttle = createOverloadThrottle(clock, createSeededRandom(1));
@@ -32,21 +32,20 @@
 };
 
 describe("createOverloadThrottle", () => {
-    // Symptom: the node of a service's last target is too busy with refusals to keep its target at work.
-    // Sequence: all targets of a service but one go; all nodes send all its requests to that one.
-    // Cause: only the gate refuses, and it has to receive a request for that.
-    it("sends little more than is accepted, and all of that", async () => {
+    // Guards against the node of a service's last target being too busy with refusals to keep its target at work. If
+    // only the gate refuses, it must receive the requests of all nodes first.
+    it("sends few requests beyond the accepted ones", async () => {
         const short = await play(100, 20_000);
         expect(short.sent).to.be.below(0.35 * short.offered);
         expect(short.accepted).to.be.above(0.6 * (short.offered / 10));
     });
 
-    it("sends everything while all of it is accepted", async () => {
+    it("sends all requests while all are accepted", async () => {
         const calm = await play(10, 5000);
         expect(calm.sent).to.equal(calm.offered);
     });
 
-    it("sends everything again soon after there is room", async () => {
+    it("sends all requests again soon after capacity returns", async () => {
         const clock = createManualClock();
         const throttle = createOverloadThrottle(clock, createSeededRandom(2));
         for (let count = 0; count < 300; count++) {
--- a/packages/oleandergap-routing/src/__tests__/overloadedZones.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/overloadedZones.test.ts
@@ -9,15 +9,15 @@
 const DURATION_MS = 6000;
 
 interface Played {
-    /** Part of the requests that stayed in the zone of their caller. */
+    /** Share of the requests that were served in the zone of their caller. */
     readonly keptShare: number;
-    /** The most loaded target's part of all requests. */
+    /** Share of all requests that the most loaded target received. */
     readonly largestShare: number;
 }
 
 /**
- * Plays one gateway and one target a zone, each target with ten slots and a queue by arrival; `rates` are the zones'
- * requests as a part of what one target can do.
+ * Simulates one gateway and one target per zone, each target with ten slots and a first-in-first-out queue. `rates` are
+ * the request rates of the zones as multiples of the capacity of one target.
  */
 const play = async (rates: readonly number[], nearAdvantage: number): Promise<Played> => {
     const clock = createManualClock();
@@ -73,17 +73,16 @@
 };
 
 describe("overloaded zones with placement by load", () => {
-    // Symptom: under load nearly every request crosses the availability zones, although each has targets of its own.
-    // Sequence: all zones get a little more than their targets can do.
-    // Cause: as soon as no target has room, targets are drawn from all zones alike.
-    it("keeps most requests in their zone when all zones are short", async () => {
+    // Guards against nearly every request crossing availability zones under load. When no target has a free slot,
+    // sampling from all targets would ignore the zone of the caller.
+    it("keeps more requests in the zone of their caller when all zones are overloaded", async () => {
         const alike = await play([1.1, 1.1, 1.1], 1);
         const preferred = await play([1.1, 1.1, 1.1], defaultRoutingOptions.picker.nearAdvantage);
         expect(preferred.keptShare).to.be.above(alike.keptShare + 0.1);
         expect(preferred.largestShare).to.be.below(0.4);
     });
 
-    it("shares the load of a zone that gets twice its part", async () => {
+    it("spreads the load of a zone that receives twice its capacity", async () => {
         const skewed = await play([2, 0.5, 0.5], defaultRoutingOptions.picker.nearAdvantage);
         expect(skewed.largestShare).to.be.below(0.42);
     });
--- a/packages/oleandergap-routing/src/__tests__/pickerHarness.ts
+++ b/packages/oleandergap-routing/src/__tests__/pickerHarness.ts
@@ -1,4 +1,4 @@
-/** Drives a target picker in tests. */
+/** Test harness for the target picker. */
 import type { NodeId, ServiceRow, ZoneName } from "oleandergap-types";
 import { createManualClock, createSeededRandom, type ManualClock } from "oleandergap-utils";
 import {
@@ -35,7 +35,10 @@
         canResend?: boolean,
         kind?: string,
     ) => TargetPick<RoutableTarget> | undefined;
-    /** Sends requests one after the other; `respond` gives each one's outcome. Counts them by node. */
+    /**
+     * Sends requests one after the other. `respond` returns the outcome of each. Returns the number of requests by
+     * node.
+     */
     readonly send: (
         count: number,
         respond?: (target: RoutableTarget) => AttemptOutcome,
@@ -50,7 +53,7 @@
 export const connectFailed: AttemptOutcome = { kind: "ConnectFailed" };
 export const queueFull: AttemptOutcome = { kind: "Refused", reason: "QueueFull" };
 
-/** Requests that went to nodes whose id starts with `prefix`. */
+/** Returns the number of requests that went to nodes whose ID starts with `prefix`. */
 export const countFor = (counts: ReadonlyMap<NodeId, number>, prefix: string): number =>
     [...counts].reduce((sum, [nodeId, count]) => sum + (nodeId.startsWith(prefix) ? count : 0), 0);
 
--- a/packages/oleandergap-routing/src/__tests__/placement.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/placement.test.ts
@@ -5,7 +5,7 @@
 const targets = [...createTargets("hall-a", 2), ...createTargets("hall-b", 1), ...createTargets("hall-c", 3)];
 
 describe("placement by load", () => {
-    it("needs no weights", async () => {
+    it("spreads requests evenly without weights", async () => {
         const harness = createPickerHarness(targets, byLoad, { nearLoad: 0 });
         const counts = await harness.send(600);
         expect(counts.size).to.equal(6);
@@ -14,7 +14,7 @@
         }
     });
 
-    it("stays on the own VM while there is room, then in the own zone, then goes anywhere", () => {
+    it("prefers the local VM, then the local zone, then any zone as the load rises", () => {
         const harness = createPickerHarness(targets, byLoad, { nearLoad: 0.5, ownLoad: 0.5 });
         const counts = new Map<string, number>();
         for (let sent = 0; sent < 30; sent++) {
@@ -30,30 +30,29 @@
         expect(countFor(counts, "hall-b") + countFor(counts, "hall-c")).to.be.at.least(14);
     });
 
-    it("fills the free slots of the own VM's target before it goes elsewhere", () => {
+    it("fills the free slots of the target on the local VM first", () => {
         const harness = createPickerHarness(targets, byLoad, { nearLoad: 0.5 });
         const picked = Array.from({ length: 11 }, () => harness.pick()?.target.nodeId);
         expect(picked.slice(0, 10)).to.deep.equal(Array.from({ length: 10 }, () => "hall-a-0"));
         expect(picked[10]).not.to.equal("hall-a-0");
     });
 
-    it("leaves a target nearby that fails", async () => {
+    it("stops preferring a local target that fails", async () => {
         const harness = createPickerHarness(targets, byLoad);
         const counts = await harness.send(60, ({ nodeId }) => nodeId === "hall-a-0" ? connectFailed : answered);
         expect(counts.get("hall-a-0")).to.be.at.most(6);
     });
 
-    it("leaves a target nearby to its slow start", async () => {
-        // Symptom: a target that has just started answers far too late, although others have room.
-        // Sequence: a target starts on a VM with callers; all of them go to it while it is cold.
-        // Cause: the preference for what is near overrides the small share of a young target.
+    it("does not prefer a local target during its slow start", async () => {
+        // Guards against late responses from a target that has just started on a VM with callers, while other targets
+        // have free slots. The preference for local targets must not override the small share during slow start.
         const young = targets.map((target) => target.nodeId === "hall-a-0" ? { ...target, since: 1_000_000 } : target);
         const harness = createPickerHarness(young, byLoad);
         const counts = await harness.send(200);
         expect(counts.get("hall-a-0") ?? 0).to.be.at.most(20);
     });
 
-    it("knows whether a target that was not tried has a free slot", () => {
+    it("reports whether a target that was not tried has a free slot", () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), byLoad);
         const request = { service: testService, row: byLoad, targets: createTargets("hall-a", 2), canResend: true };
         const hasRoom = (exclude: readonly string[]): boolean => harness.picker.hasRoom({ ...request, exclude });
--- a/packages/oleandergap-routing/src/__tests__/requestRouter.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/requestRouter.test.ts
@@ -37,7 +37,7 @@
     takesMs: fastCheck.integer({ min: 1, max: 600 }),
 }), { minLength: 4, maxLength: 4 });
 
-/** The worst that may have happened to the request, attempt by attempt. */
+/** Returns the worst verdict of all attempts. */
 const naiveVerdict = (attempts: readonly Scripted[]): Verdict => {
     const verdicts = attempts.map(({ failure }) => failure?.verdict ?? "ran");
     if (verdicts.includes("ran")) {
@@ -46,7 +46,7 @@
     return verdicts.includes("mayHaveRun") ? "mayHaveRun" : "notRun";
 };
 
-/** Whether a rule forbids the attempt after `done`, without regard to budgets. */
+/** Returns whether a rule forbids another attempt after `done`, regardless of the retry budget. */
 const isForbiddenNext = (done: Scripted, idempotent: boolean, replayable: boolean): boolean => {
     const verdict = done.failure?.verdict ?? "ran";
     const isFinal = done.failure?.kind === "BadRequest" || done.failure?.kind === "DuplicateKey";
@@ -55,7 +55,7 @@
 };
 
 describe("createRequestRouter", () => {
-    it("keeps to the verdicts, the deadline and different targets for any results", async () => {
+    it("respects verdicts, the deadline and distinct targets for all attempt results", async () => {
         await fastCheck.assert(fastCheck.asyncProperty(
             fastCheck.array(
                 fastCheck.record({
@@ -89,7 +89,7 @@
         ), { numRuns: 100 });
     });
 
-    it("counts attempts, and tells the hops above whether retries were dealt with", async () => {
+    it("counts attempts and reports to upstream hops whether retries were handled", async () => {
         const harness = createRouterHarness();
         const first = await harness.execute([good]);
         expect(first.result).to.deep.equal(either.right({ answer: "answer", attempts: 1, retriedBelow: false }));
@@ -97,7 +97,7 @@
         expect(second.result).to.deep.equal(either.right({ answer: "answer", attempts: 2, retriedBelow: true }));
     });
 
-    it("asks no target when the deadline has passed or the caller has gone", async () => {
+    it("sends nothing when the deadline has passed or the caller has disconnected", async () => {
         const harness = createRouterHarness();
         const late = await harness.execute([], { deadline: harness.clock.monotonic() });
         const gone = await harness.execute([], { signal: AbortSignal.abort() });
@@ -106,7 +106,7 @@
             .to.deep.equal(["DeadlinePassed", "Cancelled"]);
     });
 
-    it("allows no retry when the row allows none", async () => {
+    it("does not retry when the row allows no retries", async () => {
         const harness = createRouterHarness(8, 0);
         expect((await harness.execute([{ failure: connectFailed }])).tried).to.have.length(1);
     });
--- a/packages/oleandergap-routing/src/__tests__/retryFailures.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/retryFailures.test.ts
@@ -5,19 +5,17 @@
 const repeat = (scripted: Scripted): readonly Scripted[] => [scripted, scripted, scripted];
 
 describe("retries under failure", () => {
-    // Symptom: the court rejects two lodgements of the same grant.
-    // Sequence: a lodgement is sent, the connection breaks before the answer, a second target is asked.
-    // Cause: an error is taken for "not run".
-    it("sends a non-idempotent request once when its answer is lost", async () => {
+    // Guards against running a non-idempotent request twice: the connection breaks before the response, and the request
+    // is sent to a second target because the error is mistaken for `notRun`.
+    it("does not retry a non-idempotent request after its response is lost", async () => {
         const { result, tried } = await createRouterHarness().execute([{ failure: answerLost }], { idempotent: false });
         expect(tried).to.have.length(1);
         expect(either.isLeft(result) && result.left.failure.verdict).to.equal("mayHaveRun");
     });
 
-    // Symptom: a caller is told "not run" of a request that took effect.
-    // Sequence: the first target takes the request and its answer is lost; the second one refuses it.
-    // Cause: the verdict of the last attempt is taken for that of the request.
-    it("does not say not run when an earlier attempt may have run", async () => {
+    // Guards against reporting `notRun` for a request that took effect: the first target runs it but the response is
+    // lost, and the refusal by the second target determines the verdict.
+    it("does not report notRun when an earlier attempt may have run", async () => {
         const { result } = await createRouterHarness().execute([
             { failure: answerLost },
             { failure: refused("ClaimUnavailable", 700) },
@@ -26,10 +24,9 @@
         expect(either.isLeft(result) && result.left.failure.verdict).to.equal("mayHaveRun");
     });
 
-    // Symptom: a service that is down gets three times its usual requests.
-    // Sequence: all targets stop; callers go on.
-    // Cause: every request is retried up to its limit.
-    it("stops retrying when a service fails altogether", async () => {
+    // Guards against tripling the load of a service that is down, which happens if every request is retried up to its
+    // attempt limit.
+    it("stops retrying when a service fails completely", async () => {
         const harness = createRouterHarness();
         let attempts = 0;
         for (let count = 0; count < 500; count++) {
@@ -38,10 +35,9 @@
         expect(attempts).to.be.at.most(500 + 10);
     });
 
-    // Symptom: an overloaded service gets more requests the more it refuses.
-    // Sequence: all gates refuse with a full queue; callers go on, and a few are served.
-    // Cause: refusals are cheap to repeat, and every target is asked.
-    it("asks at most two targets that are overloaded, and rarely the second", async () => {
+    // Guards against increasing the load of an overloaded service by retries. Refusals are cheap, so without a limit
+    // each request would be sent to every target.
+    it("sends a request to at most two overloaded targets, and rarely to the second", async () => {
         const harness = createRouterHarness();
         let attempts = 0;
         for (let count = 0; count < 1000; count++) {
@@ -53,10 +49,10 @@
         expect(attempts).to.be.at.most(1000 + 10 + 0.1 * 250);
     });
 
-    // Symptom: one call in two fails after half of the targets died at once, although the others have room.
-    // Sequence: half of the targets die; until they are ejected, every second attempt meets one of them.
-    // Cause: the budget for repeated work is spent on requests that made no work.
-    it("reroutes every second request when half of the targets are gone", async () => {
+    // Guards against failing every second request after half of the targets died at once, although the others have
+    // capacity. Until ejection, every second attempt meets a dead target, and the budget for repeats is spent on
+    // attempts that caused no work.
+    it("reroutes every second request when half of the targets are down", async () => {
         const harness = createRouterHarness();
         let failed = 0;
         for (let count = 0; count < 400; count++) {
@@ -66,10 +62,9 @@
         expect(failed).to.equal(0);
     });
 
-    // Symptom: a failure at the end of a long chain is retried by every hop, 2^27 times in the worst case.
-    // Sequence: hop 27 fails and is retried there; its failure goes up; each hop above tries again.
-    // Cause: the hops do not know of each other.
-    it("retries once per chain of calls, at the hop nearest to the failure", async () => {
+    // Guards against a failure at the end of a chain of calls that every hop retries, up to 2^27 times, because no hop
+    // sees that another one has already retried.
+    it("retries only at the hop nearest to the failure in a chain of calls", async () => {
         const hops = Array.from({ length: 27 }, () => createRouterHarness());
         let calls = 0;
         const call = async (depth: number): Promise<Scripted> => {
@@ -87,10 +82,9 @@
         expect(calls).to.be.at.most(3);
     });
 
-    // Symptom: a caller is told to come back at once, and is refused again.
-    // Sequence: two overloaded targets refuse, with different times to come back.
-    // Cause: the last refusal's time is taken, whatever the others said.
-    it("names the longest time of the refusals", async () => {
+    // Guards against suggesting a retry delay that is too short, because only the last refusal counts, and refusing the
+    // caller's retry again.
+    it("suggests the longest retry delay of all refusals", async () => {
         const { result } = await createRouterHarness().execute([
             { failure: refused("QueueFull", 900) },
             { failure: refused("QueueFull", 300) },
@@ -99,20 +93,18 @@
         expect(either.isLeft(result) && result.left.failure).to.deep.include({ retryAfterMs: 900 });
     });
 
-    // Symptom: an upload arrives cut or empty at the second target.
-    // Sequence: half of a scanned deed has been sent when the gate refuses.
-    // Cause: "not run" is taken to mean that the request can be sent again.
-    it("does not send a body again that it no longer holds", async () => {
+    // Guards against sending a truncated or empty body to the second target. The gate refused the request with `notRun`
+    // when part of the body had already been sent.
+    it("does not retry a request whose body is no longer available", async () => {
         const { tried } = await createRouterHarness().execute([{ failure: refused("Draining") }], {
             replayable: () => false,
         });
         expect(tried).to.have.length(1);
     });
 
-    // Symptom: a fault in the program itself doubles a signing.
-    // Sequence: the code that sends throws after the request went out.
-    // Cause: an exception is taken for a request that was not sent.
-    it("takes an attempt that throws for one that may have run", async () => {
+    // Guards against running a request twice after a fault in this program: the sending code throws after the request
+    // was sent, and the exception is mistaken for `notRun`.
+    it("treats an attempt that throws as one that may have run", async () => {
         const { result, tried } = await createRouterHarness().execute([{
             get failure(): never {
                 throw new Error("fault");
--- a/packages/oleandergap-routing/src/__tests__/routerHarness.ts
+++ b/packages/oleandergap-routing/src/__tests__/routerHarness.ts
@@ -1,4 +1,4 @@
-/** Drives a request router in tests with attempts whose results are given. */
+/** Test harness for the request router, with predefined attempt results. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { NodeId, RefusalReason, RequestFailure } from "oleandergap-types";
@@ -20,7 +20,7 @@
 export const answerLost: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "reset" };
 export const answerCut: RequestFailure = { kind: "AnswerCut", verdict: "ran", detail: "cut" };
 
-/** A result of one attempt; undefined stands for an answer. */
+/** Result of one attempt; an undefined failure means a response. */
 export interface Scripted {
     readonly failure: RequestFailure | undefined;
     readonly retriedBelow?: boolean;
@@ -36,7 +36,7 @@
 
 export interface RouterHarness {
     readonly clock: ManualClock;
-    /** Runs one request; the n-th attempt gets the n-th result, and an answer when there is none left. */
+    /** Routes one request. The n-th attempt ends with the n-th result, or with a response if there is none. */
     readonly execute: (
         script: readonly Scripted[],
         overrides?: Partial<RequestExecution<RoutableTarget>>,
--- a/packages/oleandergap-routing/src/__tests__/shedding.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/shedding.test.ts
@@ -8,7 +8,10 @@
 
 interface Played {
     readonly answered: number;
-    /** Refused by targets in the end, and by this node without asking one. */
+    /**
+     * Requests whose final failure is a refusal by a target (`shed`), and those that this node refused without an
+     * attempt.
+     */
     readonly shed: number;
     readonly refusedHere: number;
     readonly longestRetryAfterMs: number;
@@ -17,7 +20,7 @@
 const FREE: GateLoad = { inFlight: 3, queued: 0, capacity: 10, expectedWaitMs: 0 };
 const FULL: GateLoad = { inFlight: 10, queued: 40, capacity: 10, expectedWaitMs: 400 };
 
-/** Sends 2000 requests to targets that each turn away a part of their requests, with a load that gates report. */
+/** Sends 2000 requests to targets that each refuse a share of them, with the given reason and reported load. */
 const play = async (shedPart: number, reason: RefusalReason, load: GateLoad): Promise<Played> => {
     const clock = createManualClock();
     const random = createSeededRandom(5);
@@ -58,19 +61,18 @@
     return counts;
 };
 
-describe("targets that shed a part of their requests whatever their load", () => {
-    // Symptom: a third of all requests is refused by the first node (`LimitReached`), and the others are told to
-    //   come back after a second, while half of the slots are free.
-    // Sequence: the targets of a service begin to turn away 55 in 100 requests at once.
-    // Cause: what a target turns away was taken for an overload, and callers were sent away as if none were there.
-    it("are asked on, and their callers come back soon", async () => {
+describe("targets that shed a share of their requests", () => {
+    // Guards against refusing a third of all requests at the first node with `LimitReached`, and asking the other
+    // callers to wait for a second, while half of the slots are free. Targets that reject 55 of 100 requests at once
+    // must not count as overloaded.
+    it("keep receiving requests, with a short retry delay, while they have free slots", async () => {
         const shed = await play(0.55, "TargetBusy", FREE);
         expect(shed.refusedHere).to.equal(0);
         expect(shed.answered).to.be.above(0.45 * 2000);
         expect(shed.longestRetryAfterMs).to.equal(50);
     });
 
-    it("are spared when they are full as well", async () => {
+    it("receive fewer requests when they are full as well", async () => {
         const full = await play(0.8, "TargetBusy", FULL);
         expect(full.refusedHere).to.be.above(400);
         const queueFull = await play(0.8, "QueueFull", FREE);
--- a/packages/oleandergap-routing/src/__tests__/silence.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/silence.test.ts
@@ -25,17 +25,17 @@
     throw new Error(`${nodeId} is never picked`);
 };
 
-/** One request under way at each of two targets, so that both are loaded alike. */
+/** Picks each of two targets once, so that both have the same load. */
 const occupyBoth = (harness: PickerHarness): readonly [TargetPick<RoutableTarget>, TargetPick<RoutableTarget>] =>
     [pickFor(harness, "hall-a-0"), pickFor(harness, "hall-a-1")];
 
 const lost = { kind: "AnswerLost", waitedMs: 1000, isTimeout: true } as const;
 
 describe("silence", () => {
-    // Symptom: for three to five seconds lodgements go to a frozen node, and each is told mayHaveRun.
-    // Sequence: a node's process is frozen; its gate gives no sign; requests fail only at their deadlines.
-    // Cause: the choice learns of the silence when a request ends, not when the silence is noticed.
-    it("avoids a target from its first silence on, and takes it back at its next sign", async () => {
+    // Guards against sending requests to a frozen node for three to five seconds, each with the verdict `mayHaveRun`.
+    // Its gate sends no heartbeats, and without a report at the heartbeat timeout, the picker would react only when a
+    // request fails at its deadline.
+    it("avoids a target from its first heartbeat timeout until its next heartbeat", async () => {
         const harness = createZone(2);
         const [hanging] = occupyBoth(harness);
         expect(hanging.progress.silent()).to.equal(false);
@@ -44,10 +44,9 @@
         expect((await harness.send(200)).get("hall-a-0")).to.be.at.least(80);
     });
 
-    // Symptom: lodgements go to a frozen node for half a second although each sign of life was due after 100 ms.
-    // Sequence: a node is frozen; the limit after which a request is given up has to spare stalls of 300 ms.
-    // Cause: one limit both gives requests up and steers new ones; only the first is costly when it errs.
-    it("prefers others as soon as signs are missed, before any request is given up", async () => {
+    // Guards against sending requests to a frozen node for half a second although its heartbeats are due every 100 ms.
+    // Giving up a request needs a limit that tolerates stalls of 300 ms; avoiding the target for new requests does not.
+    it("prefers other targets after missed heartbeats, before any request is given up", async () => {
         const harness = createZone(2);
         const [hanging] = occupyBoth(harness);
         hanging.progress.expectSigns();
@@ -57,10 +56,9 @@
         expect((await harness.send(100)).get("hall-a-0")).to.be.at.least(30);
     });
 
-    // Symptom: two of four nodes are frozen, and every sixth request still goes to one of them.
-    // Sequence: both candidates that are drawn are silent.
-    // Cause: silence only counts in the comparison of two.
-    it("avoids all silent targets, however many, and serves all the same if none is left", async () => {
+    // Guards against sending every sixth request to a frozen node when two of four nodes are frozen. If
+    // unresponsiveness only affected the comparison, two unresponsive candidates could be sampled together.
+    it("avoids any number of unresponsive targets, but uses them if no other is left", async () => {
         const harness = createZone(4);
         const names = ["hall-a-0", "hall-a-1", "hall-a-2"];
         for (const name of names) {
@@ -71,10 +69,9 @@
         expect(harness.pick()).to.not.equal(undefined);
     });
 
-    // Symptom: a zone whose only target is frozen goes on getting its share.
-    // Sequence: two zones with a target each; one is frozen.
-    // Cause: the zone is chosen before its targets are looked at.
-    it("sends a zone's share elsewhere while all of its targets are silent", async () => {
+    // Guards against a zone that keeps its share although its only target is frozen, because the zone is chosen before
+    // its targets are checked.
+    it("moves a zone's share to other zones while all of its targets are unresponsive", async () => {
         const targets = [...createTargets("hall-a", 1), ...createTargets("hall-b", 1)];
         const harness = createPickerHarness(targets, createRow({ "hall-a": 1, "hall-b": 1 }));
         const hanging = pickFor(harness, "hall-b-0");
@@ -84,10 +81,9 @@
         expect((await harness.send(200)).get("hall-b-0")).to.be.within(98, 102);
     });
 
-    // Symptom: a codicil's signing is lost to a node that is known to be frozen, and reads pile up there.
-    // Sequence: the silence lasts; each request may find out whether it is over.
-    // Cause: probes are neither safe to repeat nor bounded in number.
-    it("probes silent targets with one repeatable request at a time", () => {
+    // Guards against probing a frozen node with requests that must not run twice, and against many probes at once while
+    // it stays unresponsive.
+    it("probes unresponsive targets with one retryable request at a time", () => {
         const harness = createZone(4);
         for (const name of ["hall-a-0", "hall-a-1"]) {
             pickFor(harness, name).progress.silent();
@@ -99,13 +95,12 @@
         expect(signings.some(isProbe)).to.equal(false);
         const probes = Array.from({ length: 50 }, () => harness.pick()).filter(isProbe);
         expect(probes).to.have.length(1);
-        expect(probes[0]?.progress.silent(), "goes elsewhere at once").to.equal(true);
+        expect(probes[0]?.progress.silent(), "the probed target was already unresponsive").to.equal(true);
     });
 
-    // Symptom: after a fault of one second a target gets nothing for half a minute.
-    // Sequence: ten requests are under way when it is ejected; they fail one after the other.
-    // Cause: each of them counts as a failed probe and doubles the back-off.
-    it("does not lengthen an ejection for requests that were sent before it", async () => {
+    // Guards against a target without requests for half a minute after a fault of one second. Ten requests were in
+    // flight when it was ejected; if each failure counted as a failed probe, it would double the backoff.
+    it("does not extend an ejection when requests sent before it fail", async () => {
         const harness = createZone(2);
         const under = Array.from({ length: 10 }, () => harness.pick(["hall-a-1"]));
         under.forEach((chosen) => chosen?.report(connectFailed));
@@ -114,10 +109,9 @@
         expect((await harness.send(1)).get("hall-a-0")).to.equal(1);
     });
 
-    // Symptom: a target breaks off every answer after its head, and keeps its share.
-    // Sequence: each head is taken for an answer, and clears the failure before it.
-    // Cause: what happens to an answer's body does not reach the choice.
-    it("takes a target out that breaks off its answers", async () => {
+    // Guards against a target that interrupts every response after its head and keeps its share, because each head
+    // counts as a success and clears the previous failure.
+    it("ejects a target that interrupts its responses", async () => {
         const harness = createZone(2);
         for (let count = 0; count < 3; count++) {
             const chosen = pickFor(harness, "hall-a-0");
@@ -128,7 +122,7 @@
         expect((await harness.send(100)).get("hall-a-0")).to.equal(undefined);
     });
 
-    it("forgets a silence when the request is answered, and keeps it when the request is lost", async () => {
+    it("readmits an unresponsive target after a response, but not after a lost response", async () => {
         for (const [outcome, isTaken] of [[answered, true], [lost, false]] as const) {
             const harness = createZone(2);
             const hanging = pickFor(harness, "hall-a-0");
--- a/packages/oleandergap-routing/src/__tests__/slowTarget.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/slowTarget.test.ts
@@ -5,10 +5,9 @@
 const FREE = { inFlight: 3, queued: 0, capacity: 10, expectedWaitMs: 0 };
 
 describe("slow targets", () => {
-    // Symptom: for a second after a target turns slow, requests pile up there.
-    // Sequence: its requests under way grow old; none of them has been answered.
-    // Cause: a latency is known only once an answer is there.
-    it("counts the age of unanswered requests against a target", async () => {
+    // Guards against requests piling up for a second at a target that has become slow. Its latency is measured only
+    // when a response arrives, so the age of its unanswered requests must count.
+    it("avoids a target whose unanswered requests are old", async () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), createRow({ "hall-a": 1 }));
         await harness.send(100, () => ({ kind: "Answered", latencyMs: 10 }));
         const first = harness.pick();
@@ -17,11 +16,10 @@
         expect(others).to.not.include(first?.target.nodeId);
     });
 
-    // Symptom: one request in twenty is answered by a target that is known to be slow, while another zone is idle.
-    // Sequence: one of a zone's two targets is ejected; the other one queues; its latency rises until the slow one
-    // looks no longer slow and returns.
-    // Cause: a zone that queues for want of targets refuses nothing, and so keeps its whole share.
-    it("moves a part of a zone's share while it queues for want of an ejected target", async () => {
+    // Guards against one request in twenty going to a slow target while another zone is idle. One of the zone's two
+    // targets is ejected, and the other queues until its latency makes the slow one seem normal. A zone that queues
+    // refuses nothing, so it would keep its whole share.
+    it("moves part of a zone's share while its available targets queue requests", async () => {
         const targets = [...createTargets("hall-a", 2), ...createTargets("hall-b", 2)];
         const harness = createPickerHarness(targets, createRow({ "hall-a": 1, "hall-b": 1 }));
         const send = async (count: number): Promise<number> => {
@@ -35,7 +33,7 @@
             }
             return sentToA;
         };
-        expect(await send(200), "a queue alone moves nothing").to.be.within(98, 102);
+        expect(await send(200), "queued requests alone move no share").to.be.within(98, 102);
         for (let count = 0; count < 4; count++) {
             harness.pick(["hall-a-1", "hall-b-0", "hall-b-1"])?.report({ kind: "Answered", latencyMs: 500 });
         }
@@ -43,10 +41,9 @@
         expect(await send(200)).to.be.below(80);
     });
 
-    // Symptom: good targets are ejected in turn, and the rest of the service is overloaded.
-    // Sequence: a service runs calls of 50 ms and reads of 900 ms; a few reads in a row go to one target.
-    // Cause: each latency is compared with the usual one of all kinds of requests together.
-    it("does not take a target that runs long requests for a slow one", () => {
+    // Guards against ejecting healthy targets in turn. A service has calls of 50 ms and reads of 900 ms, and a few
+    // consecutive reads at one target must not be compared with the typical latency of all kinds.
+    it("does not eject a target that runs long requests", () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), createRow({ "hall-a": 1 }));
         const send = (kind: string, latencyMs: number): void => {
             harness.pick([], true, kind)?.report({ kind: "Answered", latencyMs });
--- a/packages/oleandergap-routing/src/__tests__/starvationThrottle.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/starvationThrottle.test.ts
@@ -4,7 +4,7 @@
 
 interface Part {
     readonly kind: string;
-    /** Part of its runs that need a call. */
+    /** Share of the runs of this kind that need a downstream call. */
     readonly calling: number;
 }
 
@@ -14,7 +14,10 @@
     readonly served: number;
 }
 
-/** Offers 100 requests of a kind a second for `seconds`; calls are served with a probability. */
+/**
+ * Offers 100 requests per second of one kind for `seconds`. `served` returns the probability that a downstream call is
+ * served.
+ */
 const play = async ({ kind, calling }: Part, served: (second: number) => number, seconds: number): Promise<Played> => {
     const clock = createManualClock();
     const random = createSeededRandom(7);
@@ -34,20 +37,20 @@
 };
 
 describe("createStarvationThrottle", () => {
-    // Symptom: seven in ten runs of a service end with its targets' own 500, and its queues are full.
-    // Sequence: a service loses two of its three targets; requests elsewhere are let in, run, call it and fail.
-    // Cause: each hop decides by its own room alone, whatever the runs that it lets in need.
-    it("sends little of what nearly always fails, and still notices room", async () => {
+    // Guards against seven in ten runs of a service ending with status 500 while its queues are full. A downstream
+    // service has lost two of its three targets, and each hop admits requests by its own capacity alone, although their
+    // runs need that service.
+    it("limits requests that nearly always fail and detects the recovery", async () => {
         const short = await play({ kind: "again", calling: 0.875 }, () => 0, 20);
         expect(short.sent / short.offered).to.be.within(0.2, 0.55);
         const none = await play({ kind: "lookup", calling: 1 }, () => 0, 20);
         expect(none.sent / none.offered).to.be.within(0.08, 0.16);
         const back = await play({ kind: "lookup", calling: 1 }, (second) => second < 10 ? 0 : 1, 20);
-        // Of the 1,000 requests after the return, more than nine in ten.
+        // More than nine in ten of the 1,000 requests after the recovery.
         expect(back.served).to.be.above(900);
     });
 
-    it("sends everything while a third of the runs ends well", async () => {
+    it("sends all requests while at least a third of the runs succeed", async () => {
         const { offered, sent } = await play({ kind: "first", calling: 0.5 }, () => 0, 10);
         expect(sent / offered).to.be.above(0.97);
     });
--- a/packages/oleandergap-routing/src/__tests__/targetPicker.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/targetPicker.test.ts
@@ -5,7 +5,7 @@
 const threeZones = [...createTargets("hall-a", 4), ...createTargets("hall-b", 4), ...createTargets("hall-c", 4)];
 
 describe("createTargetPicker", () => {
-    it("gives each zone its exact share, give or take two requests", async () => {
+    it("gives each zone its exact share within two requests", async () => {
         await fastCheck.assert(fastCheck.asyncProperty(
             fastCheck.record({
                 "hall-a": fastCheck.nat(100),
@@ -26,7 +26,7 @@
         ), { numRuns: 60 });
     });
 
-    it("never uses a zone of weight 0, whatever fails elsewhere", async () => {
+    it("never uses a zone of weight 0, even if the other zones fail", async () => {
         const harness = createPickerHarness(threeZones, createRow({ "hall-a": 1, "hall-b": 0 }));
         const refused = await harness.send(200, () => queueFull);
         const failed = await harness.send(200, () => connectFailed);
@@ -37,7 +37,7 @@
         expect(harness.pick(allOfZone)).to.equal(undefined);
     });
 
-    it("never picks a leaving target or one that the request has tried", async () => {
+    it("never picks a leaving target or one that the request was already sent to", async () => {
         const targets = createTargets("hall-a", 4).map((target, index) => ({ ...target, leaving: index === 0 }));
         const harness = createPickerHarness(targets, createRow({ "hall-a": 1 }));
         expect((await harness.send(100)).has("hall-a-0")).to.equal(false);
@@ -46,7 +46,7 @@
         }
     });
 
-    it("follows a changed row and a changed directory with the next pick", async () => {
+    it("applies a changed row or directory at the next pick", async () => {
         const harness = createPickerHarness(threeZones, createRow({ "hall-a": 1 }));
         await harness.send(10);
         harness.setRow(createRow({ "hall-b": 1 }));
@@ -55,7 +55,7 @@
         expect(harness.pick()).to.equal(undefined);
     });
 
-    it("prefers targets with free slots, as their gates report them", async () => {
+    it("prefers targets whose gates report free slots", async () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), createRow({ "hall-a": 1 }));
         const busy = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
         const idle = { inFlight: 0, queued: 0, capacity: 10, expectedWaitMs: 0 };
@@ -70,7 +70,7 @@
         expect(idlePicks).to.be.at.least(98);
     });
 
-    it("lets a load report fade, so that an old one keeps no target out", async () => {
+    it("decays a load report, so that an old one does not exclude a target", async () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), createRow({ "hall-a": 1 }));
         const busy = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
         const first = harness.pick();
@@ -80,7 +80,7 @@
         expect(counts.get(first?.target.nodeId ?? "")).to.be.at.least(25);
     });
 
-    it("stays in the own zone when callers are spread evenly and weights are equal, and leaves it when it is short", async () => {
+    it("stays in the local zone with even callers and weights, and leaves it when it is overloaded", async () => {
         const weights = createRow({ "hall-a": 1, "hall-b": 1, "hall-c": 1 });
         const harness = createPickerHarness(threeZones, weights, { callerSpread: "evenOverZones" }, "hall-b");
         expect(countFor(await harness.send(90), "hall-b")).to.equal(90);
@@ -89,7 +89,7 @@
         expect(countFor(short, "hall-a")).to.be.closeTo(countFor(short, "hall-c"), 2);
     });
 
-    it("starts young targets slowly, and all alike when all are young", async () => {
+    it("applies the slow start to new targets, but not relative to other new targets", async () => {
         const old = createTargets("hall-a", 4);
         const young = createTargets("hall-a-young", 1, 1_000_000).map((target) => ({ ...target, zone: "hall-a" }));
         const mixed = createPickerHarness([...old, ...young], createRow({ "hall-a": 1 }));
--- a/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
@@ -14,10 +14,10 @@
 
 const CALL_DISTANCE_MS: Milliseconds = 5;
 const RUN_MS: Milliseconds = 50;
-/** Callers of such calls expire with the runs that made them. */
+/** The deadlines of such calls are those of the runs that made them. */
 const PATIENCE_MS: Milliseconds = 400;
 
-/** How the only target treats a call; it answers just in time, or after its caller has gone. */
+/** How the only target handles a call: it responds quickly, just in time, or after the caller has disconnected. */
 type Treatment = "Answers" | "AnswersSlowly" | "ReadsTooLate";
 
 const RUN_TIMES: Readonly<Record<Treatment, Milliseconds>> =
@@ -25,12 +25,14 @@
 
 interface Calls {
     readonly clock: ManualClock;
-    /** Calls of the time that has passed since the last look: all of them, and those that were sent and answered. */
+    /**
+     * Returns the calls since the previous invocation: all of them, those that were sent, and those that were answered.
+     */
     readonly look: () => { readonly asked: number; readonly sent: number; readonly answered: number };
     readonly play: (durationMs: Milliseconds, treatment: Treatment, patienceMs?: Milliseconds) => Promise<void>;
 }
 
-/** One node that calls a service with one target, 200 times a second. */
+/** Creates one node that calls a service with one target 200 times per second. */
 const createCalls = (): Calls => {
     const clock = createManualClock();
     const random = createSeededRandom(5);
@@ -89,19 +91,15 @@
 };
 
 /*
- * Symptom: for ten seconds next to no call of a service is answered, and most requests that make such calls fail,
- *   while its target has nearly all slots free.
- * Sequence: of a service one target is left, beside a node that has just started; calls come faster than the node reads
- *   them; their callers give up before they are read, and the next ones call as often.
- * Cause: each node sent on all its calls, as one that nobody answered counted as accepted; only refusals throttled.
- * Evidence: for nine seconds each call that reached the gate, 98 to 264 a second, had lost its caller, while 0 to 4 of
- *   18 slots were taken, 10 in the last second; without charge for processor time the same day has no such seconds.
+ * Guards against a service that answers almost no calls while nearly all slots of its target are free. Calls arrive
+ * faster than the target's node reads them, and their callers give up first. If an unanswered call counted as accepted,
+ * each node would keep sending all of its calls.
  */
-describe("calls whose callers give up before they are read", () => {
+describe("calls whose callers disconnect before the calls are read", () => {
     it("are refused at the first node until the target's node has caught up", async () => {
         const calls = createCalls();
         await calls.play(1_000, "Answers");
-        // Answers take longer and longer before none comes in time; what is usual must not grow with them.
+        // Responses take longer before they miss the deadline altogether; the typical latency must not grow with them.
         await calls.play(2_000, "AnswersSlowly");
         await calls.play(2_000, "ReadsTooLate");
         calls.look();
@@ -115,7 +113,7 @@
         expect(again.answered / again.asked).to.be.at.least(0.95);
     });
 
-    it("say nothing if their callers give up early", async () => {
+    it("are not counted against the service if their callers disconnect early", async () => {
         const calls = createCalls();
         await calls.play(1_000, "Answers");
         calls.look();
--- a/packages/oleandergap-routing/src/__tests__/unheardTargets.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unheardTargets.test.ts
@@ -8,11 +8,11 @@
 const CUT_OFF = "hall-a-0";
 const LEFT_MS = 300;
 
-describe("a target whose node is not heard", () => {
-    // Symptom: a target in a cut-off zone is ejected and taken back many times a second, and requests wait there.
-    // Sequence: requests wait for a connection to it until their time is over; this node refuses them.
-    // Cause: any refusal was taken for an answer of the target's node, which closes its circuit.
-    it("is not brought back by refusals of this node", async () => {
+describe("a target whose node is unreachable", () => {
+    // Guards against an unreachable target that is ejected and readmitted many times per second. Requests wait for a
+    // connection until their deadlines, and this node refuses them; such a refusal must not count as a response of the
+    // target's node.
+    it("is not readmitted after refusals by the local node", async () => {
         const clock = createManualClock();
         const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-b", clock, random: createSeededRandom(1) });
         const router = createRequestRouter({ clock, picker });
--- a/packages/oleandergap-routing/src/__tests__/zoneFailures.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/zoneFailures.test.ts
@@ -17,10 +17,9 @@
     zones.includes(zone) ? connectFailed : answered;
 
 describe("zones under failure", () => {
-    // Symptom: a third of all requests fails for as long as a zone is cut off.
-    // Sequence: a network partition cuts off hall-b; later it heals.
-    // Cause: weights are kept to although nobody in the zone can be reached.
-    it("takes a cut-off zone's share elsewhere, and gives it back step by step", async () => {
+    // Guards against failing a third of all requests while a network partition makes a zone unreachable, because the
+    // weights are applied although no target of that zone can be reached.
+    it("moves the share of an unreachable zone to other zones and returns it gradually", async () => {
         const harness = createPickerHarness(targets, evenRow);
         await harness.send(30);
         const cut = await harness.send(600, failZones("hall-b"));
@@ -34,29 +33,26 @@
         expect(healed).to.be.within(98, 102);
     });
 
-    // Symptom: a zone that is cut off refuses its own callers, although its own targets are up.
-    // Sequence: a network partition separates the node's zone from the two others.
-    // Cause: the node goes on sending two thirds of its requests across.
-    it("goes on with its own targets in a zone that is cut off", async () => {
+    // Guards against a partitioned zone that fails its own callers although its own targets are healthy, because its
+    // nodes keep sending two thirds of their requests to the other zones.
+    it("keeps using local targets when the other zones are unreachable", async () => {
         const harness = createPickerHarness(targets, evenRow);
         await harness.send(60, failZones("hall-b", "hall-c"));
         const counts = await harness.send(300, failZones("hall-b", "hall-c"));
         expect(countFor(counts, "hall-a")).to.be.at.least(295);
     });
 
-    // Symptom: a whole service stays refused after a short fault of the node's own network.
-    // Sequence: all zones fail at once; then all work again.
-    // Cause: every zone is given up, and nobody is asked before the back-off ends.
-    it("goes on trying when every zone seems to be cut off", async () => {
+    // Guards against a service that stays refused after a short network fault of this node. If every zone failed at
+    // once and all were given up, no request would be sent before the backoff ends.
+    it("keeps sending requests when every zone seems unreachable", async () => {
         const harness = createPickerHarness(targets, evenRow);
         await harness.send(200, () => connectFailed);
         expect(countFor(await harness.send(30), "hall-")).to.equal(30);
     });
 
-    // Symptom: requests cross to other zones although the own one has room.
-    // Sequence: a caller names deadlines shorter than the service time; idle gates refuse them.
-    // Cause: every refusal for a deadline is taken for want of capacity.
-    it("takes a deadline that no target could meet for no shortage", () => {
+    // Guards against requests that go to other zones although the local zone has free slots. Idle gates refuse
+    // deadlines shorter than the service time; such refusals must not count as lack of capacity.
+    it("does not treat a refused deadline as lack of capacity while gates have free slots", () => {
         const harness = createPickerHarness(targets, evenRow);
         const idle = { inFlight: 1, queued: 0, capacity: 10, expectedWaitMs: 0 };
         for (let count = 0; count < 50; count++) {
@@ -65,10 +61,10 @@
         expect(harness.zone("hall-a")?.spill).to.equal(0);
     });
 
-    // Symptom: one zone refuses while the others have room, or the zones are overloaded in turn.
-    // Sequence: hall-a can take only a third of its share; later it can take all again. Twenty nodes decide alone.
-    // Cause: without spill the share is refused; with a spill that returns at once all nodes swing together.
-    it("spills what a short zone refuses, steadily, and takes it back", async () => {
+    // Guards against a zone that refuses requests while the others have capacity, and against zones that are overloaded
+    // in turn. Without spill, hall-a refuses two thirds of its share; if its share returned at once, all 20 nodes would
+    // switch back together.
+    it("spills what an overloaded zone refuses without oscillation and returns the share afterwards", async () => {
         const nodes = Array.from({ length: 20 }, (_, seed) => createPickerHarness(targets, evenRow, {}, "hall-b", seed));
         const roundRefusals: number[] = [];
         const runRound = async (capacity: number): Promise<number> => {
--- a/packages/oleandergap-routing/src/__tests__/zoneShares.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/zoneShares.test.ts
@@ -8,12 +8,12 @@
     .filter((weights) => weights.some((weight) => weight > 0));
 
 describe("planZoneShares", () => {
-    it("splits by weight when nothing is known of the callers", () => {
+    it("splits requests by weight when the caller spread is unknown", () => {
         const weights = new Map([["hall-a", 1], ["hall-b", 3], ["hall-c", 0]]);
         expect([...planZoneShares(weights, "hall-a", "unknown")]).to.deep.equal([["hall-a", 0.25], ["hall-b", 0.75]]);
     });
 
-    it("meets the weights over the fleet when callers are spread evenly, and keeps as much local as they allow", () => {
+    it("meets the weights over the fleet with evenly spread callers and maximises local requests", () => {
         fastCheck.assert(fastCheck.property(weightsArbitrary, (values) => {
             const weights = new Map(zones.map((zone, index) => [zone, values[index] ?? 0]));
             const total = values.reduce((sum, value) => sum + value, 0);
