--- a/packages/oleandergap-routing/src/__tests__/abandonedCalls.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/abandonedCalls.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { createPickerHarness, createRow, createTargets } from "./pickerHarness.js";
 
-const USUAL_MS = 30;
-const EXPIRY_MS = 300;
+const TYPICAL_LATENCY_MS = 30;
+const CALLER_TIMEOUT_MS = 300;
 
 describe("a target at which calls expire", () => {
     // Guards against calls that keep expiring at one slow target while the other targets have most of their slots free.
@@ -11,18 +11,18 @@
     it("receives few of the later calls", async () => {
         const row = { ...createRow({}), placement: "load" as const };
         const { clock, pick } = createPickerHarness(createTargets("hall-a", 3), row);
-        const counts = { behind: 0, others: 0 };
+        const counts = { slowTarget: 0, otherTargets: 0 };
         for (let count = 0; count < 400; count++) {
             const chosen = pick();
-            const isBehind = chosen?.target.nodeId === "hall-a-0" && count >= 100;
-            counts.behind += isBehind ? 1 : 0;
-            counts.others += isBehind || count < 100 ? 0 : 1;
-            clock.after(isBehind ? EXPIRY_MS : USUAL_MS, () => chosen?.report(
-                isBehind ? { kind: "Abandoned", waitedMs: EXPIRY_MS } : { kind: "Answered", latencyMs: USUAL_MS },
-                isBehind ? undefined : { inFlight: 4, queued: 0, capacity: 10, expectedWaitMs: 0 },
+            const isSlowTarget = chosen?.target.nodeId === "hall-a-0" && count >= 100;
+            counts.slowTarget += isSlowTarget ? 1 : 0;
+            counts.otherTargets += isSlowTarget || count < 100 ? 0 : 1;
+            clock.after(isSlowTarget ? CALLER_TIMEOUT_MS : TYPICAL_LATENCY_MS, () => chosen?.report(
+                isSlowTarget ? { kind: "Abandoned", waitedMs: CALLER_TIMEOUT_MS } : { kind: "Answered", latencyMs: TYPICAL_LATENCY_MS },
+                isSlowTarget ? undefined : { inFlight: 4, queued: 0, capacity: 10, expectedWaitMs: 0 },
             ));
             await clock.advance(10);
         }
-        expect(counts.behind).to.be.below(0.12 * counts.others);
+        expect(counts.slowTarget).to.be.below(0.12 * counts.otherTargets);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/fairZones.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/fairZones.test.ts
@@ -20,13 +20,13 @@
 const SLOTS = 10;
 
 /** Number of targets in each zone. Callers are spread evenly over the zones. */
-const TARGETS_OF_ZONES = [["hall-a", 3], ["hall-b", 2], ["hall-c", 1]] as const;
+const TARGETS_PER_ZONE = [["hall-a", 3], ["hall-b", 2], ["hall-c", 1]] as const;
 
 /** Simulates nodes and targets in zones of unequal size. Returns the answered share of each zone's requests. */
-const play = async (load: number, seed: number): Promise<readonly number[]> => {
+const simulate = async (load: number, seed: number): Promise<readonly number[]> => {
     const clock = createManualClock();
     const random = createSeededRandom(seed);
-    const targets = TARGETS_OF_ZONES.flatMap(([zone, count]) =>
+    const targets = TARGETS_PER_ZONE.flatMap(([zone, count]) =>
         createTargets(zone, count).map((target) => ({ ...target, slots: SLOTS })));
     const row = { ...createRow({}, 0.1), placement: "load" as const };
     const limit = { concurrency: 100, queue: 500, timeoutMs: DEADLINE_MS, retryRatio: 0.1 };
@@ -41,19 +41,19 @@
             clock, picker, throttle: createOverloadThrottle(clock, createSeededRandom(seed + 10 + index)),
         })];
     }));
-    const counts = TARGETS_OF_ZONES.map(() => ({ asked: 0, answered: 0 }));
+    const counts = TARGETS_PER_ZONE.map(() => ({ requested: 0, answered: 0 }));
     const { signal } = new AbortController();
     // All simulated callers add a listener to this signal.
     setMaxListeners(0, signal);
 
-    const ask = async (zoneIndex: number): Promise<void> => {
-        const [zone, count] = TARGETS_OF_ZONES[zoneIndex] ?? ["", 1];
+    const sendRequest = async (zoneIndex: number): Promise<void> => {
+        const [zone, count] = TARGETS_PER_ZONE[zoneIndex] ?? ["", 1];
         const router = routers.get(`${zone}-${Math.floor(random() * count)}`);
         const zoneCounts = counts[zoneIndex];
         if (router === undefined || zoneCounts === undefined) {
             return;
         }
-        zoneCounts.asked += 1;
+        zoneCounts.requested += 1;
         const now = clock.monotonic();
         const result = await router.execute<string>({
             service: testService, row, targets, idempotent: true, replayable: () => true,
@@ -76,16 +76,16 @@
         zoneCounts.answered += either.isRight(result) ? 1 : 0;
     };
 
-    const perStep = (load * targets.length * SLOTS * STEP_MS) / SERVICE_MS / TARGETS_OF_ZONES.length;
-    let due = 0;
+    const requestsPerStep = (load * targets.length * SLOTS * STEP_MS) / SERVICE_MS / TARGETS_PER_ZONE.length;
+    let dueRequests = 0;
     for (let time = 0; time < DURATION_MS; time += STEP_MS) {
-        for (due += perStep; due >= 1; due -= 1) {
-            TARGETS_OF_ZONES.forEach((_zone, index) => void ask(index));
+        for (dueRequests += requestsPerStep; dueRequests >= 1; dueRequests -= 1) {
+            TARGETS_PER_ZONE.forEach((_zone, index) => void sendRequest(index));
         }
         await clock.advance(STEP_MS);
     }
     await clock.advance(2 * DEADLINE_MS);
-    return counts.map(({ asked, answered }) => answered / asked);
+    return counts.map(({ requested, answered }) => answered / requested);
 };
 
 describe("zones with different numbers of targets", () => {
@@ -93,16 +93,16 @@
     // queues, so all full targets report about the same load; without the refused share, local targets would be
     // preferred although they refuse far more requests.
     it("have similar shares of answered requests in an overload", async () => {
-        // Answered shares with three, two and one target: 0.90, 0.86, 0.77 at 1.2 times the capacity and 0.80, 0.73,
-        // 0.63 at 1.4 times. Without the refused share in the score, they are 0.98, 0.90, 0.63 and 0.95, 0.75, 0.46.
-        const [, , worst = 0] = await play(1.2, 1);
+        // Answered shares with three, two and one target: 0.88, 0.85, 0.76 at 1.2 times the capacity and 0.78, 0.74,
+        // 0.65 at 1.4 times. Without the refused share in the score: 0.97, 0.90, 0.62 and 0.96, 0.76, 0.44.
+        const [, , worst = 0] = await simulate(1.2, 1);
         expect(worst).to.be.above(0.72);
-        const [best = 1, , worstOfMore = 0] = await play(1.4, 1);
-        expect(best - worstOfMore).to.be.below(0.25);
+        const [best = 1, , worstAtHigherLoad = 0] = await simulate(1.4, 1);
+        expect(best - worstAtHigherLoad).to.be.below(0.25);
     });
 
     it("answer nearly all requests at the capacity of the targets", async () => {
-        const parts = await play(1, 2);
-        expect(Math.min(...parts)).to.be.above(0.93);
+        const answeredShares = await simulate(1, 2);
+        expect(Math.min(...answeredShares)).to.be.above(0.93);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/manyNear.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/manyNear.test.ts
@@ -6,25 +6,25 @@
 import type { TargetPicker } from "../target.js";
 import { createRow, createTargets, testService } from "./pickerHarness.js";
 
-const byLoad = { ...createRow({}), placement: "load" as const };
+const rowPlacedByLoad = { ...createRow({}), placement: "load" as const };
 const targets = createTargets("hall-a", 20);
 type TestTarget = (typeof targets)[number];
 const NODES = 40;
 const REQUESTS_PER_NODE = 5;
 
-const createNode = (index: number): TargetPicker<TestTarget> => createTargetPicker<TestTarget>({
+const createPicker = (index: number): TargetPicker<TestTarget> => createTargetPicker<TestTarget>({
     ownNode: `caller-${index}`,
     ownZone: "hall-a",
     clock: createManualClock(),
     random: createSeededRandom(index + 1),
 });
 
-const countPicks = (nodes: readonly TargetPicker<TestTarget>[]): ReadonlyMap<string, number> => {
+const countPicks = (pickers: readonly TargetPicker<TestTarget>[]): ReadonlyMap<string, number> => {
     const counts = new Map<string, number>();
-    for (const node of nodes) {
+    for (const picker of pickers) {
         for (let sent = 0; sent < REQUESTS_PER_NODE; sent++) {
-            const request = { service: testService, row: byLoad, targets, canResend: true, exclude: [] };
-            const nodeId = node.pick(request)?.target.nodeId ?? "none";
+            const request = { service: testService, row: rowPlacedByLoad, targets, canResend: true, exclude: [] };
+            const nodeId = picker.pick(request)?.target.nodeId ?? "none";
             counts.set(nodeId, (counts.get(nodeId) ?? 0) + 1);
         }
     }
@@ -32,8 +32,8 @@
 };
 
 describe("many targets in the local zone", () => {
-    const nodes = Array.from({ length: NODES }, (_, index) => createNode(index));
-    const counts = countPicks(nodes);
+    const pickers = Array.from({ length: NODES }, (_, index) => createPicker(index));
+    const counts = countPicks(pickers);
     const mean = NODES * REQUESTS_PER_NODE / targets.length;
 
     it("spreads the requests of many nodes over all targets of the zone", () => {
@@ -42,7 +42,7 @@
     });
 
     it("uses few targets per node, so that connections are reused", () => {
-        const ofOneNode = countPicks([createNode(3)]);
-        expect(ofOneNode.size).to.be.at.most(8);
+        const countsOfOneNode = countPicks([createPicker(3)]);
+        expect(countsOfOneNode.size).to.be.at.most(8);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
@@ -20,13 +20,13 @@
     ({ outcome: either.left(failure), load: undefined, retriedBelow: false } as Result);
 
 /** An attempt that ends when the test resolves it. */
-interface Controlled {
+interface ControlledAttempt {
     readonly result: Promise<Result>;
     readonly end: (result: Result) => void;
 }
 
-const createControlled = (): Controlled => {
-    let end: Controlled["end"] = () => undefined;
+const createControlledAttempt = (): ControlledAttempt => {
+    let end: ControlledAttempt["end"] = () => undefined;
     const result = new Promise<Result>((resolve) => {
         end = resolve;
     });
@@ -34,7 +34,7 @@
 };
 
 /** Waits until all pending promise callbacks have run. */
-const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 /*
  * Guards against aborted reads whose callers receive an error of the routing layer. The gate's heartbeats are late, so
@@ -42,21 +42,21 @@
  */
 describe("an attempt that is left running after a heartbeat timeout", () => {
     const clock = createManualClock();
-    let open: Controlled;
-    let second: Controlled;
-    let cancelled: number;
+    let open: ControlledAttempt;
+    let secondAttempt: ControlledAttempt;
+    let cancellations: number;
     let secondSignal: AbortSignal | undefined;
-    let discarded: string[];
+    let discardedAnswers: string[];
 
     /**
      * Routes a request with two targets: the first attempt times out without a heartbeat and stays open, and the test
      * controls the second.
      */
     const execute = (): Promise<Either<RoutedFailure, Routed<string>>> => {
-        open = createControlled();
-        second = createControlled();
-        cancelled = 0;
-        discarded = [];
+        open = createControlledAttempt();
+        secondAttempt = createControlledAttempt();
+        cancellations = 0;
+        discardedAnswers = [];
         const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-a", clock, random: createSeededRandom(1) });
         let attempts = 0;
         return createRequestRouter({ clock, picker }).execute<string>({
@@ -72,55 +72,55 @@
             attempts += 1;
             if (attempts > 1) {
                 secondSignal = signal;
-                return second.result;
+                return secondAttempt.result;
             }
             return Promise.resolve({
                 ...failed(answerLost),
                 open: {
                     result: open.result,
                     cancel: () => {
-                        cancelled += 1;
+                        cancellations += 1;
                     },
                 },
             });
-        }, (answer) => discarded.push(answer));
+        }, (answer) => discardedAnswers.push(answer));
     };
 
     it("provides the response when the other target refuses the request", async () => {
         const routed = execute();
-        second.end(failed(refused("DeadlineTooShort")));
-        await settle();
+        secondAttempt.end(failed(refused("DeadlineTooShort")));
+        await flushPromises();
         open.end(answered("late"));
         expect(either.toUnion(await routed)).to.include({ answer: "late" });
-        expect(cancelled).to.equal(0);
-        expect(discarded).to.deep.equal([]);
+        expect(cancellations).to.equal(0);
+        expect(discardedAnswers).to.deep.equal([]);
     });
 
     it("cancels the other attempt when it responds first", async () => {
         const routed = execute();
-        await settle();
+        await flushPromises();
         open.end(answered("late"));
         expect(either.toUnion(await routed)).to.include({ answer: "late" });
         expect(secondSignal?.aborted).to.equal(true);
-        second.end(answered("second"));
-        await settle();
-        expect(discarded).to.deep.equal(["second"]);
+        secondAttempt.end(answered("second"));
+        await flushPromises();
+        expect(discardedAnswers).to.deep.equal(["second"]);
     });
 
     it("is cancelled when another target responds first", async () => {
         const routed = execute();
-        second.end(answered("second"));
+        secondAttempt.end(answered("second"));
         expect(either.toUnion(await routed)).to.include({ answer: "second" });
-        expect(cancelled).to.equal(1);
+        expect(cancellations).to.equal(1);
         open.end(answered("late"));
-        await settle();
-        expect(discarded).to.deep.equal(["late"]);
+        await flushPromises();
+        expect(discardedAnswers).to.deep.equal(["late"]);
     });
 
     it("leads to the verdict mayHaveRun when it ends without a response", async () => {
         const routed = execute();
-        second.end(failed(refused("DeadlineTooShort")));
-        await settle();
+        secondAttempt.end(failed(refused("DeadlineTooShort")));
+        await flushPromises();
         open.end(failed(answerLost));
         const result = await routed;
         expect(either.isLeft(result) && result.left.failure.verdict).to.equal("mayHaveRun");
--- a/packages/oleandergap-routing/src/__tests__/overloadThrottle.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/overloadThrottle.test.ts
@@ -4,14 +4,14 @@
 
 const KIND = "lodge";
 
-interface Played {
+interface SimulationResult {
     readonly offered: number;
     readonly sent: number;
     readonly accepted: number;
 }
 
 /** Offers a request every 10 ms to a target that accepts one every `acceptEveryMs`, for `durationMs`. */
-const play = async (acceptEveryMs: number, durationMs: number): Promise<Played> => {
+const simulate = async (acceptEveryMs: number, durationMs: number): Promise<SimulationResult> => {
     const clock = createManualClock();
     const throttle = createOverloadThrottle(clock, createSeededRandom(1));
     const counts = { offered: 0, sent: 0, accepted: 0 };
@@ -23,7 +23,7 @@
             if (clock.monotonic() >= freeAt) {
                 freeAt = clock.monotonic() + acceptEveryMs;
                 counts.accepted += 1;
-                throttle.noteAccepted(KIND);
+                throttle.recordAccepted(KIND);
             }
         }
         await clock.advance(10);
@@ -35,14 +35,14 @@
     // Guards against the node of a service's last target being too busy with refusals to keep its target at work. If
     // only the gate refuses, it must receive the requests of all nodes first.
     it("sends few requests beyond the accepted ones", async () => {
-        const short = await play(100, 20_000);
-        expect(short.sent).to.be.below(0.35 * short.offered);
-        expect(short.accepted).to.be.above(0.6 * (short.offered / 10));
+        const overloaded = await simulate(100, 20_000);
+        expect(overloaded.sent).to.be.below(0.35 * overloaded.offered);
+        expect(overloaded.accepted).to.be.above(0.6 * (overloaded.offered / 10));
     });
 
     it("sends all requests while all are accepted", async () => {
-        const calm = await play(10, 5000);
-        expect(calm.sent).to.equal(calm.offered);
+        const belowCapacity = await simulate(10, 5000);
+        expect(belowCapacity.sent).to.equal(belowCapacity.offered);
     });
 
     it("sends all requests again soon after capacity returns", async () => {
@@ -55,7 +55,7 @@
         let refused = 0;
         for (let count = 0; count < 600; count++) {
             if (throttle.admits(KIND)) {
-                throttle.noteAccepted(KIND);
+                throttle.recordAccepted(KIND);
             }
             else {
                 refused += count >= 400 ? 1 : 0;
--- a/packages/oleandergap-routing/src/__tests__/overloadedZones.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/overloadedZones.test.ts
@@ -8,7 +8,7 @@
 const STEP_MS = 5;
 const DURATION_MS = 6000;
 
-interface Played {
+interface SimulationResult {
     /** Share of the requests that were served in the zone of their caller. */
     readonly keptShare: number;
     /** Share of all requests that the most loaded target received. */
@@ -19,7 +19,7 @@
  * Simulates one gateway and one target per zone, each target with ten slots and a first-in-first-out queue. `rates` are
  * the request rates of the zones as multiples of the capacity of one target.
  */
-const play = async (rates: readonly number[], nearAdvantage: number): Promise<Played> => {
+const simulate = async (rates: readonly number[], nearAdvantage: number): Promise<SimulationResult> => {
     const clock = createManualClock();
     const row = { ...createRow({}), placement: "load" as const };
     const targets = ZONES.flatMap((zone) => createTargets(zone, 1));
@@ -29,17 +29,17 @@
     const states = new Map(targets.map(({ nodeId, slots }) =>
         [nodeId, { slots, inFlight: 0, freeAt: [] as number[] }]));
     const served = new Map<string, number>();
-    let kept = 0;
-    let total = 0;
+    let keptRequests = 0;
+    let totalRequests = 0;
 
-    const ask = async (zoneIndex: number): Promise<void> => {
+    const sendRequest = async (zoneIndex: number): Promise<void> => {
         const pick = pickers[zoneIndex]?.pick({ service: testService, row, targets, exclude: [], canResend: true });
         const state = pick && states.get(pick.target.nodeId);
         if (pick === undefined || state === undefined) {
             return;
         }
-        total += 1;
-        kept += pick.target.zone === ZONES[zoneIndex] ? 1 : 0;
+        totalRequests += 1;
+        keptRequests += pick.target.zone === ZONES[zoneIndex] ? 1 : 0;
         served.set(pick.target.nodeId, (served.get(pick.target.nodeId) ?? 0) + 1);
         state.inFlight += 1;
         const now = clock.monotonic();
@@ -59,31 +59,34 @@
         pick.report({ kind: "Answered", latencyMs: clock.monotonic() - now }, load);
     };
 
-    const due = rates.map(() => 0);
+    const dueRequests = rates.map(() => 0);
     for (let time = 0; time < DURATION_MS; time += STEP_MS) {
         for (const [index, rate] of rates.entries()) {
-            for (due[index] = (due[index] ?? 0) + (rate * 10 * STEP_MS) / SERVICE_MS; (due[index] ?? 0) >= 1;) {
-                due[index] = (due[index] ?? 0) - 1;
-                void ask(index);
+            for (
+                dueRequests[index] = (dueRequests[index] ?? 0) + (rate * 10 * STEP_MS) / SERVICE_MS;
+                (dueRequests[index] ?? 0) >= 1;
+            ) {
+                dueRequests[index] = (dueRequests[index] ?? 0) - 1;
+                void sendRequest(index);
             }
         }
         await clock.advance(STEP_MS);
     }
-    return { keptShare: kept / total, largestShare: Math.max(...served.values()) / total };
+    return { keptShare: keptRequests / totalRequests, largestShare: Math.max(...served.values()) / totalRequests };
 };
 
 describe("overloaded zones with placement by load", () => {
     // Guards against nearly every request crossing availability zones under load. When no target has a free slot,
     // sampling from all targets would ignore the zone of the caller.
     it("keeps more requests in the zone of their caller when all zones are overloaded", async () => {
-        const alike = await play([1.1, 1.1, 1.1], 1);
-        const preferred = await play([1.1, 1.1, 1.1], defaultRoutingOptions.picker.nearAdvantage);
-        expect(preferred.keptShare).to.be.above(alike.keptShare + 0.1);
-        expect(preferred.largestShare).to.be.below(0.4);
+        const withoutPreference = await simulate([1.1, 1.1, 1.1], 1);
+        const withPreference = await simulate([1.1, 1.1, 1.1], defaultRoutingOptions.picker.nearAdvantage);
+        expect(withPreference.keptShare).to.be.above(withoutPreference.keptShare + 0.1);
+        expect(withPreference.largestShare).to.be.below(0.4);
     });
 
     it("spreads the load of a zone that receives twice its capacity", async () => {
-        const skewed = await play([2, 0.5, 0.5], defaultRoutingOptions.picker.nearAdvantage);
+        const skewed = await simulate([2, 0.5, 0.5], defaultRoutingOptions.picker.nearAdvantage);
         expect(skewed.largestShare).to.be.below(0.42);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/placement.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/placement.test.ts
@@ -1,12 +1,12 @@
 import { expect } from "chai";
 import { answered, connectFailed, countFor, createPickerHarness, createRow, createTargets, testService } from "./pickerHarness.js";
 
-const byLoad = { ...createRow({}), placement: "load" as const };
+const rowPlacedByLoad = { ...createRow({}), placement: "load" as const };
 const targets = [...createTargets("hall-a", 2), ...createTargets("hall-b", 1), ...createTargets("hall-c", 3)];
 
 describe("placement by load", () => {
     it("spreads requests evenly without weights", async () => {
-        const harness = createPickerHarness(targets, byLoad, { nearLoad: 0 });
+        const harness = createPickerHarness(targets, rowPlacedByLoad, { nearLoad: 0 });
         const counts = await harness.send(600);
         expect(counts.size).to.equal(6);
         for (const count of counts.values()) {
@@ -15,7 +15,7 @@
     });
 
     it("prefers the local VM, then the local zone, then any zone as the load rises", () => {
-        const harness = createPickerHarness(targets, byLoad, { nearLoad: 0.5, ownLoad: 0.5 });
+        const harness = createPickerHarness(targets, rowPlacedByLoad, { nearLoad: 0.5, ownLoad: 0.5 });
         const counts = new Map<string, number>();
         for (let sent = 0; sent < 30; sent++) {
             const nodeId = harness.pick()?.target.nodeId ?? "none";
@@ -31,14 +31,14 @@
     });
 
     it("fills the free slots of the target on the local VM first", () => {
-        const harness = createPickerHarness(targets, byLoad, { nearLoad: 0.5 });
-        const picked = Array.from({ length: 11 }, () => harness.pick()?.target.nodeId);
-        expect(picked.slice(0, 10)).to.deep.equal(Array.from({ length: 10 }, () => "hall-a-0"));
-        expect(picked[10]).not.to.equal("hall-a-0");
+        const harness = createPickerHarness(targets, rowPlacedByLoad, { nearLoad: 0.5 });
+        const pickedNodeIds = Array.from({ length: 11 }, () => harness.pick()?.target.nodeId);
+        expect(pickedNodeIds.slice(0, 10)).to.deep.equal(Array.from({ length: 10 }, () => "hall-a-0"));
+        expect(pickedNodeIds[10]).not.to.equal("hall-a-0");
     });
 
     it("stops preferring a local target that fails", async () => {
-        const harness = createPickerHarness(targets, byLoad);
+        const harness = createPickerHarness(targets, rowPlacedByLoad);
         const counts = await harness.send(60, ({ nodeId }) => nodeId === "hall-a-0" ? connectFailed : answered);
         expect(counts.get("hall-a-0")).to.be.at.most(6);
     });
@@ -46,18 +46,18 @@
     it("does not prefer a local target during its slow start", async () => {
         // Guards against late responses from a target that has just started on a VM with callers, while other targets
         // have free slots. The preference for local targets must not override the small share during slow start.
-        const young = targets.map((target) => target.nodeId === "hall-a-0" ? { ...target, since: 1_000_000 } : target);
-        const harness = createPickerHarness(young, byLoad);
+        const targetsWithNewOne = targets.map((target) => target.nodeId === "hall-a-0" ? { ...target, since: 1_000_000 } : target);
+        const harness = createPickerHarness(targetsWithNewOne, rowPlacedByLoad);
         const counts = await harness.send(200);
         expect(counts.get("hall-a-0") ?? 0).to.be.at.most(20);
     });
 
     it("reports whether a target that was not tried has a free slot", () => {
-        const harness = createPickerHarness(createTargets("hall-a", 2), byLoad);
-        const request = { service: testService, row: byLoad, targets: createTargets("hall-a", 2), canResend: true };
+        const harness = createPickerHarness(createTargets("hall-a", 2), rowPlacedByLoad);
+        const request = { service: testService, row: rowPlacedByLoad, targets: createTargets("hall-a", 2), canResend: true };
         const hasRoom = (exclude: readonly string[]): boolean => harness.picker.hasRoom({ ...request, exclude });
-        const full = { inFlight: 10, queued: 4, capacity: 10, expectedWaitMs: 80 };
-        harness.pick(["hall-a-1"])?.report({ kind: "Refused", reason: "QueueFull" }, full);
+        const fullLoad = { inFlight: 10, queued: 4, capacity: 10, expectedWaitMs: 80 };
+        harness.pick(["hall-a-1"])?.report({ kind: "Refused", reason: "QueueFull" }, fullLoad);
         expect(hasRoom(["hall-a-0"])).to.equal(true);
         expect(hasRoom(["hall-a-1"])).to.equal(false);
         expect(harness.picker.hasRoom({ ...request, row: createRow({ "hall-a": 1 }), exclude: [] })).to.equal(false);
--- a/packages/oleandergap-routing/src/__tests__/requestRouter.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/requestRouter.test.ts
@@ -7,10 +7,10 @@
     answerLost,
     connectFailed,
     createRouterHarness,
-    good,
+    successful,
     refused,
     type ExecutionRecord,
-    type Scripted,
+    type ScriptedAttempt,
 } from "./routerHarness.js";
 
 const verdictOf = ({ result }: ExecutionRecord): Verdict =>
@@ -38,7 +38,7 @@
 }), { minLength: 4, maxLength: 4 });
 
 /** Returns the worst verdict of all attempts. */
-const naiveVerdict = (attempts: readonly Scripted[]): Verdict => {
+const worstVerdict = (attempts: readonly ScriptedAttempt[]): Verdict => {
     const verdicts = attempts.map(({ failure }) => failure?.verdict ?? "ran");
     if (verdicts.includes("ran")) {
         return "ran";
@@ -47,11 +47,11 @@
 };
 
 /** Returns whether a rule forbids another attempt after `done`, regardless of the retry budget. */
-const isForbiddenNext = (done: Scripted, idempotent: boolean, replayable: boolean): boolean => {
-    const verdict = done.failure?.verdict ?? "ran";
-    const isFinal = done.failure?.kind === "BadRequest" || done.failure?.kind === "DuplicateKey";
+const isRetryForbidden = (attempted: ScriptedAttempt, idempotent: boolean, replayable: boolean): boolean => {
+    const verdict = attempted.failure?.verdict ?? "ran";
+    const isFinal = attempted.failure?.kind === "BadRequest" || attempted.failure?.kind === "DuplicateKey";
     const isUnsafe = verdict === "ran" || (verdict === "mayHaveRun" && !idempotent);
-    return isUnsafe || isFinal || !replayable || done.retriedBelow === true;
+    return isUnsafe || isFinal || !replayable || attempted.retriedBelow === true;
 };
 
 describe("createRequestRouter", () => {
@@ -72,13 +72,13 @@
                 for (const { script, idempotent, replayable } of requests) {
                     const deadline = harness.clock.monotonic() + 1000;
                     const record = await harness.execute(script, { idempotent, replayable: () => replayable });
-                    const done = script.slice(0, record.tried.length);
+                    const attempted = script.slice(0, record.tried.length);
                     expect(new Set(record.tried).size).to.equal(record.tried.length);
-                    expect(verdictOf(record)).to.equal(naiveVerdict(done));
-                    for (const earlier of done.slice(0, -1)) {
-                        expect(isForbiddenNext(earlier, idempotent, replayable)).to.equal(false);
+                    expect(verdictOf(record)).to.equal(worstVerdict(attempted));
+                    for (const earlier of attempted.slice(0, -1)) {
+                        expect(isRetryForbidden(earlier, idempotent, replayable)).to.equal(false);
                     }
-                    const spent = done.slice(0, -1).reduce((sum, { takesMs }) => sum + (takesMs ?? 0), 0);
+                    const spent = attempted.slice(0, -1).reduce((sum, { takesMs }) => sum + (takesMs ?? 0), 0);
                     expect(spent).to.be.below(1000);
                     expect(harness.clock.monotonic()).to.be.at.most(deadline + 600);
                     extraAttempts += record.tried.length - 1;
@@ -91,7 +91,7 @@
 
     it("counts attempts and reports to upstream hops whether retries were handled", async () => {
         const harness = createRouterHarness();
-        const first = await harness.execute([good]);
+        const first = await harness.execute([successful]);
         expect(first.result).to.deep.equal(either.right({ answer: "answer", attempts: 1, retriedBelow: false }));
         const second = await harness.execute([{ failure: connectFailed }]);
         expect(second.result).to.deep.equal(either.right({ answer: "answer", attempts: 2, retriedBelow: true }));
@@ -99,10 +99,10 @@
 
     it("sends nothing when the deadline has passed or the caller has disconnected", async () => {
         const harness = createRouterHarness();
-        const late = await harness.execute([], { deadline: harness.clock.monotonic() });
-        const gone = await harness.execute([], { signal: AbortSignal.abort() });
-        expect([late.tried, gone.tried]).to.deep.equal([[], []]);
-        expect([failureOf(late), failureOf(gone)].map((failure) => failure?.kind === "Refused" && failure.reason))
+        const expired = await harness.execute([], { deadline: harness.clock.monotonic() });
+        const disconnected = await harness.execute([], { signal: AbortSignal.abort() });
+        expect([expired.tried, disconnected.tried]).to.deep.equal([[], []]);
+        expect([failureOf(expired), failureOf(disconnected)].map((failure) => failure?.kind === "Refused" && failure.reason))
             .to.deep.equal(["DeadlinePassed", "Cancelled"]);
     });
 
--- a/packages/oleandergap-routing/src/__tests__/retryFailures.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/retryFailures.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import * as either from "fp-ts/lib/Either.js";
-import { answerLost, connectFailed, createRouterHarness, good, refused, type Scripted } from "./routerHarness.js";
+import { answerLost, connectFailed, createRouterHarness, successful, refused, type ScriptedAttempt } from "./routerHarness.js";
 
-const repeat = (scripted: Scripted): readonly Scripted[] => [scripted, scripted, scripted];
+const repeatThreeTimes = (scripted: ScriptedAttempt): readonly ScriptedAttempt[] => [scripted, scripted, scripted];
 
 describe("retries under failure", () => {
     // Guards against running a non-idempotent request twice: the connection breaks before the response, and the request
@@ -30,7 +30,7 @@
         const harness = createRouterHarness();
         let attempts = 0;
         for (let count = 0; count < 500; count++) {
-            attempts += (await harness.execute(repeat({ failure: answerLost }))).tried.length;
+            attempts += (await harness.execute(repeatThreeTimes({ failure: answerLost }))).tried.length;
         }
         expect(attempts).to.be.at.most(500 + 10);
     });
@@ -41,7 +41,7 @@
         const harness = createRouterHarness();
         let attempts = 0;
         for (let count = 0; count < 1000; count++) {
-            const script = count % 4 === 0 ? [good] : repeat({ failure: refused("QueueFull") });
+            const script = count % 4 === 0 ? [successful] : repeatThreeTimes({ failure: refused("QueueFull") });
             const { tried } = await harness.execute(script);
             expect(tried.length).to.be.at.most(2);
             attempts += tried.length;
@@ -56,7 +56,7 @@
         const harness = createRouterHarness();
         let failed = 0;
         for (let count = 0; count < 400; count++) {
-            const script = count % 2 === 0 ? [{ failure: connectFailed }] : [good];
+            const script = count % 2 === 0 ? [{ failure: connectFailed }] : [successful];
             failed += either.isLeft((await harness.execute(script)).result) ? 1 : 0;
         }
         expect(failed).to.equal(0);
@@ -67,16 +67,19 @@
     it("retries only at the hop nearest to the failure in a chain of calls", async () => {
         const hops = Array.from({ length: 27 }, () => createRouterHarness());
         let calls = 0;
-        const call = async (depth: number): Promise<Scripted> => {
+        const call = async (depth: number): Promise<ScriptedAttempt> => {
             const hop = hops[depth];
             if (hop === undefined) {
                 calls += 1;
                 return { failure: answerLost };
             }
-            const below = await call(depth + 1);
-            const again = await hop.execute([below, ...repeat({ failure: answerLost })]);
-            calls += again.tried.length - 1;
-            return { failure: answerLost, retriedBelow: either.isLeft(again.result) && again.result.left.retriedBelow };
+            const downstreamResult = await call(depth + 1);
+            const retried = await hop.execute([downstreamResult, ...repeatThreeTimes({ failure: answerLost })]);
+            calls += retried.tried.length - 1;
+            return {
+                failure: answerLost,
+                retriedBelow: either.isLeft(retried.result) && retried.result.left.retriedBelow,
+            };
         };
         await call(0);
         expect(calls).to.be.at.most(3);
--- a/packages/oleandergap-routing/src/__tests__/routerHarness.ts
+++ b/packages/oleandergap-routing/src/__tests__/routerHarness.ts
@@ -21,13 +21,13 @@
 export const answerCut: RequestFailure = { kind: "AnswerCut", verdict: "ran", detail: "cut" };
 
 /** Result of one attempt; an undefined failure means a response. */
-export interface Scripted {
+export interface ScriptedAttempt {
     readonly failure: RequestFailure | undefined;
     readonly retriedBelow?: boolean;
     readonly takesMs?: number;
 }
 
-export const good: Scripted = { failure: undefined };
+export const successful: ScriptedAttempt = { failure: undefined };
 
 export interface ExecutionRecord {
     readonly result: Either<RoutedFailure, Routed<string>>;
@@ -38,7 +38,7 @@
     readonly clock: ManualClock;
     /** Routes one request. The n-th attempt ends with the n-th result, or with a response if there is none. */
     readonly execute: (
-        script: readonly Scripted[],
+        script: readonly ScriptedAttempt[],
         overrides?: Partial<RequestExecution<RoutableTarget>>,
     ) => Promise<ExecutionRecord>;
 }
@@ -67,13 +67,13 @@
             signal: new AbortController().signal,
             ...overrides,
         }, async (target) => {
-            const scripted = script[tried.length] ?? good;
+            const attempt = script[tried.length] ?? successful;
             tried.push(target.nodeId);
-            clock.freeze(scripted.takesMs ?? 1);
+            clock.freeze(attempt.takesMs ?? 1);
             return {
-                outcome: scripted.failure === undefined ? either.right("answer") : either.left(scripted.failure),
+                outcome: attempt.failure === undefined ? either.right("answer") : either.left(attempt.failure),
                 load: undefined,
-                retriedBelow: scripted.retriedBelow ?? false,
+                retriedBelow: attempt.retriedBelow ?? false,
             };
         });
         return { result, tried };
--- a/packages/oleandergap-routing/src/__tests__/slowTarget.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/slowTarget.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { createPickerHarness, createRow, createTargets } from "./pickerHarness.js";
 
-const FULL = { inFlight: 10, queued: 5, capacity: 10, expectedWaitMs: 50 };
-const FREE = { inFlight: 3, queued: 0, capacity: 10, expectedWaitMs: 0 };
+const FULL_LOAD = { inFlight: 10, queued: 5, capacity: 10, expectedWaitMs: 50 };
+const FREE_LOAD = { inFlight: 3, queued: 0, capacity: 10, expectedWaitMs: 0 };
 
 describe("slow targets", () => {
     // Guards against requests piling up for a second at a target that has become slow. Its latency is measured only
@@ -12,8 +12,8 @@
         await harness.send(100, () => ({ kind: "Answered", latencyMs: 10 }));
         const first = harness.pick();
         harness.clock.freeze(100);
-        const others = Array.from({ length: 4 }, () => harness.pick()?.target.nodeId);
-        expect(others).to.not.include(first?.target.nodeId);
+        const laterNodeIds = Array.from({ length: 4 }, () => harness.pick()?.target.nodeId);
+        expect(laterNodeIds).to.not.include(first?.target.nodeId);
     });
 
     // Guards against one request in twenty going to a slow target while another zone is idle. One of the zone's two
@@ -23,15 +23,15 @@
         const targets = [...createTargets("hall-a", 2), ...createTargets("hall-b", 2)];
         const harness = createPickerHarness(targets, createRow({ "hall-a": 1, "hall-b": 1 }));
         const send = async (count: number): Promise<number> => {
-            let sentToA = 0;
+            let sentToZoneA = 0;
             for (let sent = 0; sent < count; sent++) {
                 const chosen = harness.pick();
-                const isA = chosen?.target.zone === "hall-a";
-                sentToA += isA ? 1 : 0;
-                chosen?.report({ kind: "Answered", latencyMs: 10 }, isA ? FULL : FREE);
+                const isInZoneA = chosen?.target.zone === "hall-a";
+                sentToZoneA += isInZoneA ? 1 : 0;
+                chosen?.report({ kind: "Answered", latencyMs: 10 }, isInZoneA ? FULL_LOAD : FREE_LOAD);
                 harness.clock.freeze(1);
             }
-            return sentToA;
+            return sentToZoneA;
         };
         expect(await send(200), "queued requests alone move no share").to.be.within(98, 102);
         for (let count = 0; count < 4; count++) {
--- a/packages/oleandergap-routing/src/__tests__/starvationThrottle.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/starvationThrottle.test.ts
@@ -2,13 +2,13 @@
 import { createManualClock, createSeededRandom } from "oleandergap-utils";
 import { createStarvationThrottle } from "../starvationThrottle.js";
 
-interface Part {
+interface RequestKind {
     readonly kind: string;
     /** Share of the runs of this kind that need a downstream call. */
-    readonly calling: number;
+    readonly callingShare: number;
 }
 
-interface Played {
+interface SimulationResult {
     readonly offered: number;
     readonly sent: number;
     readonly served: number;
@@ -18,7 +18,11 @@
  * Offers 100 requests per second of one kind for `seconds`. `served` returns the probability that a downstream call is
  * served.
  */
-const play = async ({ kind, calling }: Part, served: (second: number) => number, seconds: number): Promise<Played> => {
+const simulate = async (
+    { kind, callingShare }: RequestKind,
+    getServedShare: (second: number) => number,
+    seconds: number,
+): Promise<SimulationResult> => {
     const clock = createManualClock();
     const random = createSeededRandom(7);
     const throttle = createStarvationThrottle(clock, createSeededRandom(8));
@@ -27,9 +31,9 @@
         counts.offered += 1;
         if (throttle.admits(kind)) {
             counts.sent += 1;
-            const isStarved = random() < calling && random() >= served(count / 100);
+            const isStarved = random() < callingShare && random() >= getServedShare(count / 100);
             counts.served += isStarved ? 0 : 1;
-            clock.after(150, () => throttle.noteRun(kind, isStarved));
+            clock.after(150, () => throttle.recordRun(kind, isStarved));
         }
         await clock.advance(10);
     }
@@ -41,17 +45,17 @@
     // service has lost two of its three targets, and each hop admits requests by its own capacity alone, although their
     // runs need that service.
     it("limits requests that nearly always fail and detects the recovery", async () => {
-        const short = await play({ kind: "again", calling: 0.875 }, () => 0, 20);
-        expect(short.sent / short.offered).to.be.within(0.2, 0.55);
-        const none = await play({ kind: "lookup", calling: 1 }, () => 0, 20);
-        expect(none.sent / none.offered).to.be.within(0.08, 0.16);
-        const back = await play({ kind: "lookup", calling: 1 }, (second) => second < 10 ? 0 : 1, 20);
+        const mostlyStarved = await simulate({ kind: "again", callingShare: 0.875 }, () => 0, 20);
+        expect(mostlyStarved.sent / mostlyStarved.offered).to.be.within(0.2, 0.55);
+        const alwaysStarved = await simulate({ kind: "lookup", callingShare: 1 }, () => 0, 20);
+        expect(alwaysStarved.sent / alwaysStarved.offered).to.be.within(0.08, 0.16);
+        const recovered = await simulate({ kind: "lookup", callingShare: 1 }, (second) => second < 10 ? 0 : 1, 20);
         // More than nine in ten of the 1,000 requests after the recovery.
-        expect(back.served).to.be.above(900);
+        expect(recovered.served).to.be.above(900);
     });
 
     it("sends all requests while at least a third of the runs succeed", async () => {
-        const { offered, sent } = await play({ kind: "first", calling: 0.5 }, () => 0, 10);
+        const { offered, sent } = await simulate({ kind: "first", callingShare: 0.5 }, () => 0, 10);
         expect(sent / offered).to.be.above(0.97);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/targetPicker.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/targetPicker.test.ts
@@ -57,14 +57,14 @@
 
     it("prefers targets whose gates report free slots", async () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), createRow({ "hall-a": 1 }));
-        const busy = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
-        const idle = { inFlight: 0, queued: 0, capacity: 10, expectedWaitMs: 0 };
+        const busyLoad = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
+        const idleLoad = { inFlight: 0, queued: 0, capacity: 10, expectedWaitMs: 0 };
         let idlePicks = 0;
         for (let count = 0; count < 100; count++) {
             const chosen = harness.pick();
             const isIdle = chosen?.target.nodeId === "hall-a-1";
             idlePicks += isIdle ? 1 : 0;
-            chosen?.report({ kind: "Answered", latencyMs: 10 }, isIdle ? idle : busy);
+            chosen?.report({ kind: "Answered", latencyMs: 10 }, isIdle ? idleLoad : busyLoad);
             harness.clock.freeze(1);
         }
         expect(idlePicks).to.be.at.least(98);
@@ -72,9 +72,9 @@
 
     it("decays a load report, so that an old one does not exclude a target", async () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), createRow({ "hall-a": 1 }));
-        const busy = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
+        const busyLoad = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
         const first = harness.pick();
-        first?.report({ kind: "Answered", latencyMs: 10 }, busy);
+        first?.report({ kind: "Answered", latencyMs: 10 }, busyLoad);
         harness.clock.freeze(3000);
         const counts = await harness.send(100);
         expect(counts.get(first?.target.nodeId ?? "")).to.be.at.least(25);
@@ -84,22 +84,22 @@
         const weights = createRow({ "hall-a": 1, "hall-b": 1, "hall-c": 1 });
         const harness = createPickerHarness(threeZones, weights, { callerSpread: "evenOverZones" }, "hall-b");
         expect(countFor(await harness.send(90), "hall-b")).to.equal(90);
-        const short = await harness.send(90, ({ zone }) => zone === "hall-b" ? queueFull : answered);
-        expect(countFor(short, "hall-b")).to.be.below(45);
-        expect(countFor(short, "hall-a")).to.be.closeTo(countFor(short, "hall-c"), 2);
+        const countsWhenOverloaded = await harness.send(90, ({ zone }) => zone === "hall-b" ? queueFull : answered);
+        expect(countFor(countsWhenOverloaded, "hall-b")).to.be.below(45);
+        expect(countFor(countsWhenOverloaded, "hall-a")).to.be.closeTo(countFor(countsWhenOverloaded, "hall-c"), 2);
     });
 
     it("applies the slow start to new targets, but not relative to other new targets", async () => {
-        const old = createTargets("hall-a", 4);
-        const young = createTargets("hall-a-young", 1, 1_000_000).map((target) => ({ ...target, zone: "hall-a" }));
-        const mixed = createPickerHarness([...old, ...young], createRow({ "hall-a": 1 }));
-        const first = countFor(await mixed.send(500), "hall-a-young");
-        mixed.clock.freeze(20_000);
-        const later = countFor(await mixed.send(500), "hall-a-young");
+        const establishedTargets = createTargets("hall-a", 4);
+        const newTargets = createTargets("hall-a-young", 1, 1_000_000).map((target) => ({ ...target, zone: "hall-a" }));
+        const mixedHarness = createPickerHarness([...establishedTargets, ...newTargets], createRow({ "hall-a": 1 }));
+        const first = countFor(await mixedHarness.send(500), "hall-a-young");
+        mixedHarness.clock.freeze(20_000);
+        const later = countFor(await mixedHarness.send(500), "hall-a-young");
         expect(first).to.be.within(3, 30);
         expect(later).to.be.within(70, 130);
-        const fresh = createPickerHarness(createTargets("hall-a", 4, 1_000_000), createRow({ "hall-a": 1 }));
-        const shares = [...(await fresh.send(400)).values()];
+        const newTargetsHarness = createPickerHarness(createTargets("hall-a", 4, 1_000_000), createRow({ "hall-a": 1 }));
+        const shares = [...(await newTargetsHarness.send(400)).values()];
         expect(Math.min(...shares)).to.be.at.least(60);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
@@ -12,28 +12,32 @@
 import { createRow, createTargets, testService } from "./pickerHarness.js";
 import { answerLost } from "./routerHarness.js";
 
-const CALL_DISTANCE_MS: Milliseconds = 5;
+const CALL_INTERVAL_MS: Milliseconds = 5;
 const RUN_MS: Milliseconds = 50;
 /** The deadlines of such calls are those of the runs that made them. */
-const PATIENCE_MS: Milliseconds = 400;
+const CALLER_TIMEOUT_MS: Milliseconds = 400;
 
 /** How the only target handles a call: it responds quickly, just in time, or after the caller has disconnected. */
-type Treatment = "Answers" | "AnswersSlowly" | "ReadsTooLate";
+type CallHandling = "Answers" | "AnswersSlowly" | "ReadsTooLate";
 
-const RUN_TIMES: Readonly<Record<Treatment, Milliseconds>> =
-    { Answers: RUN_MS, AnswersSlowly: 0.8 * PATIENCE_MS, ReadsTooLate: 2 * PATIENCE_MS };
+const RUN_DURATIONS: Readonly<Record<CallHandling, Milliseconds>> =
+    { Answers: RUN_MS, AnswersSlowly: 0.8 * CALLER_TIMEOUT_MS, ReadsTooLate: 2 * CALLER_TIMEOUT_MS };
 
-interface Calls {
+interface CallSimulation {
     readonly clock: ManualClock;
     /**
      * Returns the calls since the previous invocation: all of them, those that were sent, and those that were answered.
      */
-    readonly look: () => { readonly asked: number; readonly sent: number; readonly answered: number };
-    readonly play: (durationMs: Milliseconds, treatment: Treatment, patienceMs?: Milliseconds) => Promise<void>;
+    readonly takeCounts: () => { readonly asked: number; readonly sent: number; readonly answered: number };
+    readonly simulate: (
+        durationMs: Milliseconds,
+        handling: CallHandling,
+        callerTimeoutMs?: Milliseconds,
+    ) => Promise<void>;
 }
 
 /** Creates one node that calls a service with one target 200 times per second. */
-const createCalls = (): Calls => {
+const createCallSimulation = (): CallSimulation => {
     const clock = createManualClock();
     const random = createSeededRandom(5);
     const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-a", clock, random });
@@ -45,46 +49,46 @@
     let sent = 0;
     let answered = 0;
 
-    const attempt = (treatment: Treatment, signal: AbortSignal): Promise<AttemptResult<string>> =>
+    const attempt = (handling: CallHandling, signal: AbortSignal): Promise<AttemptResult<string>> =>
         new Promise((resolve) => {
             sent += 1;
             signal.addEventListener("abort", () =>
                 resolve({ outcome: either.left(answerLost), load: undefined, retriedBelow: false }));
-            clock.after(RUN_TIMES[treatment], () =>
+            clock.after(RUN_DURATIONS[handling], () =>
                 resolve({ outcome: either.right("answer"), load: undefined, retriedBelow: false }));
         });
 
-    const call = async (treatment: Treatment, patienceMs: Milliseconds): Promise<void> => {
+    const call = async (handling: CallHandling, callerTimeoutMs: Milliseconds): Promise<void> => {
         asked += 1;
         const caller = new AbortController();
-        clock.after(patienceMs, () => caller.abort());
+        clock.after(callerTimeoutMs, () => caller.abort());
         const routed = await router.execute<string>({
             service: testService,
             row,
             targets,
             idempotent: true,
             replayable: () => true,
-            deadline: clock.monotonic() + PATIENCE_MS,
+            deadline: clock.monotonic() + CALLER_TIMEOUT_MS,
             retriesAllowed: true,
             kind: "status",
             signal: caller.signal,
-        }, (_target, { signal }) => attempt(treatment, signal));
+        }, (_target, { signal }) => attempt(handling, signal));
         answered += either.isRight(routed) ? 1 : 0;
     };
 
     return {
         clock,
-        look: () => {
+        takeCounts: () => {
             const counts = { asked, sent, answered };
             asked = 0;
             sent = 0;
             answered = 0;
             return counts;
         },
-        play: async (durationMs, treatment, patienceMs = PATIENCE_MS) => {
-            for (let passed = 0; passed < durationMs; passed += CALL_DISTANCE_MS) {
-                void call(treatment, patienceMs);
-                await clock.advance(CALL_DISTANCE_MS);
+        simulate: async (durationMs, handling, callerTimeoutMs = CALLER_TIMEOUT_MS) => {
+            for (let passed = 0; passed < durationMs; passed += CALL_INTERVAL_MS) {
+                void call(handling, callerTimeoutMs);
+                await clock.advance(CALL_INTERVAL_MS);
             }
         },
     };
@@ -97,28 +101,28 @@
  */
 describe("calls whose callers disconnect before the calls are read", () => {
     it("are refused at the first node until the target's node has caught up", async () => {
-        const calls = createCalls();
-        await calls.play(1_000, "Answers");
+        const simulation = createCallSimulation();
+        await simulation.simulate(1_000, "Answers");
         // Responses take longer before they miss the deadline altogether; the typical latency must not grow with them.
-        await calls.play(2_000, "AnswersSlowly");
-        await calls.play(2_000, "ReadsTooLate");
-        calls.look();
-        await calls.play(1_000, "ReadsTooLate");
-        const late = calls.look();
-        expect(late.sent / late.asked).to.be.at.most(1 / 3);
-        await calls.play(3_000, "Answers");
-        calls.look();
-        await calls.play(1_000, "Answers");
-        const again = calls.look();
-        expect(again.answered / again.asked).to.be.at.least(0.95);
+        await simulation.simulate(2_000, "AnswersSlowly");
+        await simulation.simulate(2_000, "ReadsTooLate");
+        simulation.takeCounts();
+        await simulation.simulate(1_000, "ReadsTooLate");
+        const lateCounts = simulation.takeCounts();
+        expect(lateCounts.sent / lateCounts.asked).to.be.at.most(1 / 3);
+        await simulation.simulate(3_000, "Answers");
+        simulation.takeCounts();
+        await simulation.simulate(1_000, "Answers");
+        const recoveredCounts = simulation.takeCounts();
+        expect(recoveredCounts.answered / recoveredCounts.asked).to.be.at.least(0.95);
     });
 
     it("are not counted against the service if their callers disconnect early", async () => {
-        const calls = createCalls();
-        await calls.play(1_000, "Answers");
-        calls.look();
-        await calls.play(2_000, "Answers", RUN_MS / 2);
-        const { asked, sent } = calls.look();
+        const simulation = createCallSimulation();
+        await simulation.simulate(1_000, "Answers");
+        simulation.takeCounts();
+        await simulation.simulate(2_000, "Answers", RUN_MS / 2);
+        const { asked, sent } = simulation.takeCounts();
         expect(sent).to.equal(asked);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/unheardTargets.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unheardTargets.test.ts
@@ -5,8 +5,8 @@
 import { createRequestRouter, createTargetPicker, type RoutableTarget } from "../index.js";
 import { createRow, createTargets, testService } from "./pickerHarness.js";
 
-const CUT_OFF = "hall-a-0";
-const LEFT_MS = 300;
+const UNREACHABLE_NODE = "hall-a-0";
+const TIME_LEFT_MS = 300;
 
 describe("a target whose node is unreachable", () => {
     // Guards against an unreachable target that is ejected and readmitted many times per second. Requests wait for a
@@ -18,36 +18,36 @@
         const router = createRequestRouter({ clock, picker });
         const targets = createTargets("hall-a", 4);
         const row = { ...createRow({}), placement: "load" as const };
-        const outOfTime: RequestFailure = { kind: "Refused", verdict: "notRun", reason: "DeadlinePassed", retryAfterMs: 0 };
-        let sentToCutOff = 0;
-        const ask = (): Promise<unknown> => router.execute<string>({
+        const deadlinePassed: RequestFailure = { kind: "Refused", verdict: "notRun", reason: "DeadlinePassed", retryAfterMs: 0 };
+        let sentToUnreachable = 0;
+        const sendRequest = (): Promise<unknown> => router.execute<string>({
             service: testService,
             row,
             targets,
             idempotent: true,
             replayable: () => true,
-            deadline: clock.monotonic() + LEFT_MS,
+            deadline: clock.monotonic() + TIME_LEFT_MS,
             retriesAllowed: false,
             signal: new AbortController().signal,
         }, async (target) => {
-            const isCutOff = target.nodeId === CUT_OFF;
-            sentToCutOff += isCutOff ? 1 : 0;
-            await clock.sleep(isCutOff ? LEFT_MS : 50, new AbortController().signal);
-            return isCutOff ?
-                { outcome: either.left(outOfTime), load: undefined, retriedBelow: false } :
+            const isUnreachable = target.nodeId === UNREACHABLE_NODE;
+            sentToUnreachable += isUnreachable ? 1 : 0;
+            await clock.sleep(isUnreachable ? TIME_LEFT_MS : 50, new AbortController().signal);
+            return isUnreachable ?
+                { outcome: either.left(deadlinePassed), load: undefined, retriedBelow: false } :
                 {
                     outcome: either.right("answer"),
                     load: { inFlight: 2, queued: 0, capacity: 10, expectedWaitMs: 0 },
                     retriedBelow: false,
                 };
         });
-        const asked: Promise<unknown>[] = [];
+        const pendingRequests: Promise<unknown>[] = [];
         for (let count = 0; count < 500; count++) {
-            asked.push(ask());
+            pendingRequests.push(sendRequest());
             await clock.advance(10);
         }
-        await clock.advance(2 * LEFT_MS);
-        await Promise.all(asked);
-        expect(sentToCutOff).to.be.below(25);
+        await clock.advance(2 * TIME_LEFT_MS);
+        await Promise.all(pendingRequests);
+        expect(sentToUnreachable).to.be.below(25);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/zoneFailures.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/zoneFailures.test.ts
@@ -22,15 +22,15 @@
     it("moves the share of an unreachable zone to other zones and returns it gradually", async () => {
         const harness = createPickerHarness(targets, evenRow);
         await harness.send(30);
-        const cut = await harness.send(600, failZones("hall-b"));
-        expect(countFor(cut, "hall-b")).to.be.at.most(8);
-        expect(Math.abs(countFor(cut, "hall-a") - countFor(cut, "hall-c"))).to.be.at.most(3);
+        const countsWhileUnreachable = await harness.send(600, failZones("hall-b"));
+        expect(countFor(countsWhileUnreachable, "hall-b")).to.be.at.most(8);
+        expect(Math.abs(countFor(countsWhileUnreachable, "hall-a") - countFor(countsWhileUnreachable, "hall-c"))).to.be.at.most(3);
         harness.clock.freeze(5000);
-        const healing = countFor(await harness.send(300), "hall-b");
+        const countWhileRecovering = countFor(await harness.send(300), "hall-b");
         await harness.send(300, undefined, 100);
-        const healed = countFor(await harness.send(300), "hall-b");
-        expect(healing).to.be.within(10, 90);
-        expect(healed).to.be.within(98, 102);
+        const countAfterRecovery = countFor(await harness.send(300), "hall-b");
+        expect(countWhileRecovering).to.be.within(10, 90);
+        expect(countAfterRecovery).to.be.within(98, 102);
     });
 
     // Guards against a partitioned zone that fails its own callers although its own targets are healthy, because its
@@ -54,9 +54,9 @@
     // deadlines shorter than the service time; such refusals must not count as lack of capacity.
     it("does not treat a refused deadline as lack of capacity while gates have free slots", () => {
         const harness = createPickerHarness(targets, evenRow);
-        const idle = { inFlight: 1, queued: 0, capacity: 10, expectedWaitMs: 0 };
+        const idleLoad = { inFlight: 1, queued: 0, capacity: 10, expectedWaitMs: 0 };
         for (let count = 0; count < 50; count++) {
-            harness.pick()?.report({ kind: "Refused", reason: "DeadlineTooShort" }, idle);
+            harness.pick()?.report({ kind: "Refused", reason: "DeadlineTooShort" }, idleLoad);
         }
         expect(harness.zone("hall-a")?.spill).to.equal(0);
     });
@@ -68,30 +68,30 @@
         const nodes = Array.from({ length: 20 }, (_, seed) => createPickerHarness(targets, evenRow, {}, "hall-b", seed));
         const roundRefusals: number[] = [];
         const runRound = async (capacity: number): Promise<number> => {
-            let taken = 0;
-            let refused = 0;
+            let received = 0;
+            let refusals = 0;
             for (const node of nodes) {
                 const counts = await node.send(15, ({ zone }) => {
                     if (zone !== "hall-a") {
                         return answered;
                     }
-                    taken += 1;
-                    refused += taken > capacity ? 1 : 0;
-                    return taken > capacity ? queueFull : answered;
+                    received += 1;
+                    refusals += received > capacity ? 1 : 0;
+                    return received > capacity ? queueFull : answered;
                 }, 10);
                 expect(countFor(counts, "hall-")).to.equal(15);
             }
-            roundRefusals.push(refused);
-            return taken;
+            roundRefusals.push(refusals);
+            return received;
         };
-        const takenBefore = await runRound(1000);
-        const taken: number[] = [];
+        const receivedBefore = await runRound(1000);
+        const receivedPerRound: number[] = [];
         for (let round = 0; round < 100; round++) {
-            taken.push(await runRound(33));
+            receivedPerRound.push(await runRound(33));
         }
-        expect(takenBefore).to.be.within(90, 110);
-        expect(Math.max(...taken.slice(40))).to.be.at.most(60);
-        expect(Math.min(...taken.slice(40))).to.be.at.least(25);
+        expect(receivedBefore).to.be.within(90, 110);
+        expect(Math.max(...receivedPerRound.slice(40))).to.be.at.most(60);
+        expect(Math.min(...receivedPerRound.slice(40))).to.be.at.least(25);
         expect(roundRefusals.slice(-60).reduce((sum, count) => sum + count, 0)).to.be.at.most(60 * 20);
         for (let round = 0; round < 200; round++) {
             await runRound(1000);
--- a/packages/oleandergap-routing/src/attemptHistory.ts
+++ b/packages/oleandergap-routing/src/attemptHistory.ts
@@ -1,21 +1,21 @@
 /** Collects the attempts of one request and combines their failures. */
 import type { Milliseconds, NodeId, RequestFailure, ZoneName } from "oleandergap-types";
-import { isShortage } from "./learnOutcome.js";
+import { isCapacityRefusal } from "./learnOutcome.js";
 import type { RoutedFailure } from "./requestExecution.js";
 import type { RoutableTarget } from "./target.js";
 
 /** The attempts of one request. There is one history per request, to which each attempt is added. */
 export interface AttemptHistory {
-    readonly tried: readonly NodeId[];
-    readonly shortages: () => number;
+    readonly triedNodeIds: readonly NodeId[];
+    readonly capacityRefusals: () => number;
     /** Number of targets that received the request: they ran it, may have run it, or refused it themselves. */
     readonly targetsReached: () => number;
     /** The zone that last refused the request for lack of capacity. */
-    readonly shortZone: () => ZoneName | undefined;
+    readonly overloadedZone: () => ZoneName | undefined;
     readonly lastFailure: () => RequestFailure | undefined;
     readonly addAttempt: (target: RoutableTarget) => void;
-    readonly addFailure: (target: RoutableTarget, failure: RequestFailure, retriedBelow: boolean) => void;
-    readonly wasRetriedBelow: () => boolean;
+    readonly addFailure: (target: RoutableTarget, failure: RequestFailure, retriedDownstream: boolean) => void;
+    readonly wasRetriedDownstream: () => boolean;
     /** Returns the final failure of the request. `fallbackRetryAfterMs` is used when no refusal named a retry delay. */
     readonly conclude: (failure: RequestFailure, fallbackRetryAfterMs: Milliseconds) => RoutedFailure;
 }
@@ -28,18 +28,18 @@
 
 /** Creates the history of a request that has not been attempted yet. */
 export const createAttemptHistory = (): AttemptHistory => {
-    const tried: NodeId[] = [];
+    const triedNodeIds: NodeId[] = [];
     const failures = new Map<NodeId, RequestFailure>();
-    let shortages = 0;
+    let capacityRefusals = 0;
     let targetsReached = 0;
-    let shortZone: ZoneName | undefined;
+    let overloadedZone: ZoneName | undefined;
     let lastFailure: RequestFailure | undefined;
     /** The first failure after which the request may have run. */
-    let possibleRun: RequestFailure | undefined;
+    let possibleRunFailure: RequestFailure | undefined;
     let longestRetryAfterMs = 0;
-    let wasRetriedBelow = false;
+    let wasRetriedDownstream = false;
 
-    const noteRetryAfter = (failure: RequestFailure): void => {
+    const recordRetryAfter = (failure: RequestFailure): void => {
         if ("retryAfterMs" in failure) {
             longestRetryAfterMs = Math.max(longestRetryAfterMs, failure.retryAfterMs);
         }
@@ -51,42 +51,42 @@
      * "not run" request take effect.
      */
     const conclude: AttemptHistory["conclude"] = (failure, fallbackRetryAfterMs) => {
-        noteRetryAfter(failure);
+        recordRetryAfter(failure);
         const retryAfterMs = longestRetryAfterMs > 0 ? longestRetryAfterMs : fallbackRetryAfterMs;
-        const covering = failure.verdict === "notRun" ? possibleRun ?? failure : failure;
+        const overallFailure = failure.verdict === "notRun" ? possibleRunFailure ?? failure : failure;
         return {
-            failure: withRetryAfter(covering, retryAfterMs),
-            attempts: tried.length,
-            tried: tried.map((nodeId) => ({ nodeId, failure: failures.get(nodeId) })),
-            retriedBelow: wasRetriedBelow || tried.length > 0,
+            failure: withRetryAfter(overallFailure, retryAfterMs),
+            attempts: triedNodeIds.length,
+            tried: triedNodeIds.map((nodeId) => ({ nodeId, failure: failures.get(nodeId) })),
+            retriedBelow: wasRetriedDownstream || triedNodeIds.length > 0,
             retryAfterMs,
         };
     };
 
     return {
-        tried,
-        shortages: () => shortages,
+        triedNodeIds,
+        capacityRefusals: () => capacityRefusals,
         targetsReached: () => targetsReached,
-        shortZone: () => shortZone,
+        overloadedZone: () => overloadedZone,
         lastFailure: () => lastFailure,
         addAttempt: (target) => {
-            tried.push(target.nodeId);
+            triedNodeIds.push(target.nodeId);
         },
-        addFailure: (target, failure, retriedBelow) => {
+        addFailure: (target, failure, retriedDownstream) => {
             lastFailure = failure;
             failures.set(target.nodeId, failure);
-            wasRetriedBelow ||= retriedBelow;
-            noteRetryAfter(failure);
+            wasRetriedDownstream ||= retriedDownstream;
+            recordRetryAfter(failure);
             targetsReached += hasReachedTarget(failure) ? 1 : 0;
             if (failure.verdict === "mayHaveRun") {
-                possibleRun ??= failure;
+                possibleRunFailure ??= failure;
             }
-            if (failure.kind === "Refused" && isShortage(failure.reason)) {
-                shortages += 1;
-                shortZone = target.zone;
+            if (failure.kind === "Refused" && isCapacityRefusal(failure.reason)) {
+                capacityRefusals += 1;
+                overloadedZone = target.zone;
             }
         },
-        wasRetriedBelow: () => wasRetriedBelow,
+        wasRetriedDownstream: () => wasRetriedDownstream,
         conclude,
     };
 };
--- a/packages/oleandergap-routing/src/attemptProgress.ts
+++ b/packages/oleandergap-routing/src/attemptProgress.ts
@@ -1,15 +1,15 @@
-/** Reports what an attempt reveals about its target before it ends, so that other requests can react at once. */
+/** Records events of an attempt before it ends, so that other requests can react to the state of its target at once. */
 import type { Clock } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { learnBodyEnd } from "./learnOutcome.js";
+import { recordBodyEnd } from "./learnOutcome.js";
 import type { PickerOptions } from "./options.js";
 import type { AttemptProgress, RoutableTarget } from "./target.js";
 import type { TargetState } from "./targetState.js";
-import { endSilence, silenceTarget } from "./zoneCandidates.js";
+import { restoreResponsiveTarget, ejectUnresponsiveTarget } from "./zoneCandidates.js";
 import type { ZoneState } from "./zoneState.js";
 
 /** A target chosen for a request. */
-export interface Choice<Target extends RoutableTarget> {
+export interface TargetChoice<Target extends RoutableTarget> {
     readonly zone: ZoneState<Target>;
     readonly state: TargetState<Target>;
     /** Whether the request probes an ejected target. */
@@ -24,24 +24,24 @@
 }
 
 /** Creates the progress of one attempt at the chosen target. */
-export const createProgress = <Target extends RoutableTarget>(
-    { zone, state, isProbe }: Choice<Target>,
+export const createAttemptProgress = <Target extends RoutableTarget>(
+    { zone, state, isProbe }: TargetChoice<Target>,
     { clock, random, options }: ProgressContext,
 ): AttemptProgress => ({
     isProbe,
     expectSigns: () => {
-        state.givesSigns = true;
+        state.sendsHeartbeats = true;
     },
     heard: () => {
         state.waitingSince = clock.monotonic();
-        endSilence(zone.candidates, state);
+        restoreResponsiveTarget(zone.candidates, state);
     },
     silent: () => {
-        const wasSilent = state.isSilent || isProbe;
-        silenceTarget(zone.candidates, state, clock.monotonic(), options, random);
-        return wasSilent;
+        const wasUnresponsive = state.isUnresponsive || isProbe;
+        ejectUnresponsiveTarget(zone.candidates, state, clock.monotonic(), options, random);
+        return wasUnresponsive;
     },
     bodyEnded: (isWhole) => {
-        learnBodyEnd(zone, state, isWhole, { now: clock.monotonic(), options, random });
+        recordBodyEnd(zone, state, isWhole, { now: clock.monotonic(), options, random });
     },
 });
--- a/packages/oleandergap-routing/src/circuit.ts
+++ b/packages/oleandergap-routing/src/circuit.ts
@@ -16,10 +16,10 @@
  */
 const MINIMUM_PROBE_TIMEOUT_MS = 500;
 /** Requests that must not be sent again may probe only after this many additional backoffs, up to the limit below. */
-const UNSAFE_PROBE_FACTOR = 10;
-const MAXIMUM_UNSAFE_DELAY_MS = 30_000;
+const NON_RETRYABLE_PROBE_FACTOR = 10;
+const MAXIMUM_NON_RETRYABLE_DELAY_MS = 30_000;
 /** Fraction of each backoff that is random, so that callers do not probe at the same time. */
-const JITTER = 0.5;
+const JITTER_FRACTION = 0.5;
 
 /** State of one circuit breaker. */
 export interface Circuit {
@@ -56,12 +56,12 @@
     const backoff = Math.min(options.maximumEjectionMs, options.ejectionMs * 2 ** circuit.trips);
     circuit.state = "open";
     circuit.trips += 1;
-    circuit.backoffMs = backoff * (1 - JITTER + JITTER * random());
+    circuit.backoffMs = backoff * (1 - JITTER_FRACTION + JITTER_FRACTION * random());
     circuit.probeAt = now + circuit.backoffMs;
 };
 
-const unsafeDelay = ({ backoffMs }: Circuit): Milliseconds =>
-    Math.min(MAXIMUM_UNSAFE_DELAY_MS, UNSAFE_PROBE_FACTOR * backoffMs);
+const computeNonRetryableDelay = ({ backoffMs }: Circuit): Milliseconds =>
+    Math.min(MAXIMUM_NON_RETRYABLE_DELAY_MS, NON_RETRYABLE_PROBE_FACTOR * backoffMs);
 
 /**
  * Returns whether a request may be sent as a probe. Requests that must not be sent again have to wait much longer, so
@@ -69,7 +69,7 @@
  * probes if a service has no other requests.
  */
 export const isProbeDue = (circuit: Circuit, now: Milliseconds, canResend: boolean): boolean =>
-    circuit.state !== "closed" && now >= circuit.probeAt + (canResend ? 0 : unsafeDelay(circuit));
+    circuit.state !== "closed" && now >= circuit.probeAt + (canResend ? 0 : computeNonRetryableDelay(circuit));
 
 /** Marks the circuit as being probed. If the outcome of the probe is never reported, another probe may follow later. */
 export const startProbe = (circuit: Circuit, now: Milliseconds): void => {
--- a/packages/oleandergap-routing/src/learnOutcome.ts
+++ b/packages/oleandergap-routing/src/learnOutcome.ts
@@ -4,16 +4,16 @@
 import { closeCircuit, reduceTrips } from "./circuit.js";
 import type { PickerOptions } from "./options.js";
 import type { AttemptOutcome, RoutableTarget } from "./target.js";
-import { addLatency, markFailed, noteCapacity, type TargetState } from "./targetState.js";
+import { addLatency, recordTargetFailure, updateRefusedShare, type TargetState } from "./targetState.js";
 import { ejectTarget, extendEjection, isSlowerThanOthers, readmitTarget } from "./zoneCandidates.js";
 import {
     addZoneLatency,
-    fadeSpill,
-    markZoneFailed,
-    markZoneReached,
+    decaySpill,
+    recordZoneFailure,
+    recordZoneResponse,
     normaliseLatency,
-    raiseSpill,
-    usualLatency,
+    increaseSpill,
+    getTypicalLatency,
     type ZoneState,
 } from "./zoneState.js";
 
@@ -21,13 +21,13 @@
  * Minimum number of responses before a target's latency is compared with that of its zone. The number is lower for a
  * target that was ejected recently.
  */
-const MINIMUM_ANSWERS = 10;
-const MINIMUM_ANSWERS_AFTER_EJECTION = 3;
+const MINIMUM_RESPONSES = 10;
+const MINIMUM_RESPONSES_AFTER_EJECTION = 3;
 /**
  * Number of consecutive responses that are each too slow after which a target is ejected, even before its average
  * latency is too high.
  */
-const SLOW_ANSWERS_IN_A_ROW = 4;
+const CONSECUTIVE_SLOW_RESPONSES = 4;
 /**
  * Fraction of the remaining share of a zone that a response moves to other zones while requests queue for lack of
  * targets.
@@ -43,10 +43,10 @@
 /** A timeout counts against a target only if the request waited for at least this many typical latencies. */
 const TIMEOUT_FACTOR = 2;
 /** Number of responses after which the trips of a target are reduced by one. */
-const ANSWERS_PER_REDUCED_TRIP = 50;
+const RESPONSES_PER_REDUCED_TRIP = 50;
 
 /** Inputs of an update besides the outcome. */
-export interface LearnContext {
+export interface OutcomeContext {
     readonly now: Milliseconds;
     readonly options: PickerOptions;
     readonly random: Random;
@@ -58,7 +58,7 @@
 }
 
 /** Returns whether a refusal indicates that the target, and probably its zone, lacks capacity. */
-export const isShortage = (reason: RefusalReason): boolean =>
+export const isCapacityRefusal = (reason: RefusalReason): boolean =>
     reason === "QueueFull" || reason === "LimitReached" || reason === "DeadlineTooShort" ||
     reason === "FairShareExceeded" || reason === "DeadlinePassed" || reason === "TargetBusy";
 
@@ -69,7 +69,7 @@
 const hasFreeSlots = (load: GateLoad | undefined): boolean => load !== undefined && load.inFlight < load.capacity;
 
 /** Returns whether a refusal indicates that the node has no usable target. */
-const isAbsence = (reason: RefusalReason): boolean =>
+const isMissingTargetRefusal = (reason: RefusalReason): boolean =>
     reason === "Draining" || reason === "NotReady" || reason === "NoTarget" || reason === "UnknownService";
 
 const isTooSlow = <Target extends RoutableTarget>(
@@ -84,26 +84,26 @@
  * capacity although no gate refuses anything. Without the spill, its requests would wait, or go to the ejected target,
  * while another zone has free slots.
  */
-const spillQueued = <Target extends RoutableTarget>(
+const spillQueuedRequests = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     load: GateLoad | undefined,
     now: Milliseconds,
     options: PickerOptions,
 ): void => {
     if (load !== undefined && load.queued > 0 && zone.candidates.ejected.length > 0) {
-        fadeSpill(zone, now, options.spillReturnMs);
-        raiseSpill(zone, QUEUED_SPILL_STEP);
+        decaySpill(zone, now, options.spillReturnMs);
+        increaseSpill(zone, QUEUED_SPILL_STEP);
     }
 };
 
-const learnAnswer = <Target extends RoutableTarget>(
+const recordResponse = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
     measuredMs: Milliseconds,
-    { now, options, random, load, isProbe, kind }: LearnContext,
+    { now, options, random, load, isProbe, kind }: OutcomeContext,
 ): void => {
     const latencyMs = normaliseLatency(zone, kind, measuredMs);
-    markZoneReached(zone, now);
+    recordZoneResponse(zone, now);
     state.circuit.failures = 0;
     if (state.circuit.state !== "closed") {
         if (latencyMs > (options.slowFactor * zone.typicalLatencyMs) / READMISSION_MARGIN + MINIMUM_EXCESS_MS) {
@@ -114,29 +114,29 @@
         }
         closeCircuit(state.circuit);
         readmitTarget(zone.candidates, state, now);
-        state.answers = 0;
-        state.slowInARow = 0;
+        state.responses = 0;
+        state.consecutiveSlowResponses = 0;
     }
-    noteCapacity(state, false, now);
-    spillQueued(zone, load, now, options);
-    state.slowInARow = isTooSlow(zone, latencyMs, options) ? state.slowInARow + 1 : 0;
+    updateRefusedShare(state, false, now);
+    spillQueuedRequests(zone, load, now, options);
+    state.consecutiveSlowResponses = isTooSlow(zone, latencyMs, options) ? state.consecutiveSlowResponses + 1 : 0;
     addLatency(state, latencyMs, now);
     addZoneLatency(zone, kind, measuredMs);
-    if (state.answers % ANSWERS_PER_REDUCED_TRIP === 0) {
+    if (state.responses % RESPONSES_PER_REDUCED_TRIP === 0) {
         reduceTrips(state.circuit);
     }
-    const needed = state.circuit.trips > 0 ? MINIMUM_ANSWERS_AFTER_EJECTION : MINIMUM_ANSWERS;
-    const isSlow = state.answers >= needed && isTooSlow(zone, state.latencyMs, options);
-    const isSlowNow = isSlow || state.slowInARow >= SLOW_ANSWERS_IN_A_ROW;
-    if (isSlowNow && isSlowerThanOthers(zone.candidates, state)) {
+    const requiredResponses = state.circuit.trips > 0 ? MINIMUM_RESPONSES_AFTER_EJECTION : MINIMUM_RESPONSES;
+    const isSlowOnAverage = state.responses >= requiredResponses && isTooSlow(zone, state.latencyMs, options);
+    const isSlow = isSlowOnAverage || state.consecutiveSlowResponses >= CONSECUTIVE_SLOW_RESPONSES;
+    if (isSlow && isSlowerThanOthers(zone.candidates, state)) {
         ejectTarget(zone.candidates, state, now, options, random);
     }
 };
 
-const ejectOrExtend = <Target extends RoutableTarget>(
+const ejectOrExtendEjection = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
-    { now, options, random }: LearnContext,
+    { now, options, random }: OutcomeContext,
 ): void => {
     if (state.circuit.state !== "closed") {
         extendEjection(zone.candidates, state, now, options, random);
@@ -149,26 +149,26 @@
 /**
  * Records a refusal. A refusal is a response of the node, so the node is reachable, whatever the state of its target.
  */
-const learnRefusal = <Target extends RoutableTarget>(
+const recordRefusal = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
     reason: RefusalReason,
-    context: LearnContext,
+    context: OutcomeContext,
 ): void => {
     const { now, options, load } = context;
-    markZoneReached(zone, now);
-    if (isAbsence(reason)) {
+    recordZoneResponse(zone, now);
+    if (isMissingTargetRefusal(reason)) {
         // A node without a target refuses at once and reports no load, so it appears to be the least loaded. Without an
         // ejection, it would attract more and more requests until the directory removes it.
-        markFailed(state, now);
-        ejectOrExtend(zone, state, context);
+        recordTargetFailure(state, now);
+        ejectOrExtendEjection(zone, state, context);
         return;
     }
-    const isShort = isShortage(reason) && !hasFreeSlots(load);
-    noteCapacity(state, isShort, now);
-    if (isShort) {
-        fadeSpill(zone, now, options.spillReturnMs);
-        raiseSpill(zone);
+    const isLackingCapacity = isCapacityRefusal(reason) && !hasFreeSlots(load);
+    updateRefusedShare(state, isLackingCapacity, now);
+    if (isLackingCapacity) {
+        decaySpill(zone, now, options.spillReturnMs);
+        increaseSpill(zone);
     }
     if (state.circuit.state !== "closed") {
         closeCircuit(state.circuit);
@@ -176,19 +176,19 @@
     }
 };
 
-const learnFailure = <Target extends RoutableTarget>(
+const recordFailure = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
-    context: LearnContext,
+    context: OutcomeContext,
 ): void => {
     const { now, options, random, isProbe } = context;
-    markFailed(state, now);
-    markZoneFailed(zone, state.target.nodeId, now, options, random);
+    recordTargetFailure(state, now);
+    recordZoneFailure(zone, state.target.nodeId, now, options, random);
     // Requests that were sent before the ejection fail after it and give no new information. If they counted, a single
     // fault under load would lead to backoffs of half a minute.
-    const isTold = state.circuit.state === "closed" ? state.circuit.failures >= options.ejectAfterFailures : isProbe;
-    if (isTold) {
-        ejectOrExtend(zone, state, context);
+    const shouldEject = state.circuit.state === "closed" ? state.circuit.failures >= options.ejectAfterFailures : isProbe;
+    if (shouldEject) {
+        ejectOrExtendEjection(zone, state, context);
     }
 };
 
@@ -197,16 +197,16 @@
  * successes, and each new head clears the earlier failures. Without this separate count, interrupted responses would
  * continue for as long as the fault lasts.
  */
-export const learnBodyEnd = <Target extends RoutableTarget>(
+export const recordBodyEnd = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
-    isWhole: boolean,
-    { now, options, random }: Pick<LearnContext, "now" | "options" | "random">,
+    isComplete: boolean,
+    { now, options, random }: Pick<OutcomeContext, "now" | "options" | "random">,
 ): void => {
-    state.cutsInARow = isWhole ? 0 : state.cutsInARow + 1;
-    if (state.cutsInARow >= options.ejectAfterFailures) {
-        state.cutsInARow = 0;
-        markFailed(state, now);
+    state.consecutiveInterruptedResponses = isComplete ? 0 : state.consecutiveInterruptedResponses + 1;
+    if (state.consecutiveInterruptedResponses >= options.ejectAfterFailures) {
+        state.consecutiveInterruptedResponses = 0;
+        recordTargetFailure(state, now);
         ejectTarget(zone.candidates, state, now, options, random);
     }
 };
@@ -217,44 +217,44 @@
  * short of processor time would appear to be the least loaded, because unanswered requests no longer count as in flight
  * there. Calls would then go to this target and expire while other targets are idle.
  */
-const learnWait = <Target extends RoutableTarget>(
+const recordAbandonedWait = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
     waitedMs: Milliseconds,
-    context: LearnContext,
+    context: OutcomeContext,
 ): void => {
     const { now, kind } = context;
-    const usualMs = usualLatency(zone, kind);
-    if (usualMs > 0 && waitedMs >= TIMEOUT_FACTOR * usualMs) {
+    const typicalMs = getTypicalLatency(zone, kind);
+    if (typicalMs > 0 && waitedMs >= TIMEOUT_FACTOR * typicalMs) {
         addLatency(state, normaliseLatency(zone, kind, waitedMs), now);
         // As with timeouts, `ejectAfterFailures` consecutive waits without a response between them lead to an ejection.
-        learnFailure(zone, state, context);
+        recordFailure(zone, state, context);
     }
 };
 
 /** Updates the state of the target and its zone. It may eject or readmit the target. */
-export const learnOutcome = <Target extends RoutableTarget>(
+export const recordOutcome = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     state: TargetState<Target>,
     outcome: AttemptOutcome,
-    context: LearnContext,
+    context: OutcomeContext,
 ): void => {
     switch (outcome.kind) {
         case "Answered":
-            learnAnswer(zone, state, outcome.latencyMs, context);
+            recordResponse(zone, state, outcome.latencyMs, context);
             return;
         case "Refused":
-            learnRefusal(zone, state, outcome.reason, context);
+            recordRefusal(zone, state, outcome.reason, context);
             return;
         case "ConnectFailed":
-            learnFailure(zone, state, context);
+            recordFailure(zone, state, context);
             return;
         case "AnswerLost":
-            if (!outcome.isTimeout || outcome.waitedMs >= TIMEOUT_FACTOR * usualLatency(zone, context.kind)) {
-                learnFailure(zone, state, context);
+            if (!outcome.isTimeout || outcome.waitedMs >= TIMEOUT_FACTOR * getTypicalLatency(zone, context.kind)) {
+                recordFailure(zone, state, context);
             }
             return;
         case "Abandoned":
-            learnWait(zone, state, outcome.waitedMs ?? 0, context);
+            recordAbandonedWait(zone, state, outcome.waitedMs ?? 0, context);
     }
 };
--- a/packages/oleandergap-routing/src/measure/decisionCost.ts
+++ b/packages/oleandergap-routing/src/measure/decisionCost.ts
@@ -20,7 +20,7 @@
     readonly pickAndReportNs: number;
 }
 
-const timeRounds = async (round: () => void | Promise<void>): Promise<number> => {
+const measureRound = async (round: () => void | Promise<void>): Promise<number> => {
     for (let warmUp = 0; warmUp < ROUNDS / 4; warmUp++) {
         await round();
     }
@@ -31,11 +31,11 @@
     return ((performance.now() - startedAt) * NANOSECONDS_PER_MILLISECOND) / ROUNDS;
 };
 
-const timeGate = (): Promise<number> => {
+const measureGate = (): Promise<number> => {
     const clock = createSystemClock();
     const gate = createGate({ clock, limit: basePlan.limit, slots: basePlan.announcedSlots });
     const { signal } = new AbortController();
-    return timeRounds(async () => {
+    return measureRound(async () => {
         const admission = await gate.admit({ ...SERVICE, deadline: clock.monotonic() + 1000, signal });
         if (either.isRight(admission)) {
             admission.right.release("Answered");
@@ -52,7 +52,7 @@
         since: 0,
     }));
 
-const timePicker = (count: number): Promise<number> => {
+const measurePicker = (count: number): Promise<number> => {
     const picker = createTargetPicker({
         ownZone: "zone-0",
         clock: createSystemClock(),
@@ -69,7 +69,7 @@
     };
     const targets = createTargets(count);
     const load = { inFlight: 3, queued: 0, capacity: 12, expectedWaitMs: 0 };
-    return timeRounds(() => {
+    return measureRound(() => {
         const pick = picker.pick({ service: SERVICE, row, targets, exclude: [], canResend: true });
         pick?.report({ kind: "Answered", latencyMs: 10 }, load);
     });
@@ -81,6 +81,6 @@
  */
 export const measureDecisionCost = async (targets: number): Promise<DecisionCost> => ({
     targets,
-    admitAndReleaseNs: await timeGate(),
-    pickAndReportNs: await timePicker(targets),
+    admitAndReleaseNs: await measureGate(),
+    pickAndReportNs: await measurePicker(targets),
 });
--- a/packages/oleandergap-routing/src/measure/experiments.ts
+++ b/packages/oleandergap-routing/src/measure/experiments.ts
@@ -4,8 +4,8 @@
 import { runLoad } from "./runLoad.js";
 
 /**
- * Two workers' worth of Halloway's services in three zones. Requests take 50 ms on average and have a timeout of one
- * second.
+ * A service with two workers' worth of partner Halloway's targets, in three zones. Requests take 50 ms on average and
+ * have a timeout of one second.
  */
 export const basePlan: LoadPlan = {
     seed: 1,
@@ -21,7 +21,7 @@
     slowFactor: 1,
     networkMs: 0.5,
     timeoutMs: 1000,
-    idempotentPart: 0.5,
+    idempotentShare: 0.5,
     limit: { concurrency: 1000, queue: 48, timeoutMs: 1000, retryRatio: 0.1 },
     gateOptions: defaultGateOptions,
 };
--- a/packages/oleandergap-routing/src/measure/loadPlan.ts
+++ b/packages/oleandergap-routing/src/measure/loadPlan.ts
@@ -23,19 +23,19 @@
     readonly networkMs: Milliseconds;
     readonly timeoutMs: Milliseconds;
     /** Share of requests that may safely run twice. */
-    readonly idempotentPart: number;
+    readonly idempotentShare: number;
     readonly limit: Limit;
     readonly gateOptions: GateOptions;
 }
 
-/** Results of a run. Fields that end in `Part` are shares from 0 to 1. */
+/** Results of a run. Fields that end in `Share` are shares from 0 to 1. */
 export interface LoadFigures {
     /** Responses within the deadline per second, as a share of the capacity of all targets. */
-    readonly goodputPart: number;
-    readonly answeredPart: number;
-    readonly refusedPart: number;
+    readonly goodputShare: number;
+    readonly answeredShare: number;
+    readonly refusedShare: number;
     /** Share of requests that ended without a response and without a refusal. */
-    readonly lostPart: number;
+    readonly lostShare: number;
     readonly answerMedianMs: Milliseconds;
     readonly answerP99Ms: Milliseconds;
     readonly refusalMedianMs: Milliseconds;
@@ -45,8 +45,8 @@
     /** Attempts sent per request. */
     readonly attemptsPerRequest: number;
     /** Number of non-idempotent requests that ran more than once. */
-    readonly doubledRuns: number;
+    readonly duplicateRuns: number;
 }
 
 /** Result of a request from the caller's point of view. */
-export type RequestEnd = "Answered" | "Refused" | "Lost";
+export type RequestResult = "Answered" | "Refused" | "Lost";
--- a/packages/oleandergap-routing/src/measure/naiveService.ts
+++ b/packages/oleandergap-routing/src/measure/naiveService.ts
@@ -1,6 +1,6 @@
 /**
- * The measured service behind a naive proxy: round robin, up to three retries after every error, an unbounded queue at
- * each target, and no cancellation.
+ * The measured service behind a naive proxy: round robin, up to three retries per request after any error, an unbounded
+ * queue at each target, and no cancellation.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { LoadPlan } from "./loadPlan.js";
@@ -38,9 +38,9 @@
 export const createNaiveService = (clock: Clock, plan: LoadPlan, models: readonly TargetModel[]): SendRequest => {
     const targets = models.map((model) => createNaiveTarget(plan, model));
     const attemptTimeoutMs = plan.timeoutMs / MAXIMUM_RETRIES;
-    let turn = 0;
+    let nextTargetIndex = 0;
 
-    const tryOnce = (request: number, timeoutMs: Milliseconds): Promise<boolean> =>
+    const sendOnce = (request: number, timeoutMs: Milliseconds): Promise<boolean> =>
         new Promise((resolve) => {
             const cancel = clock.after(timeoutMs, () => resolve(false));
             const answer = (): void => {
@@ -49,7 +49,7 @@
                     resolve(true);
                 });
             };
-            const target = targets[turn++ % targets.length];
+            const target = targets[nextTargetIndex++ % targets.length];
             clock.after(plan.networkMs, () => target?.submit(request, answer));
         });
 
@@ -60,7 +60,7 @@
                 break;
             }
             onAttempt();
-            if (await tryOnce(id, Math.min(remaining, attemptTimeoutMs))) {
+            if (await sendOnce(id, Math.min(remaining, attemptTimeoutMs))) {
                 return "Answered";
             }
         }
--- a/packages/oleandergap-routing/src/measure/ourService.ts
+++ b/packages/oleandergap-routing/src/measure/ourService.ts
@@ -7,7 +7,7 @@
 import { createRequestRouter } from "../requestRouter.js";
 import type { RoutableTarget } from "../target.js";
 import { createTargetPicker } from "../targetPicker.js";
-import type { LoadPlan, RequestEnd } from "./loadPlan.js";
+import type { LoadPlan, RequestResult } from "./loadPlan.js";
 import type { TargetModel } from "./targetModel.js";
 
 const SERVICE: ServiceReference = { partner: "halloway", service: "wills-desk" };
@@ -28,7 +28,7 @@
 }
 
 /** Sends one request and returns its result. `onAttempt` is called at each attempt. */
-export type SendRequest = (request: SentRequest, onAttempt: () => void) => Promise<RequestEnd>;
+export type SendRequest = (request: SentRequest, onAttempt: () => void) => Promise<RequestResult>;
 
 /** Creates a gate for each target model and distributes them over the zones in turn. */
 export const createModelTargets = (
@@ -54,7 +54,7 @@
     placement: "weights",
 });
 
-const lost: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "deadline passed" };
+const lostFailure: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "deadline passed" };
 
 /**
  * Runs an admitted request until it is answered or its deadline passes. The slot is released when the target has
@@ -75,7 +75,7 @@
         const stop = target.model.run(request.id, () => finish(either.right(request.id)));
         const cancelTimeout = clock.after(request.deadline - clock.monotonic(), () => {
             stop();
-            finish(either.left(lost));
+            finish(either.left(lostFailure));
         });
     });
 
@@ -98,7 +98,7 @@
     });
 
 /** Creates a sender that routes each request through a randomly selected gateway. */
-export const createOurService = (
+export const createRoutedService = (
     clock: Clock,
     random: Random,
     plan: LoadPlan,
--- a/packages/oleandergap-routing/src/measure/runLoad.ts
+++ b/packages/oleandergap-routing/src/measure/runLoad.ts
@@ -1,8 +1,8 @@
 /** Runs a load plan against one kind of service and summarises the results for the callers. */
 import { createSeededRandom, type Random } from "oleandergap-utils";
-import type { LoadFigures, LoadPlan, RequestEnd } from "./loadPlan.js";
+import type { LoadFigures, LoadPlan, RequestResult } from "./loadPlan.js";
 import { createNaiveService } from "./naiveService.js";
-import { createOurService, type SendRequest, type SentRequest } from "./ourService.js";
+import { createRoutedService, type SendRequest, type SentRequest } from "./ourService.js";
 import { createTargetModel, type TargetModel } from "./targetModel.js";
 import { createVirtualClock, type VirtualClock } from "./virtualClock.js";
 
@@ -10,56 +10,57 @@
 export type ServiceKind = "ours" | "naive";
 
 /** Returns the value below which the share `part` of the sorted values lies, or 0 if there are no values. */
-export const quantile = (sorted: readonly number[], part: number): number =>
-    sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? 0;
+export const quantile = (sorted: readonly number[], fraction: number): number =>
+    sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? 0;
 
-interface Tally {
+interface RunStatistics {
     requests: number;
     attempts: number;
-    readonly ended: Record<RequestEnd, number[]>;
+    readonly latenciesByResult: Record<RequestResult, number[]>;
     /** Number of started runs by request. */
     readonly runs: Map<number, number>;
-    readonly unsafeRequests: Set<number>;
+    readonly nonIdempotentRequests: Set<number>;
 }
 
-const createTally = (): Tally => ({
+const createRunStatistics = (): RunStatistics => ({
     requests: 0,
     attempts: 0,
-    ended: { Answered: [], Refused: [], Lost: [] },
+    latenciesByResult: { Answered: [], Refused: [], Lost: [] },
     runs: new Map(),
-    unsafeRequests: new Set(),
+    nonIdempotentRequests: new Set(),
 });
 
-const countDoubledRuns = ({ runs, unsafeRequests }: Tally): number =>
-    [...unsafeRequests].filter((request) => (runs.get(request) ?? 0) > 1).length;
+const countDuplicateRuns = ({ runs, nonIdempotentRequests }: RunStatistics): number =>
+    [...nonIdempotentRequests].filter((request) => (runs.get(request) ?? 0) > 1).length;
 
 /** Returns the requests per millisecond that all targets together can serve. */
-const capacityOf = (plan: LoadPlan): number => {
+const computeCapacity = (plan: LoadPlan): number => {
     const rate = plan.trueSlots / plan.meanServiceMs;
     return rate * (plan.targets - 1) + rate / plan.slowFactor;
 };
 
-const summarise = (tally: Tally, plan: LoadPlan): LoadFigures => {
-    const answered = tally.ended.Answered.sort((left, right) => left - right);
-    const refused = tally.ended.Refused.sort((left, right) => left - right);
-    const runs = [...tally.runs.values()].reduce((sum, count) => sum + count, 0);
+const summariseRun = (statistics: RunStatistics, plan: LoadPlan): LoadFigures => {
+    const answered = statistics.latenciesByResult.Answered.sort((left, right) => left - right);
+    const refused = statistics.latenciesByResult.Refused.sort((left, right) => left - right);
+    const runs = [...statistics.runs.values()].reduce((sum, count) => sum + count, 0);
     const measuredMs = plan.durationMs - plan.warmUpMs;
     return {
-        goodputPart: answered.length / (measuredMs * capacityOf(plan)),
-        answeredPart: answered.length / tally.requests,
-        refusedPart: refused.length / tally.requests,
-        lostPart: tally.ended.Lost.length / tally.requests,
+        goodputShare: answered.length / (measuredMs * computeCapacity(plan)),
+        answeredShare: answered.length / statistics.requests,
+        refusedShare: refused.length / statistics.requests,
+        lostShare: statistics.latenciesByResult.Lost.length / statistics.requests,
         answerMedianMs: quantile(answered, 0.5),
         answerP99Ms: quantile(answered, 0.99),
         refusalMedianMs: quantile(refused, 0.5),
         refusalP99Ms: quantile(refused, 0.99),
-        runsPerRequest: runs / tally.requests,
-        attemptsPerRequest: tally.attempts / tally.requests,
-        doubledRuns: countDoubledRuns(tally),
+        runsPerRequest: runs / statistics.requests,
+        attemptsPerRequest: statistics.attempts / statistics.requests,
+        duplicateRuns: countDuplicateRuns(statistics),
     };
 };
 
-const drawGap = (random: Random, plan: LoadPlan): number => -Math.log(1 - random()) / (capacityOf(plan) * plan.load);
+const sampleArrivalInterval = (random: Random, plan: LoadPlan): number =>
+    -Math.log(1 - random()) / (computeCapacity(plan) * plan.load);
 
 /** Generates requests whose arrivals do not depend on the responses, as with many independent callers. */
 const startArrivals = (
@@ -69,14 +70,14 @@
     onArrival: (request: SentRequest) => void,
 ): void => {
     let id = 0;
-    const arrive = (): void => {
-        const idempotent = random() < plan.idempotentPart;
+    const generateArrival = (): void => {
+        const idempotent = random() < plan.idempotentShare;
         onArrival({ id: id++, idempotent, deadline: clock.monotonic() + plan.timeoutMs });
         if (clock.monotonic() < plan.durationMs) {
-            clock.after(drawGap(random, plan), arrive);
+            clock.after(sampleArrivalInterval(random, plan), generateArrival);
         }
     };
-    clock.after(drawGap(random, plan), arrive);
+    clock.after(sampleArrivalInterval(random, plan), generateArrival);
 };
 
 const createModels = (
@@ -93,15 +94,15 @@
 export const runLoad = async (kind: ServiceKind, plan: LoadPlan): Promise<LoadFigures> => {
     const clock = createVirtualClock();
     const random = createSeededRandom(plan.seed);
-    const tally = createTally();
-    let firstMeasured = Number.POSITIVE_INFINITY;
+    const statistics = createRunStatistics();
+    let firstMeasuredRequest = Number.POSITIVE_INFINITY;
     const models = createModels(clock, random, plan, (request) => {
-        if (request >= firstMeasured) {
-            tally.runs.set(request, (tally.runs.get(request) ?? 0) + 1);
+        if (request >= firstMeasuredRequest) {
+            statistics.runs.set(request, (statistics.runs.get(request) ?? 0) + 1);
         }
     });
     const send: SendRequest = kind === "ours" ?
-        createOurService(clock, random, plan, models) :
+        createRoutedService(clock, random, plan, models) :
         createNaiveService(clock, plan, models);
 
     const handle = async (request: SentRequest): Promise<void> => {
@@ -110,18 +111,18 @@
             await send(request, () => undefined);
             return;
         }
-        firstMeasured = Math.min(firstMeasured, request.id);
-        tally.requests += 1;
+        firstMeasuredRequest = Math.min(firstMeasuredRequest, request.id);
+        statistics.requests += 1;
         if (!request.idempotent) {
-            tally.unsafeRequests.add(request.id);
+            statistics.nonIdempotentRequests.add(request.id);
         }
-        const end = await send(request, () => {
-            tally.attempts += 1;
+        const result = await send(request, () => {
+            statistics.attempts += 1;
         });
-        tally.ended[end].push(clock.monotonic() - arrivedAt);
+        statistics.latenciesByResult[result].push(clock.monotonic() - arrivedAt);
     };
 
     startArrivals(clock, random, plan, (request) => void handle(request));
     await clock.runUntil(plan.durationMs + 2 * plan.timeoutMs);
-    return summarise(tally, plan);
+    return summariseRun(statistics, plan);
 };
--- a/packages/oleandergap-routing/src/measure/targetModel.ts
+++ b/packages/oleandergap-routing/src/measure/targetModel.ts
@@ -16,7 +16,7 @@
     readonly running: () => number;
 }
 
-const drawExponential = (random: Random, mean: Milliseconds): Milliseconds => -mean * Math.log(1 - random());
+const sampleExponential = (random: Random, mean: Milliseconds): Milliseconds => -mean * Math.log(1 - random());
 
 /** Creates a simulated target. `onRun` is called with each request that starts. */
 export const createTargetModel = (
@@ -33,7 +33,7 @@
             running += 1;
             onRun(request);
             const congestion = Math.max(1, running / plan.trueSlots) ** CONGESTION_EXPONENT;
-            const cancel = clock.after(drawExponential(random, meanServiceMs) * congestion, () => {
+            const cancel = clock.after(sampleExponential(random, meanServiceMs) * congestion, () => {
                 running -= 1;
                 onEnd();
             });
--- a/packages/oleandergap-routing/src/measure/virtualClock.ts
+++ b/packages/oleandergap-routing/src/measure/virtualClock.ts
@@ -37,34 +37,38 @@
         return first !== undefined && second !== undefined && isBefore(first, second);
     };
 
-    const rise = (start: number): void => {
-        for (let place = start; place > 0 && precedes(place, (place - 1) >> 1); place = (place - 1) >> 1) {
-            swap(place, (place - 1) >> 1);
+    const siftUp = (start: number): void => {
+        for (
+            let position = start;
+            position > 0 && precedes(position, (position - 1) >> 1);
+            position = (position - 1) >> 1
+        ) {
+            swap(position, (position - 1) >> 1);
         }
     };
 
-    const sink = (): void => {
-        let place = 0;
+    const siftDown = (): void => {
+        let position = 0;
         for (;;) {
-            const left = 2 * place + 1;
+            const left = 2 * position + 1;
             const smaller = precedes(left + 1, left) ? left + 1 : left;
-            if (!precedes(smaller, place)) {
+            if (!precedes(smaller, position)) {
                 return;
             }
-            swap(smaller, place);
-            place = smaller;
+            swap(smaller, position);
+            position = smaller;
         }
     };
 
     return {
         push: (timer) => {
             heap.push(timer);
-            rise(heap.length - 1);
+            siftUp(heap.length - 1);
         },
         pop: () => {
             swap(0, heap.length - 1);
             const first = heap.pop();
-            sink();
+            siftDown();
             return first;
         },
     };
@@ -84,7 +88,7 @@
         };
     };
 
-    const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+    const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
     const runUntil = async (end: Milliseconds): Promise<void> => {
         for (let timer = timers.pop(); timer !== undefined; timer = timers.pop()) {
@@ -95,7 +99,7 @@
             if (timer.callback !== undefined) {
                 time = timer.due;
                 timer.callback();
-                await settle();
+                await flushPromises();
             }
         }
         time = end;
--- a/packages/oleandergap-routing/src/nearTarget.ts
+++ b/packages/oleandergap-routing/src/nearTarget.ts
@@ -8,16 +8,16 @@
  */
 import type { NodeId, ZoneName } from "oleandergap-types";
 import { rankByRendezvous } from "oleandergap-utils";
-import { drawTarget, type DrawContext } from "./drawTarget.js";
+import { sampleTarget, type SampleContext } from "./drawTarget.js";
 import type { PickerOptions } from "./options.js";
 import type { RoutableTarget } from "./target.js";
 import { scoreTarget, type TargetState } from "./targetState.js";
 import type { Candidates } from "./zoneCandidates.js";
 
 /** Position of this node, and the load limits up to which local targets are preferred. */
-export interface Nearness {
-    readonly ownNode: NodeId | undefined;
-    readonly ownZone: ZoneName;
+export interface LocalityPreference {
+    readonly localNodeId: NodeId | undefined;
+    readonly localZone: ZoneName;
     /** Highest expected load per slot at which a local target is chosen; 0 disables the preference. */
     readonly nearLoad: number;
     /** Like `nearLoad`, for the target on the local VM. */
@@ -30,22 +30,24 @@
 }
 
 /** Creates the preference from the settings. A `nearLoad` of 0 disables every preference for local targets. */
-export const createNearness = (
+export const createLocalityPreference = (
     { nearLoad, ownLoad, nearAdvantage }: PickerOptions,
-    ownNode: NodeId | undefined,
-    ownZone: ZoneName,
-): Nearness => nearLoad === 0 ?
-    { ownNode, ownZone, nearLoad, ownLoad: 0, nearAdvantage: 0 } :
-    { ownNode, ownZone, nearLoad, ownLoad, nearAdvantage };
+    localNodeId: NodeId | undefined,
+    localZone: ZoneName,
+): LocalityPreference => nearLoad === 0 ?
+    { localNodeId, localZone, nearLoad, ownLoad: 0, nearAdvantage: 0 } :
+    { localNodeId, localZone, nearLoad, ownLoad, nearAdvantage };
 
 /**
  * Maximum number of local targets that are scored per request, so that the cost does not grow with the size of the
  * zone.
  */
-const MAXIMUM_LOOKS = 8;
+const MAXIMUM_SCORED_TARGETS = 8;
 
-const isOwn = <Target extends RoutableTarget>({ target }: TargetState<Target>, { ownNode }: Nearness): boolean =>
-    target.nodeId === ownNode;
+const isOnLocalVm = <Target extends RoutableTarget>(
+    { target }: TargetState<Target>,
+    { localNodeId }: LocalityPreference,
+): boolean => target.nodeId === localNodeId;
 
 /**
  * Lists the targets of the local zone: first the one on the local VM, then the others in an order that is specific to
@@ -55,50 +57,50 @@
  * all requests of a large zone: with 40 nodes and 20 targets, 5 targets would receive all requests at low load. With a
  * node-specific order, each node still uses few targets, over connections that are already open.
  */
-export const listNearTargets = <Target extends RoutableTarget>(
+export const listLocalTargets = <Target extends RoutableTarget>(
     states: Iterable<TargetState<Target>>,
-    nearness: Nearness,
+    preference: LocalityPreference,
 ): readonly TargetState<Target>[] => {
-    const near = [...states].filter(({ target }) => target.zone === nearness.ownZone && !target.leaving);
-    const others = near.filter((state) => !isOwn(state, nearness));
+    const localTargets = [...states].filter(({ target }) => target.zone === preference.localZone && !target.leaving);
+    const others = localTargets.filter((state) => !isOnLocalVm(state, preference));
     return [
-        ...near.filter((state) => isOwn(state, nearness)),
-        ...rankByRendezvous(nearness.ownNode ?? "", others, ({ target }) => target.nodeId),
+        ...localTargets.filter((state) => isOnLocalVm(state, preference)),
+        ...rankByRendezvous(preference.localNodeId ?? "", others, ({ target }) => target.nodeId),
     ];
 };
 
 /** A local target with its expected load per slot. */
-interface NearTarget<Target extends RoutableTarget> {
+interface LocalTarget<Target extends RoutableTarget> {
     readonly state: TargetState<Target>;
     readonly load: number;
     /** Whether the target is chosen without a comparison with other targets. */
-    readonly hasRoom: boolean;
+    readonly hasFreeSlot: boolean;
 }
 
 /**
  * Returns the target on the local VM while that has a free slot, else the least loaded local target. Targets in slow
  * start are skipped, because sampling limits their share.
  */
-const findNearTarget = <Target extends RoutableTarget>(
-    near: readonly TargetState<Target>[],
-    nearness: Nearness,
-    context: DrawContext,
-): NearTarget<Target> | undefined => {
-    let found: NearTarget<Target> | undefined;
-    for (const state of near.slice(0, MAXIMUM_LOOKS)) {
-        const isYoung = context.now - state.startedAt < context.slowStartMs;
-        if (state.circuit.state !== "closed" || isYoung || context.exclude.includes(state.target.nodeId)) {
+const findLocalTarget = <Target extends RoutableTarget>(
+    localTargets: readonly TargetState<Target>[],
+    preference: LocalityPreference,
+    context: SampleContext,
+): LocalTarget<Target> | undefined => {
+    let best: LocalTarget<Target> | undefined;
+    for (const state of localTargets.slice(0, MAXIMUM_SCORED_TARGETS)) {
+        const isInSlowStart = context.now - state.startedAt < context.slowStartMs;
+        if (state.circuit.state !== "closed" || isInSlowStart || context.exclude.includes(state.target.nodeId)) {
             continue;
         }
         const load = scoreTarget(state, context);
-        if (isOwn(state, nearness) && load <= nearness.ownLoad) {
-            return { state, load, hasRoom: true };
+        if (isOnLocalVm(state, preference) && load <= preference.ownLoad) {
+            return { state, load, hasFreeSlot: true };
         }
-        if (found === undefined || load < found.load) {
-            found = { state, load, hasRoom: load <= nearness.nearLoad };
+        if (best === undefined || load < best.load) {
+            best = { state, load, hasFreeSlot: load <= preference.nearLoad };
         }
     }
-    return found;
+    return best;
 };
 
 /**
@@ -108,17 +110,19 @@
  */
 export const chooseTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
-    near: readonly TargetState<Target>[],
-    nearness: Nearness,
-    context: DrawContext,
+    localTargets: readonly TargetState<Target>[],
+    preference: LocalityPreference,
+    context: SampleContext,
 ): TargetState<Target> | undefined => {
-    const found = findNearTarget(near, nearness, context);
-    if (found?.hasRoom === true) {
-        return found.state;
+    const localTarget = findLocalTarget(localTargets, preference, context);
+    if (localTarget?.hasFreeSlot === true) {
+        return localTarget.state;
     }
-    const drawn = drawTarget(candidates, context);
-    if (found === undefined || drawn === undefined) {
-        return drawn ?? found?.state;
+    const sampledTarget = sampleTarget(candidates, context);
+    if (localTarget === undefined || sampledTarget === undefined) {
+        return sampledTarget ?? localTarget?.state;
     }
-    return found.load <= nearness.nearAdvantage * scoreTarget(drawn, context) ? found.state : drawn;
+    return localTarget.load <= preference.nearAdvantage * scoreTarget(sampledTarget, context) ?
+        localTarget.state :
+        sampledTarget;
 };
--- a/packages/oleandergap-routing/src/openAttempts.ts
+++ b/packages/oleandergap-routing/src/openAttempts.ts
@@ -17,7 +17,7 @@
     /** Returns the first response of an open attempt, or undefined once all of them have failed. */
     readonly answer: () => Promise<AttemptResult<Answer> | undefined>;
     /** Cancels all attempts except the one that ended with `kept`. */
-    readonly giveUp: (kept?: AttemptResult<Answer>) => void;
+    readonly cancelOthers: (kept?: AttemptResult<Answer>) => void;
 }
 
 interface Entry<Answer> {
@@ -39,15 +39,15 @@
         },
         isEmpty: () => entries.length === 0,
         answer: () => new Promise((resolve) => {
-            const takeAnswer = async ({ attempt }: Entry<Answer>): Promise<void> => {
+            const resolveWithAnswer = async ({ attempt }: Entry<Answer>): Promise<void> => {
                 const result = await attempt.result;
                 if (either.isRight(result.outcome)) {
                     resolve(result);
                 }
             };
-            void Promise.all(entries.map(takeAnswer)).then(() => resolve(undefined));
+            void Promise.all(entries.map(resolveWithAnswer)).then(() => resolve(undefined));
         }),
-        giveUp: (kept) => {
+        cancelOthers: (kept) => {
             for (const { attempt, result } of entries.splice(0)) {
                 if (result === undefined || result !== kept) {
                     attempt.cancel();
--- a/packages/oleandergap-routing/src/overloadThrottle.ts
+++ b/packages/oleandergap-routing/src/overloadThrottle.ts
@@ -13,11 +13,11 @@
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { createFadingCounts } from "./fadingCounts.js";
+import { createDecayingCounters } from "./fadingCounts.js";
 
 /**
  * Number of requests sent for each accepted one. While half of the requests are accepted, none are refused here. Once
- * there is capacity again, the number of sent requests doubles in each period of `MEMORY_MS`.
+ * there is capacity again, the number of sent requests doubles in each period of `TIME_CONSTANT_MS`.
  */
 const SENT_PER_ACCEPTED = 2;
 /**
@@ -26,7 +26,7 @@
  */
 const MAXIMUM_REFUSED_SHARE = 0.8;
 /** Time constant of the counters. It covers about ten requests of a typical kind at one node. */
-const MEMORY_MS: Milliseconds = 700;
+const TIME_CONSTANT_MS: Milliseconds = 700;
 /** Minimum number of counted requests before any are refused here. */
 const MINIMUM_REQUESTS = 5;
 
@@ -40,14 +40,14 @@
     /** Counts a request. Returns false if it is to be refused here. */
     readonly admits: (kind: string) => boolean;
     /** Records that the targets accepted a request, or that it ended for a reason other than lack of capacity. */
-    readonly noteAccepted: (kind: string) => void;
+    readonly recordAccepted: (kind: string) => void;
 }
 
 /** Creates a throttle without counts, which refuses nothing at first. */
 export const createOverloadThrottle = (clock: Clock, random: Random): OverloadThrottle => {
-    const countsOf = createFadingCounts<Counts>({
+    const getCounts = createDecayingCounters<Counts>({
         clock,
-        memoryMs: MEMORY_MS,
+        timeConstantMs: TIME_CONSTANT_MS,
         create: () => ({ requests: 0, accepted: 0 }),
         scale: (counts, factor) => {
             counts.requests *= factor;
@@ -57,15 +57,15 @@
 
     return {
         admits: (kind) => {
-            const counts = countsOf(kind);
+            const counts = getCounts(kind);
             const excess = counts.requests - SENT_PER_ACCEPTED * counts.accepted;
-            const wantedShare = counts.requests < MINIMUM_REQUESTS ? 0 : excess / (counts.requests + 1);
-            const refusedShare = Math.min(MAXIMUM_REFUSED_SHARE, wantedShare);
+            const uncappedShare = counts.requests < MINIMUM_REQUESTS ? 0 : excess / (counts.requests + 1);
+            const refusedShare = Math.min(MAXIMUM_REFUSED_SHARE, uncappedShare);
             counts.requests += 1;
             return random() >= refusedShare;
         },
-        noteAccepted: (kind) => {
-            countsOf(kind).accepted += 1;
+        recordAccepted: (kind) => {
+            getCounts(kind).accepted += 1;
         },
     };
 };
--- a/packages/oleandergap-routing/src/pickRequest.ts
+++ b/packages/oleandergap-routing/src/pickRequest.ts
@@ -11,8 +11,8 @@
     service,
     row,
     targets,
-    exclude: history?.tried ?? [],
-    avoidZone: history?.shortZone(),
+    exclude: history?.triedNodeIds ?? [],
+    avoidZone: history?.overloadedZone(),
     canResend: idempotent && replayable(),
     kind,
 });
--- a/packages/oleandergap-routing/src/refuseBeforeSending.ts
+++ b/packages/oleandergap-routing/src/refuseBeforeSending.ts
@@ -6,7 +6,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import { formatServiceReference, type Clock, type Milliseconds, type RequestFailure } from "oleandergap-types";
 import { createAttemptHistory } from "./attemptHistory.js";
-import { isShortage } from "./learnOutcome.js";
+import { isCapacityRefusal } from "./learnOutcome.js";
 import type { OverloadThrottle } from "./overloadThrottle.js";
 import { toPickRequest } from "./pickRequest.js";
 import type { RequestExecution, RequestRouter, RoutedFailure } from "./requestExecution.js";
@@ -18,26 +18,26 @@
  * some targets shed part of their requests at any load. If it counted as an overload, requests would be refused at the
  * first node with `LimitReached` and callers would be asked to wait for a second while most slots are free.
  */
-export const isShed = (failure: RequestFailure, hasRoom: () => boolean): boolean =>
-    failure.kind === "Refused" && failure.reason === "TargetBusy" && hasRoom();
+export const isShedByTarget = (failure: RequestFailure, hasFreeSlot: () => boolean): boolean =>
+    failure.kind === "Refused" && failure.reason === "TargetBusy" && hasFreeSlot();
 
 /** Creates a refusal without a retry delay; `AttemptHistory.conclude` adds the delay. */
-export const refuse = (reason: "Cancelled" | "DeadlinePassed" | "LimitReached" | "NoTarget" | "Starved"): RequestFailure =>
+export const createRefusal = (reason: "Cancelled" | "DeadlinePassed" | "LimitReached" | "NoTarget" | "Starved"): RequestFailure =>
     ({ kind: "Refused", verdict: "notRun", reason, retryAfterMs: 0 });
 
 /** Returns whether a request finally failed for lack of capacity. `hasRoom` returns whether targets have free slots. */
-const wasShort = (routed: Either<RoutedFailure, unknown>, hasRoom: () => boolean): boolean =>
+const wasRefusedForCapacity = (routed: Either<RoutedFailure, unknown>, hasFreeSlot: () => boolean): boolean =>
     either.isLeft(routed) &&
     routed.left.failure.kind === "Refused" &&
-    isShortage(routed.left.failure.reason) &&
-    !isShed(routed.left.failure, hasRoom);
+    isCapacityRefusal(routed.left.failure.reason) &&
+    !isShedByTarget(routed.left.failure, hasFreeSlot);
 
 /**
  * Returns the key under which the throttles count a request: all requests with the same key should have similar
  * results. Requests that their caller repeats succeed less often than first requests. They have less time left, and a
  * request that failed because a call was not served needs that call again.
  */
-const nameAlike = <Target extends RoutableTarget>(
+const createThrottleKey = <Target extends RoutableTarget>(
     { service, kind = "", isReturning = false }: RequestExecution<Target>,
 ): string => `${formatServiceReference(service)} ${kind} ${isReturning ? "again" : "first"}`;
 
@@ -45,29 +45,29 @@
  * Fraction of its time that a caller must have waited before its disconnection counts against the service. A caller
  * that disconnects earlier might still have received a response.
  */
-const PATIENT_PART = 0.5;
+const MINIMUM_WAIT_SHARE = 0.5;
 
 /** Returns whether a request was sent to a target and received no response although its caller waited long enough. */
-const wasUnanswered = (
+const wasAbandoned = (
     { deadline, signal }: Pick<RequestExecution<RoutableTarget>, "deadline" | "signal">,
     routed: Either<RoutedFailure, unknown>,
     { sentAt, now }: { readonly sentAt: Milliseconds; readonly now: Milliseconds },
 ): boolean => {
     const isLost = either.isLeft(routed) && routed.left.attempts > 0 && routed.left.failure.kind === "AnswerLost";
-    const wasGivenUp = signal.aborted || now >= deadline;
-    return isLost && wasGivenUp && now - sentAt >= PATIENT_PART * (deadline - sentAt);
+    const isCallerGone = signal.aborted || now >= deadline;
+    return isLost && isCallerGone && now - sentAt >= MINIMUM_WAIT_SHARE * (deadline - sentAt);
 };
 
 /** Dependencies of the overload throttle wrapper. */
-export interface ThrottleDependencies<Target extends RoutableTarget> {
+export interface OverloadThrottleDependencies<Target extends RoutableTarget> {
     readonly clock: Clock;
     readonly throttle: OverloadThrottle;
     readonly picker: TargetPicker<Target>;
 }
 
 /** Refuses requests that the throttle does not admit, and records the results of the others in the throttle. */
-export const throttleRequests = <Target extends RoutableTarget>(
-    { clock, throttle, picker }: ThrottleDependencies<Target>,
+export const withOverloadThrottle = <Target extends RoutableTarget>(
+    { clock, throttle, picker }: OverloadThrottleDependencies<Target>,
     execute: RequestRouter<Target>["execute"],
 ): RequestRouter<Target>["execute"] => async (execution, attempt, discard) => {
     const { service, row } = execution;
@@ -76,34 +76,34 @@
     if (row.placement !== "load") {
         return execute(execution, attempt, discard);
     }
-    const throttled = nameAlike(execution);
-    const hasRoom = (): boolean => picker.hasRoom(toPickRequest(execution));
-    if (!throttle.admits(throttled)) {
-        return either.left(createAttemptHistory().conclude(refuse("LimitReached"), picker.retryAfter(service)));
+    const throttleKey = createThrottleKey(execution);
+    const hasFreeSlot = (): boolean => picker.hasRoom(toPickRequest(execution));
+    if (!throttle.admits(throttleKey)) {
+        return either.left(createAttemptHistory().conclude(createRefusal("LimitReached"), picker.retryAfter(service)));
     }
     const sentAt = clock.monotonic();
     const routed = await execute(execution, attempt, discard);
     const now = clock.monotonic();
-    if (!wasShort(routed, hasRoom) && !wasUnanswered(execution, routed, { sentAt, now })) {
-        throttle.noteAccepted(throttled);
+    if (!wasRefusedForCapacity(routed, hasFreeSlot) && !wasAbandoned(execution, routed, { sentAt, now })) {
+        throttle.recordAccepted(throttleKey);
     }
     return routed;
 };
 
 /** Refuses requests whose runs would probably fail for lack of a call, and records the runs of the others. */
-export const refuseStarving = <Target extends RoutableTarget>(
-    starvation: StarvationThrottle,
+export const withStarvationThrottle = <Target extends RoutableTarget>(
+    throttle: StarvationThrottle,
     picker: TargetPicker<Target>,
     execute: RequestRouter<Target>["execute"],
 ): RequestRouter<Target>["execute"] => async (execution, attempt, discard) => {
     const { service } = execution;
-    const alike = nameAlike(execution);
-    if (!starvation.admits(alike)) {
-        return either.left(createAttemptHistory().conclude(refuse("Starved"), picker.retryAfter(service)));
+    const throttleKey = createThrottleKey(execution);
+    if (!throttle.admits(throttleKey)) {
+        return either.left(createAttemptHistory().conclude(createRefusal("Starved"), picker.retryAfter(service)));
     }
     const routed = await execute(execution, attempt, discard);
     if (either.isRight(routed)) {
-        starvation.noteRun(alike, routed.right.isStarved === true);
+        throttle.recordRun(throttleKey, routed.right.isStarved === true);
     }
     return routed;
 };
--- a/packages/oleandergap-routing/src/requestRouter.ts
+++ b/packages/oleandergap-routing/src/requestRouter.ts
@@ -19,10 +19,10 @@
     RoutedFailure,
 } from "./requestExecution.js";
 import type { OverloadThrottle } from "./overloadThrottle.js";
-import { isShed, refuse, refuseStarving, throttleRequests } from "./refuseBeforeSending.js";
+import { isShedByTarget, createRefusal, withStarvationThrottle, withOverloadThrottle } from "./refuseBeforeSending.js";
 import type { StarvationThrottle } from "./starvationThrottle.js";
 import { createRetryBudget, type RetryBudget } from "./retryBudget.js";
-import { mayRetry } from "./retryDecision.js";
+import { tryAcquireRetry } from "./retryDecision.js";
 import { toPickRequest } from "./pickRequest.js";
 import type { RoutableTarget, TargetPicker } from "./target.js";
 
@@ -53,7 +53,7 @@
 }: RequestRouterDependencies<Target>): RequestRouter<Target> => {
     const budgets = new Map<string, RetryBudget>();
 
-    const budgetOf = (execution: RequestExecution<Target>): RetryBudget => {
+    const getBudget = (execution: RequestExecution<Target>): RetryBudget => {
         const key = formatServiceReference(execution.service);
         let budget = budgets.get(key);
         if (budget === undefined) {
@@ -65,48 +65,49 @@
 
     const tryTarget = createTryTarget<Target>(clock);
 
-    const findObstacle = (
-        { signal, deadline, findObstacle: findFurther }: RequestExecution<Target>,
+    const findPreSendFailure = (
+        { signal, deadline, findObstacle: findFurtherFailure }: RequestExecution<Target>,
         attempts: number,
     ): RequestFailure | undefined => {
         if (signal.aborted) {
-            return refuse("Cancelled");
+            return createRefusal("Cancelled");
         }
-        return clock.monotonic() >= deadline ? refuse("DeadlinePassed") : findFurther?.(attempts);
+        return clock.monotonic() >= deadline ? createRefusal("DeadlinePassed") : findFurtherFailure?.(attempts);
     };
 
-    const mayTryAgain = (
+    const shouldRetry = (
         execution: RequestExecution<Target>,
         history: AttemptHistory,
         failure: RequestFailure,
         budget: RetryBudget,
-    ): boolean => mayRetry({
+    ): boolean => tryAcquireRetry({
         failure,
         idempotent: execution.idempotent,
         replayable: execution.replayable,
-        retriesAllowed: execution.retriesAllowed && !history.wasRetriedBelow() && execution.row.limit.retryRatio > 0,
-        attempts: history.tried.length,
+        retriesAllowed:
+            execution.retriesAllowed && !history.wasRetriedDownstream() && execution.row.limit.retryRatio > 0,
+        attempts: history.triedNodeIds.length,
         maximumAttempts: options.maximumAttempts,
         hasTargetsLeft: history.targetsReached() < (execution.maximumTargets ?? Number.POSITIVE_INFINITY),
-        shortages: history.shortages(),
-        hasRoomElsewhere: () => picker.hasRoom(toPickRequest(execution, history)),
+        capacityRefusals: history.capacityRefusals(),
+        hasFreeSlotElsewhere: () => picker.hasRoom(toPickRequest(execution, history)),
         budget,
     });
 
-    const attemptAll = async <Answer>(
+    const executeWithRetries = async <Answer>(
         execution: RequestExecution<Target>,
         attempt: Attempt<Target, Answer>,
         discard: DiscardAnswer<Answer> = () => undefined,
     ): Promise<Either<RoutedFailure, Routed<Answer>>> => {
         const history = createAttemptHistory();
-        const budget = budgetOf(execution);
-        const hasRoom = (): boolean => picker.hasRoom(toPickRequest(execution));
-        const open = createOpenAttempts(discard);
+        const budget = getBudget(execution);
+        const hasFreeSlot = (): boolean => picker.hasRoom(toPickRequest(execution));
+        const openAttempts = createOpenAttempts(discard);
         const succeed = (result: AttemptResult<Answer>, answer: Answer): Either<RoutedFailure, Routed<Answer>> => {
             const { retriedBelow, isStarved = false } = result;
-            open.giveUp(result);
+            openAttempts.cancelOthers(result);
             budget.deposit(execution.row.limit.retryRatio);
-            const attempts = history.tried.length;
+            const attempts = history.triedNodeIds.length;
             return either.right({
                 answer,
                 attempts,
@@ -114,40 +115,46 @@
                 ...isStarved ? { isStarved } : {},
             });
         };
-        const giveUp = async (failure: RequestFailure): Promise<Either<RoutedFailure, Routed<Answer>>> => {
-            const late = await open.answer();
-            if (late !== undefined && either.isRight(late.outcome)) {
-                return succeed(late, late.outcome.right);
+        const failRequest = async (failure: RequestFailure): Promise<Either<RoutedFailure, Routed<Answer>>> => {
+            const lateResult = await openAttempts.answer();
+            if (lateResult !== undefined && either.isRight(lateResult.outcome)) {
+                return succeed(lateResult, lateResult.outcome.right);
             }
-            return either.left(history.conclude(failure, isShed(failure, hasRoom) ?
+            return either.left(history.conclude(failure, isShedByTarget(failure, hasFreeSlot) ?
                 options.shedRetryAfterMs :
                 picker.retryAfter(execution.service)));
         };
         for (;;) {
-            const obstacle = findObstacle(execution, history.tried.length);
-            if (obstacle !== undefined) {
-                return giveUp(obstacle);
+            const preSendFailure = findPreSendFailure(execution, history.triedNodeIds.length);
+            if (preSendFailure !== undefined) {
+                return failRequest(preSendFailure);
             }
             const pick = picker.pick(toPickRequest(execution, history));
             if (pick === undefined) {
-                return giveUp(history.lastFailure() ?? refuse("NoTarget"));
+                return failRequest(history.lastFailure() ?? createRefusal("NoTarget"));
             }
             history.addAttempt(pick.target);
-            const result = await tryTarget(pick, execution, attempt, open);
+            const result = await tryTarget(pick, execution, attempt, openAttempts);
             if (either.isRight(result.outcome)) {
                 return succeed(result, result.outcome.right);
             }
             const failure = result.outcome.left;
             if (result.open !== undefined) {
-                open.add(result.open);
+                openAttempts.add(result.open);
             }
             history.addFailure(pick.target, failure, result.retriedBelow);
-            if (!mayTryAgain(execution, history, failure, budget)) {
-                return giveUp(failure);
+            if (!shouldRetry(execution, history, failure, budget)) {
+                return failRequest(failure);
             }
         }
     };
 
-    const throttled = throttle === undefined ? attemptAll : throttleRequests({ clock, throttle, picker }, attemptAll);
-    return { execute: starvation === undefined ? throttled : refuseStarving(starvation, picker, throttled) };
+    const executeThrottled = throttle === undefined ?
+        executeWithRetries :
+        withOverloadThrottle({ clock, throttle, picker }, executeWithRetries);
+    return {
+        execute: starvation === undefined ?
+            executeThrottled :
+            withStarvationThrottle(starvation, picker, executeThrottled),
+    };
 };
--- a/packages/oleandergap-routing/src/retryBudget.ts
+++ b/packages/oleandergap-routing/src/retryBudget.ts
@@ -26,21 +26,21 @@
  * once, every second attempt meets a failed target, and the healthy targets can serve all of the rerouted requests.
  */
 export const createRetryBudget = (reserve: number): RetryBudget => {
-    let repeats = reserve;
-    let reroutes = reserve;
+    let repeatTokens = reserve;
+    let rerouteTokens = reserve;
     return {
         deposit: (ratio) => {
-            repeats = Math.min(reserve, repeats + ratio);
-            reroutes = Math.min(reserve, reroutes + REROUTES_PER_SUCCESS);
+            repeatTokens = Math.min(reserve, repeatTokens + ratio);
+            rerouteTokens = Math.min(reserve, rerouteTokens + REROUTES_PER_SUCCESS);
         },
         tryWithdraw: (cost) => {
             if (cost === "Repeat") {
-                const hasToken = repeats >= 1;
-                repeats -= hasToken ? 1 : 0;
+                const hasToken = repeatTokens >= 1;
+                repeatTokens -= hasToken ? 1 : 0;
                 return hasToken;
             }
-            const hasToken = reroutes >= 1;
-            reroutes -= hasToken ? 1 : 0;
+            const hasToken = rerouteTokens >= 1;
+            rerouteTokens -= hasToken ? 1 : 0;
             return hasToken;
         },
     };
--- a/packages/oleandergap-routing/src/serviceState.ts
+++ b/packages/oleandergap-routing/src/serviceState.ts
@@ -1,7 +1,7 @@
 /** State that one node keeps about one service. It is rebuilt when the service's row or targets change. */
 import type { Clock, NodeId, ServiceRow, ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { listNearTargets, type Nearness } from "./nearTarget.js";
+import { listLocalTargets, type LocalityPreference } from "./nearTarget.js";
 import type { CallerSpread } from "./options.js";
 import type { RoutableTarget } from "./target.js";
 import { createTargetState, updateTarget, type TargetState } from "./targetState.js";
@@ -19,14 +19,14 @@
     /** Zones that may be chosen: those with a weight and targets. */
     zones: readonly ZoneState<Target>[];
     /** Targets on the local VM and in the local zone. Empty unless targets are placed by load. */
-    near: readonly TargetState<Target>[];
+    localTargets: readonly TargetState<Target>[];
 }
 
 /** Inputs of a rebuild besides the row and the targets. */
 export interface RebuildContext {
     readonly clock: Clock;
     readonly random: Random;
-    readonly nearness: Nearness;
+    readonly localityPreference: LocalityPreference;
     readonly callerSpread: CallerSpread;
 }
 
@@ -37,17 +37,17 @@
     states: new Map(),
     allZones: new Map(),
     zones: [],
-    near: [],
+    localTargets: [],
 });
 
 const collectStates = <Target extends RoutableTarget>(
-    known: ReadonlyMap<NodeId, TargetState<Target>>,
+    previousStates: ReadonlyMap<NodeId, TargetState<Target>>,
     targets: readonly Target[],
     clock: Clock,
 ): Map<NodeId, TargetState<Target>> => {
     const states = new Map<NodeId, TargetState<Target>>();
     for (const target of targets) {
-        const state = known.get(target.nodeId) ?? createTargetState(target, clock);
+        const state = previousStates.get(target.nodeId) ?? createTargetState(target, clock);
         updateTarget(state, target, clock);
         states.set(target.nodeId, state);
     }
@@ -61,7 +61,7 @@
  */
 const ALL_ZONES: ZoneName = "";
 
-const groupStates = <Target extends RoutableTarget>(
+const groupByZone = <Target extends RoutableTarget>(
     states: Iterable<TargetState<Target>>,
     { placement }: ServiceRow,
 ): Map<ZoneName, TargetState<Target>[]> => {
@@ -78,7 +78,7 @@
     return groups;
 };
 
-const zoneOf = <Target extends RoutableTarget>(
+const getOrCreateZone = <Target extends RoutableTarget>(
     service: ServiceState<Target>,
     name: ZoneName,
     { clock, random }: RebuildContext,
@@ -108,18 +108,18 @@
     targets: readonly Target[],
     context: RebuildContext,
 ): void => {
-    const isKnown = service.row === row && isSameList(service.targets, targets);
+    const isUnchanged = service.row === row && isSameList(service.targets, targets);
     service.targets = targets;
-    if (isKnown) {
+    if (isUnchanged) {
         return;
     }
     service.row = row;
     service.states = collectStates(service.states, targets, context.clock);
     const weights: ServiceRow["weights"] = row.placement === "load" ? new Map([[ALL_ZONES, 1]]) : row.weights;
-    const shares = planZoneShares(weights, context.nearness.ownZone, context.callerSpread);
+    const shares = planZoneShares(weights, context.localityPreference.localZone, context.callerSpread);
     const zones: ZoneState<Target>[] = [];
-    for (const [name, states] of groupStates(service.states.values(), row)) {
-        const zone = zoneOf(service, name, context);
+    for (const [name, states] of groupByZone(service.states.values(), row)) {
+        const zone = getOrCreateZone(service, name, context);
         zone.candidates = createCandidates(name, states);
         zone.weight = weights.get(name) ?? 0;
         zone.share = shares.get(name) ?? 0;
@@ -128,17 +128,17 @@
         }
     }
     service.zones = normaliseShares(zones);
-    service.near = row.placement === "load" ? listNearTargets(service.states.values(), context.nearness) : [];
+    service.localTargets = row.placement === "load" ? listLocalTargets(service.states.values(), context.localityPreference) : [];
 };
 
 /** Distributes the shares of zones without targets over the other zones, in proportion to their weights. */
 const normaliseShares = <Target extends RoutableTarget>(
     zones: readonly ZoneState<Target>[],
 ): readonly ZoneState<Target>[] => {
-    const planned = zones.reduce((sum, zone) => sum + zone.share, 0);
-    const weights = zones.reduce((sum, zone) => sum + zone.weight, 0);
+    const plannedShare = zones.reduce((sum, zone) => sum + zone.share, 0);
+    const totalWeight = zones.reduce((sum, zone) => sum + zone.weight, 0);
     for (const zone of zones) {
-        zone.share += ((1 - planned) * zone.weight) / weights;
+        zone.share += ((1 - plannedShare) * zone.weight) / totalWeight;
     }
     return zones;
 };
--- a/packages/oleandergap-routing/src/starvationThrottle.ts
+++ b/packages/oleandergap-routing/src/starvationThrottle.ts
@@ -10,25 +10,25 @@
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { createFadingCounts } from "./fadingCounts.js";
+import { createDecayingCounters } from "./fadingCounts.js";
 
 /**
  * Multiple of the share of successful runs that is sent. A request that succeeds in one of three cases justifies the
  * time of its run, because nothing shows in advance which of the three will succeed.
  */
-const SENT_PER_GOOD = 3;
+const SENT_PER_SUCCESS = 3;
 /** Share of requests that is always sent, so that a recovery of the downstream service is detected within a second. */
-const MINIMUM_SENT_PART = 0.1;
+const MINIMUM_SENT_SHARE = 0.1;
 /**
  * Time constant of the counters. It covers some dozens of runs of a typical kind at one node and is short enough to
  * follow a restart.
  */
-const MEMORY_MS: Milliseconds = 1000;
+const TIME_CONSTANT_MS: Milliseconds = 1000;
 /** Minimum number of counted runs before any requests are refused. */
 const MINIMUM_RUNS = 5;
 
-interface Runs {
-    good: number;
+interface RunCounts {
+    succeeded: number;
     starved: number;
 }
 
@@ -37,35 +37,35 @@
     /** Returns false if the request is to be refused here. */
     readonly admits: (kind: string) => boolean;
     /** Records how a run ended. A run is starved if it failed because one of its own calls was not served. */
-    readonly noteRun: (kind: string, isStarved: boolean) => void;
+    readonly recordRun: (kind: string, isStarved: boolean) => void;
 }
 
 /** Creates a throttle without counts, which refuses nothing at first. */
 export const createStarvationThrottle = (clock: Clock, random: Random): StarvationThrottle => {
-    const runsOf = createFadingCounts<Runs>({
+    const getRuns = createDecayingCounters<RunCounts>({
         clock,
-        memoryMs: MEMORY_MS,
-        create: () => ({ good: 0, starved: 0 }),
+        timeConstantMs: TIME_CONSTANT_MS,
+        create: () => ({ succeeded: 0, starved: 0 }),
         scale: (runs, factor) => {
-            runs.good *= factor;
+            runs.succeeded *= factor;
             runs.starved *= factor;
         },
     });
 
     return {
         admits: (kind) => {
-            const { good, starved } = runsOf(kind);
-            const total = good + starved;
+            const { succeeded, starved } = getRuns(kind);
+            const total = succeeded + starved;
             return total < MINIMUM_RUNS ||
-                random() < Math.max(MINIMUM_SENT_PART, (SENT_PER_GOOD * good) / total);
+                random() < Math.max(MINIMUM_SENT_SHARE, (SENT_PER_SUCCESS * succeeded) / total);
         },
-        noteRun: (kind, isStarved) => {
-            const runs = runsOf(kind);
+        recordRun: (kind, isStarved) => {
+            const runs = getRuns(kind);
             if (isStarved) {
                 runs.starved += 1;
             }
             else {
-                runs.good += 1;
+                runs.succeeded += 1;
             }
         },
     };
--- a/packages/oleandergap-routing/src/target.ts
+++ b/packages/oleandergap-routing/src/target.ts
@@ -81,7 +81,7 @@
      * Records that the response body ended completely (`isWhole`) or was interrupted through no fault of the caller. It
      * is called after the outcome was reported.
      */
-    readonly bodyEnded: (isWhole: boolean) => void;
+    readonly bodyEnded: (isComplete: boolean) => void;
 }
 
 /** A picked target. The outcome of each pick must be reported once. */
--- a/packages/oleandergap-routing/src/targetPicker.ts
+++ b/packages/oleandergap-routing/src/targetPicker.ts
@@ -3,23 +3,23 @@
  */
 import { formatServiceReference, type Clock, type Milliseconds, type NodeId, type ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { createProgress, type Choice } from "./attemptProgress.js";
-import type { DrawContext } from "./drawTarget.js";
-import { learnOutcome } from "./learnOutcome.js";
-import { chooseTarget, createNearness } from "./nearTarget.js";
+import { createAttemptProgress, type TargetChoice } from "./attemptProgress.js";
+import type { SampleContext } from "./drawTarget.js";
+import { recordOutcome } from "./learnOutcome.js";
+import { chooseTarget, createLocalityPreference } from "./nearTarget.js";
 import { defaultRoutingOptions, type PickerOptions } from "./options.js";
 import { createServiceState, refreshService, type ServiceState } from "./serviceState.js";
 import type { PickRequest, RoutableTarget, TargetPick, TargetPicker, ZoneSummary } from "./target.js";
-import { markBack, markSent, scoreTarget, type TargetState } from "./targetState.js";
-import { countTargets, endSilence, takeProbe } from "./zoneCandidates.js";
+import { recordEndedRequest, recordSentRequest, scoreTarget, type TargetState } from "./targetState.js";
+import { countTargets, restoreResponsiveTarget, startDueProbe } from "./zoneCandidates.js";
 import { chooseZone } from "./zoneChoice.js";
-import { fadeSpill, noteZoneProbe, usualLatency, type ZoneState } from "./zoneState.js";
+import { decaySpill, startZoneProbe, getTypicalLatency, type ZoneState } from "./zoneState.js";
 
 /**
  * A target that has sent no response for this many typical latencies counts as unresponsive, if that is longer than
  * `silenceMs`.
  */
-const SILENCE_FACTOR = 10;
+const UNRESPONSIVE_LATENCY_FACTOR = 10;
 
 /** Expected load per slot up to which one more request finds a free slot. */
 const FULL_LOAD = 1;
@@ -53,10 +53,10 @@
     options = defaultRoutingOptions.picker,
 }: TargetPickerDependencies): TargetPicker<Target> => {
     const services = new Map<string, ServiceState<Target>>();
-    const nearness = createNearness(options, ownNode, ownZone);
-    const rebuildContext = { clock, random, nearness, callerSpread: options.callerSpread };
+    const localityPreference = createLocalityPreference(options, ownNode, ownZone);
+    const rebuildContext = { clock, random, localityPreference, callerSpread: options.callerSpread };
 
-    const stateOf = (request: PickRequest<Target>): ServiceState<Target> => {
+    const getServiceState = (request: PickRequest<Target>): ServiceState<Target> => {
         const key = formatServiceReference(request.service);
         let service = services.get(key);
         if (service === undefined) {
@@ -67,50 +67,50 @@
         return service;
     };
 
-    const createContext = (zone: ZoneState<Target>, exclude: readonly NodeId[], now: Milliseconds): DrawContext => ({
+    const createContext = (zone: ZoneState<Target>, exclude: readonly NodeId[], now: Milliseconds): SampleContext => ({
         now,
         random,
         exclude,
         slowStartMs: options.slowStartMs,
         loadReportLifetimeMs: options.loadReportLifetimeMs,
-        silenceMs: Math.max(options.silenceMs, SILENCE_FACTOR * zone.typicalLatencyMs),
+        silenceMs: Math.max(options.silenceMs, UNRESPONSIVE_LATENCY_FACTOR * zone.typicalLatencyMs),
         missedSignsMs: options.missedSignsMs,
         typicalLatencyMs: zone.typicalLatencyMs,
     });
 
-    const pickInZone = (
+    const pickTargetInZone = (
         zone: ZoneState<Target>,
-        near: readonly TargetState<Target>[],
+        localTargets: readonly TargetState<Target>[],
         { exclude, canResend }: PickRequest<Target>,
         now: Milliseconds,
-    ): Choice<Target> | undefined => {
-        const probed = takeProbe(zone.candidates, now, canResend, exclude);
+    ): TargetChoice<Target> | undefined => {
+        const probedTarget = startDueProbe(zone.candidates, now, canResend, exclude);
         const context = createContext(zone, exclude, now);
-        const state = probed ?? chooseTarget(zone.candidates, near, nearness, context);
-        return state === undefined ? undefined : { zone, state, isProbe: probed !== undefined };
+        const state = probedTarget ?? chooseTarget(zone.candidates, localTargets, localityPreference, context);
+        return state === undefined ? undefined : { zone, state, isProbe: probedTarget !== undefined };
     };
 
     /**
      * Picks a target in the chosen zone, or in another zone if the request has already been sent to all targets of the
      * chosen zone.
      */
-    const choose = (request: PickRequest<Target>, now: Milliseconds): Choice<Target> | undefined => {
-        const { zones, near } = stateOf(request);
+    const chooseZoneAndTarget = (request: PickRequest<Target>, now: Milliseconds): TargetChoice<Target> | undefined => {
+        const { zones, localTargets } = getServiceState(request);
         for (const zone of zones) {
-            fadeSpill(zone, now, options.spillReturnMs);
+            decaySpill(zone, now, options.spillReturnMs);
         }
         const { canResend, avoidZone } = request;
-        const chosen = chooseZone(zones, { now, canResend, avoidZone });
-        if (chosen === undefined) {
+        const chosenZone = chooseZone(zones, { now, canResend, avoidZone });
+        if (chosenZone === undefined) {
             return undefined;
         }
-        noteZoneProbe(chosen, now);
-        const choice = pickInZone(chosen, near, request, now);
+        startZoneProbe(chosenZone, now);
+        const choice = pickTargetInZone(chosenZone, localTargets, request, now);
         if (choice !== undefined || request.exclude.length === 0) {
             return choice;
         }
         for (const zone of zones) {
-            const other = zone === chosen ? undefined : pickInZone(zone, near, request, now);
+            const other = zone === chosenZone ? undefined : pickTargetInZone(zone, localTargets, request, now);
             if (other !== undefined) {
                 return other;
             }
@@ -118,32 +118,32 @@
         return undefined;
     };
 
-    const createPick = (choice: Choice<Target>, sentAt: Milliseconds, kind: string): TargetPick<Target> => {
+    const createPick = (choice: TargetChoice<Target>, sentAt: Milliseconds, kind: string): TargetPick<Target> => {
         const { zone, state, isProbe } = choice;
-        const usualMs = usualLatency(zone, kind);
-        markSent(state, sentAt, usualMs);
+        const typicalMs = getTypicalLatency(zone, kind);
+        recordSentRequest(state, sentAt, typicalMs);
         let isReported = false;
         return {
             target: state.target,
-            progress: createProgress(choice, { clock, random, options }),
+            progress: createAttemptProgress(choice, { clock, random, options }),
             report: (outcome, load) => {
                 if (isReported) {
                     return;
                 }
                 isReported = true;
                 const now = clock.monotonic();
-                markBack(state, load, { sentAt, usualMs }, now);
+                recordEndedRequest(state, load, { sentAt, typicalMs }, now);
                 if (outcome.kind === "Answered" || load !== undefined) {
-                    endSilence(zone.candidates, state);
+                    restoreResponsiveTarget(zone.candidates, state);
                 }
-                learnOutcome(zone, state, outcome, { now, options, random, load, isProbe, kind });
+                recordOutcome(zone, state, outcome, { now, options, random, load, isProbe, kind });
             },
         };
     };
 
     const pick = (request: PickRequest<Target>): TargetPick<Target> | undefined => {
         const now = clock.monotonic();
-        const choice = choose(request, now);
+        const choice = chooseZoneAndTarget(request, now);
         if (choice === undefined) {
             return undefined;
         }
@@ -155,7 +155,7 @@
             return false;
         }
         const now = clock.monotonic();
-        return stateOf(request).zones.some((zone) => {
+        return getServiceState(request).zones.some((zone) => {
             const context = createContext(zone, request.exclude, now);
             return zone.candidates.open.some((state) =>
                 !request.exclude.includes(state.target.nodeId) && scoreTarget(state, context) <= FULL_LOAD);
@@ -168,10 +168,10 @@
         retryAfter: (service) => {
             const zones = services.get(formatServiceReference(service))?.zones ?? [];
             const now = clock.monotonic();
-            const untilProbe = zones.map(({ circuit, candidates }) =>
+            const probeDelays = zones.map(({ circuit, candidates }) =>
                 (circuit.state === "closed" ? candidates.nextProbeAt : circuit.probeAt) - now);
-            const earliest = Math.min(options.noTargetRetryAfterMs, ...untilProbe);
-            return Math.max(1, Math.ceil(earliest));
+            const shortestDelay = Math.min(options.noTargetRetryAfterMs, ...probeDelays);
+            return Math.max(1, Math.ceil(shortestDelay));
         },
         zones: (service) => services.get(formatServiceReference(service))?.zones.map((zone) => summarise(zone)) ?? [],
     };
--- a/packages/oleandergap-routing/src/targetState.ts
+++ b/packages/oleandergap-routing/src/targetState.ts
@@ -11,9 +11,9 @@
  * Number of requests in flight that an unresponsive target is charged. It is chosen only if the other candidate is
  * unresponsive as well.
  */
-const SILENCE_PENALTY = 1_000_000;
+const UNRESPONSIVE_PENALTY = 1_000_000;
 /** Latencies up to this multiple of the zone's typical latency are treated as normal variation. */
-const USUAL_VARIATION = 2;
+const NORMAL_LATENCY_VARIATION = 2;
 /**
  * Upper bound of the slowness factor. Without it, a single long request, such as an upload, would keep a target idle
  * while the others are full.
@@ -22,9 +22,9 @@
 /** Age at which a latency measurement no longer says anything about the target. */
 const LATENCY_LIFETIME_MS = 10_000;
 /** Weight of the newest request in the refused share: about the last twenty requests count. */
-const REFUSED_PART_WEIGHT = 0.05;
+const REFUSED_SHARE_WEIGHT = 0.05;
 /** Lower bound of the accepted share. However much a target refuses, its load is multiplied by ten at most. */
-const MINIMUM_ACCEPTED_PART = 0.1;
+const MINIMUM_ACCEPTED_SHARE = 0.1;
 /** Traffic share of a target that has just started. */
 const MINIMUM_SLOW_START_SHARE = 0.1;
 
@@ -39,31 +39,31 @@
     /** Sum of the times at which the requests in flight were sent, for computing their mean age. */
     sentAtSum: Milliseconds;
     /** Sum of the typical latencies of the requests in flight. */
-    usualSum: Milliseconds;
+    typicalLatencySum: Milliseconds;
     /** Whether the target's gate sends heartbeats while it processes a request. */
-    givesSigns: boolean;
+    sendsHeartbeats: boolean;
     /**
      * Whether the target is ejected because its gate sent no heartbeat within the limit. The next heartbeat or response
      * ends this ejection.
      */
-    isSilent: boolean;
+    isUnresponsive: boolean;
     /** Number of requests from other nodes at the target when its gate last reported its load. */
-    othersInFlight: number;
-    reportedAt: Milliseconds;
+    otherNodesInFlight: number;
+    loadReportedAt: Milliseconds;
     /** Number of requests that the target runs concurrently, as announced or last reported. */
     capacity: number;
     /** Exponential moving average; 0 while no latency was measured. */
     latencyMs: Milliseconds;
-    answers: number;
-    answeredAt: Milliseconds;
+    responses: number;
+    respondedAt: Milliseconds;
     /** Number of consecutive responses that were far slower than typical for the zone. */
-    slowInARow: number;
+    consecutiveSlowResponses: number;
     /** Number of consecutive responses whose bodies were interrupted after the response head. */
-    cutsInARow: number;
+    consecutiveInterruptedResponses: number;
     failedAt: Milliseconds;
     /** Share of this node's recent requests that the gate refused for lack of capacity. */
-    refusedPart: number;
-    refusedPartAt: Milliseconds;
+    refusedShare: number;
+    refusedShareUpdatedAt: Milliseconds;
     /** Time since which the target has had requests in flight without sending any response or heartbeat. */
     waitingSince: Milliseconds;
     /** Time at which the target's slow start began, on the monotonic clock. */
@@ -88,20 +88,20 @@
     index: -1,
     inFlight: 0,
     sentAtSum: 0,
-    usualSum: 0,
-    givesSigns: false,
-    isSilent: false,
-    othersInFlight: 0,
-    reportedAt: Number.NEGATIVE_INFINITY,
+    typicalLatencySum: 0,
+    sendsHeartbeats: false,
+    isUnresponsive: false,
+    otherNodesInFlight: 0,
+    loadReportedAt: Number.NEGATIVE_INFINITY,
     capacity: target.slots,
     latencyMs: 0,
-    answers: 0,
-    answeredAt: Number.NEGATIVE_INFINITY,
-    slowInARow: 0,
-    cutsInARow: 0,
+    responses: 0,
+    respondedAt: Number.NEGATIVE_INFINITY,
+    consecutiveSlowResponses: 0,
+    consecutiveInterruptedResponses: 0,
     failedAt: Number.NEGATIVE_INFINITY,
-    refusedPart: 0,
-    refusedPartAt: Number.NEGATIVE_INFINITY,
+    refusedShare: 0,
+    refusedShareUpdatedAt: Number.NEGATIVE_INFINITY,
     waitingSince: clock.monotonic(),
     startedAt: estimateStart(target.since, clock),
 });
@@ -115,7 +115,7 @@
     if (target.since !== state.target.since) {
         state.startedAt = estimateStart(target.since, clock);
         state.latencyMs = 0;
-        state.answers = 0;
+        state.responses = 0;
     }
     if (target.slots !== state.target.slots) {
         state.capacity = target.slots;
@@ -124,40 +124,40 @@
 };
 
 /** Records that a request was sent to the target. */
-export const markSent = <Target extends RoutableTarget>(
+export const recordSentRequest = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     now: Milliseconds,
-    usualMs: Milliseconds,
+    typicalMs: Milliseconds,
 ): void => {
     if (state.inFlight === 0) {
         state.waitingSince = now;
     }
     state.inFlight += 1;
     state.sentAtSum += now;
-    state.usualSum += usualMs;
+    state.typicalLatencySum += typicalMs;
 };
 
 /** A request in flight at a target. */
 export interface SentRequest {
     readonly sentAt: Milliseconds;
     /** Typical latency of the request's kind at the time of sending. */
-    readonly usualMs: Milliseconds;
+    readonly typicalMs: Milliseconds;
 }
 
 /** Records the end of an attempt and the load that the gate reported, if any. */
-export const markBack = <Target extends RoutableTarget>(
+export const recordEndedRequest = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     load: GateLoad | undefined,
-    { sentAt, usualMs }: SentRequest,
+    { sentAt, typicalMs }: SentRequest,
     now: Milliseconds,
 ): void => {
     state.inFlight = Math.max(0, state.inFlight - 1);
     state.sentAtSum -= sentAt;
-    state.usualSum = Math.max(0, state.usualSum - usualMs);
+    state.typicalLatencySum = Math.max(0, state.typicalLatencySum - typicalMs);
     if (load !== undefined) {
         state.waitingSince = now;
-        state.othersInFlight = Math.max(0, load.inFlight + load.queued - state.inFlight);
-        state.reportedAt = now;
+        state.otherNodesInFlight = Math.max(0, load.inFlight + load.queued - state.inFlight);
+        state.loadReportedAt = now;
         state.capacity = load.capacity > 0 ? load.capacity : state.capacity;
     }
 };
@@ -168,29 +168,32 @@
     latencyMs: Milliseconds,
     now: Milliseconds,
 ): void => {
-    state.answeredAt = now;
-    state.answers += 1;
-    state.latencyMs += (latencyMs - state.latencyMs) * (state.answers === 1 ? 1 : LATENCY_WEIGHT);
+    state.respondedAt = now;
+    state.responses += 1;
+    state.latencyMs += (latencyMs - state.latencyMs) * (state.responses === 1 ? 1 : LATENCY_WEIGHT);
 };
 
 /** Records whether the gate refused a request for lack of capacity. */
-export const noteCapacity = <Target extends RoutableTarget>(
+export const updateRefusedShare = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     isRefused: boolean,
     now: Milliseconds,
 ): void => {
-    state.refusedPart += REFUSED_PART_WEIGHT * ((isRefused ? 1 : 0) - state.refusedPart);
-    state.refusedPartAt = now;
+    state.refusedShare += REFUSED_SHARE_WEIGHT * ((isRefused ? 1 : 0) - state.refusedShare);
+    state.refusedShareUpdatedAt = now;
 };
 
 /** Records a failure to connect or a lost response. */
-export const markFailed = <Target extends RoutableTarget>(state: TargetState<Target>, now: Milliseconds): void => {
+export const recordTargetFailure = <Target extends RoutableTarget>(
+    state: TargetState<Target>,
+    now: Milliseconds,
+): void => {
     state.circuit.failures += 1;
     state.failedAt = now;
 };
 
 /** Returns the share of its full load, from 0.1 to 1, that a target gets according to its age. */
-export const slowStartShare = (startedAt: Milliseconds, now: Milliseconds, slowStartMs: Milliseconds): number =>
+export const computeSlowStartShare = (startedAt: Milliseconds, now: Milliseconds, slowStartMs: Milliseconds): number =>
     slowStartMs === 0 ? 1 : Math.min(1, Math.max(MINIMUM_SLOW_START_SHARE, (now - startedAt) / slowStartMs));
 
 /** Inputs of a score besides the target. */
@@ -210,7 +213,7 @@
  * the requests in flight into account. Without the age, a target that becomes slow would receive its full share until
  * its first slow responses arrive, and requests would pile up there for several times the typical latency.
  */
-const slownessOf = <Target extends RoutableTarget>(
+const computeSlowness = <Target extends RoutableTarget>(
     state: TargetState<Target>,
     { now, typicalLatencyMs }: ScoreContext,
 ): number => {
@@ -220,12 +223,12 @@
     // The age is divided by the typical latency of the requests in flight, so that a target with long requests does not
     // count as slow.
     const ageSum = now * state.inFlight - state.sentAtSum;
-    const relativeAge = state.usualSum > 0 ? ageSum / state.usualSum : 0;
+    const relativeAge = state.typicalLatencySum > 0 ? ageSum / state.typicalLatencySum : 0;
     // Old measurements lose their weight, so that a recovered target receives the requests that show its recovery.
-    const freshness = Math.max(0, 1 - (now - state.answeredAt) / LATENCY_LIFETIME_MS);
+    const freshness = Math.max(0, 1 - (now - state.respondedAt) / LATENCY_LIFETIME_MS);
     const relativeLatency = (state.latencyMs * freshness) / typicalLatencyMs;
-    const expected = Math.max(relativeAge, relativeLatency);
-    return Math.min(MAXIMUM_SLOWNESS, Math.max(1, expected / USUAL_VARIATION));
+    const relativeDelay = Math.max(relativeAge, relativeLatency);
+    return Math.min(MAXIMUM_SLOWNESS, Math.max(1, relativeDelay / NORMAL_LATENCY_VARIATION));
 };
 
 /**
@@ -238,19 +241,21 @@
     context: ScoreContext,
 ): number => {
     const { now, loadReportLifetimeMs, silenceMs, missedSignsMs } = context;
-    const freshnessOf = (time: Milliseconds): number => Math.max(0, 1 - (now - time) / loadReportLifetimeMs);
+    const computeFreshness = (time: Milliseconds): number => Math.max(0, 1 - (now - time) / loadReportLifetimeMs);
     // A frozen process keeps its connections open and sends no response. Its requests fail only at their deadlines, and
     // no failure is counted until then, so that one request after the other would hang. The missing responses or
     // heartbeats reveal the fault much sooner.
-    const isSilent = state.inFlight > 0 && now - state.waitingSince > (state.givesSigns ? missedSignsMs : silenceMs);
+    const isUnresponsive =
+        state.inFlight > 0 && now - state.waitingSince > (state.sendsHeartbeats ? missedSignsMs : silenceMs);
     // The failure penalty decays as well. Without the decay, a target that failed once would lose every later
     // comparison and never receive the request that clears the penalty: it would stay idle among busy targets.
-    const failures = FAILURE_PENALTY * state.circuit.failures * freshnessOf(state.failedAt);
-    const others = state.othersInFlight * freshnessOf(state.reportedAt);
-    const load = state.inFlight + others + failures + 1 + (isSilent ? SILENCE_PENALTY : 0);
+    const failurePenalty = FAILURE_PENALTY * state.circuit.failures * computeFreshness(state.failedAt);
+    const otherNodesLoad = state.otherNodesInFlight * computeFreshness(state.loadReportedAt);
+    const load = state.inFlight + otherNodesLoad + failurePenalty + 1 + (isUnresponsive ? UNRESPONSIVE_PENALTY : 0);
     // Gates limit their queues by the objective, so all full targets report about the same load, however many requests
     // they receive. Only the refused share shows the difference. By load alone, local callers would all stay with the
     // only target of a zone, however much it refuses.
-    const acceptedPart = Math.max(MINIMUM_ACCEPTED_PART, 1 - state.refusedPart * freshnessOf(state.refusedPartAt));
-    return load * slownessOf(state, context) / Math.max(1, state.capacity) / acceptedPart;
+    const acceptedShare =
+        Math.max(MINIMUM_ACCEPTED_SHARE, 1 - state.refusedShare * computeFreshness(state.refusedShareUpdatedAt));
+    return load * computeSlowness(state, context) / Math.max(1, state.capacity) / acceptedShare;
 };
--- a/packages/oleandergap-routing/src/tryTarget.ts
+++ b/packages/oleandergap-routing/src/tryTarget.ts
@@ -11,7 +11,7 @@
  * case, no load was reported. If such a refusal counted as a response of the target's node, it would readmit an
  * unreachable target, and requests would wait there again and again.
  */
-const isUnheard = (failure: RequestFailure, load: GateLoad | undefined): boolean =>
+const isRefusedLocally = (failure: RequestFailure, load: GateLoad | undefined): boolean =>
     failure.kind === "Refused" && failure.reason === "DeadlinePassed" && load === undefined;
 
 const toOutcome = (
@@ -19,7 +19,7 @@
     waitedMs: Milliseconds,
     isTimeout: boolean,
 ): AttemptOutcome => {
-    if (isUnheard(failure, load)) {
+    if (isRefusedLocally(failure, load)) {
         return { kind: "AnswerLost", waitedMs, isTimeout: true };
     }
     switch (failure.kind) {
@@ -104,11 +104,11 @@
         if (open.isEmpty()) {
             return tryTarget(pick, execution, attempt);
         }
-        const loser = new AbortController();
-        const signal = AbortSignal.any([execution.signal, loser.signal]);
+        const cancellation = new AbortController();
+        const signal = AbortSignal.any([execution.signal, cancellation.signal]);
         const result = tryTarget(pick, { ...execution, signal }, attempt);
-        const earlier = await Promise.race([result, open.answer().then((answer) => answer ?? result)]);
-        open.add({ result, cancel: () => loser.abort() });
-        return earlier;
+        const firstResult = await Promise.race([result, open.answer().then((answer) => answer ?? result)]);
+        open.add({ result, cancel: () => cancellation.abort() });
+        return firstResult;
     };
 };
--- a/packages/oleandergap-routing/src/zoneCandidates.ts
+++ b/packages/oleandergap-routing/src/zoneCandidates.ts
@@ -7,9 +7,9 @@
 import type { TargetState } from "./targetState.js";
 
 /** Maximum share of a zone's targets that may be ejected. */
-const MAXIMUM_EJECTED_PART = 0.5;
+const MAXIMUM_EJECTED_SHARE = 0.5;
 /** An ejected target that is this many times faster than another target is readmitted in its place. */
-const WORSE_FACTOR = 2;
+const REPLACEMENT_LATENCY_FACTOR = 2;
 
 /** Available targets (`open`) and ejected targets. Each target is in exactly one of the two lists. */
 export interface Candidates<Target extends RoutableTarget> {
@@ -85,15 +85,15 @@
     );
 };
 
-const returnTarget = <Target extends RoutableTarget>(
+const restoreTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     state: TargetState<Target>,
 ): boolean => {
-    const place = candidates.ejected.indexOf(state);
-    if (place < 0) {
+    const position = candidates.ejected.indexOf(state);
+    if (position < 0) {
         return false;
     }
-    candidates.ejected.splice(place, 1);
+    candidates.ejected.splice(position, 1);
     addOpen(candidates, state);
     refreshNextProbe(candidates);
     return true;
@@ -105,19 +105,19 @@
     state: TargetState<Target>,
     now: Milliseconds,
 ): void => {
-    state.isSilent = false;
-    if (returnTarget(candidates, state)) {
+    state.isUnresponsive = false;
+    if (restoreTarget(candidates, state)) {
         state.startedAt = now;
     }
 };
 
 /** Finds a target that was ejected as slow and is much better than `worse`. */
-const findBetterEjected = <Target extends RoutableTarget>(
+const findBetterEjectedTarget = <Target extends RoutableTarget>(
     { ejected }: Candidates<Target>,
     worse: TargetState<Target>,
-): TargetState<Target> | undefined => ejected.find(({ circuit, latencyMs, isSilent }) => {
-    const isFarFaster = worse.circuit.failures > 0 || WORSE_FACTOR * latencyMs < worse.latencyMs;
-    return circuit.state === "open" && circuit.failures === 0 && !isSilent && isFarFaster;
+): TargetState<Target> | undefined => ejected.find(({ circuit, latencyMs, isUnresponsive }) => {
+    const isFarFaster = worse.circuit.failures > 0 || REPLACEMENT_LATENCY_FACTOR * latencyMs < worse.latencyMs;
+    return circuit.state === "open" && circuit.failures === 0 && !isUnresponsive && isFarFaster;
 });
 
 /**
@@ -132,12 +132,12 @@
     options: PickerOptions,
     random: Random,
 ): void => {
-    const maximum = Math.floor(countTargets(candidates) * MAXIMUM_EJECTED_PART);
-    if (candidates.open[state.index] !== state || maximum === 0) {
+    const maximumEjected = Math.floor(countTargets(candidates) * MAXIMUM_EJECTED_SHARE);
+    if (candidates.open[state.index] !== state || maximumEjected === 0) {
         return;
     }
-    if (candidates.ejected.length >= maximum) {
-        const better = findBetterEjected(candidates, state);
+    if (candidates.ejected.length >= maximumEjected) {
+        const better = findBetterEjectedTarget(candidates, state);
         if (better === undefined) {
             return;
         }
@@ -162,9 +162,11 @@
     { open }: Candidates<Target>,
     state: TargetState<Target>,
 ): boolean => {
-    const others = open.filter((other) => other !== state && other.answers > 0).map(({ latencyMs }) => latencyMs);
-    const middle = others.sort((left, right) => left - right)[Math.floor(others.length / 2)];
-    return middle === undefined || state.latencyMs > OUTLIER_FACTOR * middle;
+    const otherLatencies = open
+        .filter((other) => other !== state && other.responses > 0)
+        .map(({ latencyMs }) => latencyMs);
+    const median = otherLatencies.sort((left, right) => left - right)[Math.floor(otherLatencies.length / 2)];
+    return median === undefined || state.latencyMs > OUTLIER_FACTOR * median;
 };
 
 /** Extends an ejection after a failed probe. */
@@ -184,7 +186,7 @@
  * Requests that are sent to a frozen process hang until their deadlines, and requests that must not run twice are then
  * lost. Without the ejection, such requests would pile up there until the first of them failed.
  */
-export const silenceTarget = <Target extends RoutableTarget>(
+export const ejectUnresponsiveTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     state: TargetState<Target>,
     now: Milliseconds,
@@ -194,7 +196,7 @@
     if (candidates.open[state.index] !== state) {
         return;
     }
-    state.isSilent = true;
+    state.isUnresponsive = true;
     openCircuit(state.circuit, now, options, random);
     removeOpen(candidates, state);
     addEjected(candidates, state);
@@ -204,21 +206,21 @@
  * Ends the ejection of an unresponsive target after a heartbeat or response. The target returns without a slow start,
  * because a short stall says nothing about its health.
  */
-export const endSilence = <Target extends RoutableTarget>(
+export const restoreResponsiveTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     state: TargetState<Target>,
 ): void => {
-    if (!state.isSilent) {
+    if (!state.isUnresponsive) {
         return;
     }
-    state.isSilent = false;
+    state.isUnresponsive = false;
     closeCircuit(state.circuit);
     reduceTrips(state.circuit);
-    returnTarget(candidates, state);
+    restoreTarget(candidates, state);
 };
 
 /** Makes all ejected targets due for a probe, after the cause of their failures has gone. */
-export const shortenEjections = <Target extends RoutableTarget>(
+export const makeProbesDue = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     now: Milliseconds,
 ): void => {
@@ -231,7 +233,7 @@
 };
 
 /** Returns an ejected target that this request may probe, and marks it as being probed. */
-export const takeProbe = <Target extends RoutableTarget>(
+export const startDueProbe = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
     now: Milliseconds,
     canResend: boolean,
@@ -242,15 +244,15 @@
     }
     // Each probe of an unresponsive target delays a request by the full heartbeat timeout. Limiting these probes to one
     // at a time bounds the cost.
-    const isHeldUp = candidates.ejected.some(({ circuit, isSilent }) =>
-        isSilent && circuit.state === "probing" && now < circuit.probeAt);
-    const due = candidates.ejected.find((state) =>
-        !(state.isSilent && isHeldUp) &&
+    const isProbingUnresponsiveTarget = candidates.ejected.some(({ circuit, isUnresponsive }) =>
+        isUnresponsive && circuit.state === "probing" && now < circuit.probeAt);
+    const dueTarget = candidates.ejected.find((state) =>
+        !(state.isUnresponsive && isProbingUnresponsiveTarget) &&
         isProbeDue(state.circuit, now, canResend) &&
         !exclude.includes(state.target.nodeId));
-    if (due !== undefined) {
-        startProbe(due.circuit, now);
+    if (dueTarget !== undefined) {
+        startProbe(dueTarget.circuit, now);
         refreshNextProbe(candidates);
     }
-    return due;
+    return dueTarget;
 };
--- a/packages/oleandergap-routing/src/zoneChoice.ts
+++ b/packages/oleandergap-routing/src/zoneChoice.ts
@@ -16,20 +16,20 @@
     zones: readonly ZoneState<Target>[],
     isUsable: (zone: ZoneState<Target>) => boolean,
 ): number => {
-    let lost = 0;
-    let takers = 0;
+    let displacedShare = 0;
+    let receivingWeight = 0;
     for (const zone of zones) {
-        const part = isUsable(zone) ? 1 - zone.spill : 0;
-        zone.effectiveShare = zone.share * part;
-        lost += zone.share * (1 - part);
-        takers += zone.weight * part;
+        const usableShare = isUsable(zone) ? 1 - zone.spill : 0;
+        zone.effectiveShare = zone.share * usableShare;
+        displacedShare += zone.share * (1 - usableShare);
+        receivingWeight += zone.weight * usableShare;
     }
-    if (lost === 0 || takers === 0) {
-        return 1 - lost;
+    if (displacedShare === 0 || receivingWeight === 0) {
+        return 1 - displacedShare;
     }
     for (const zone of zones) {
-        const part = isUsable(zone) ? 1 - zone.spill : 0;
-        zone.effectiveShare += (lost * zone.weight * part) / takers;
+        const usableShare = isUsable(zone) ? 1 - zone.spill : 0;
+        zone.effectiveShare += (displacedShare * zone.weight * usableShare) / receivingWeight;
     }
     return 1;
 };
@@ -39,9 +39,9 @@
  * within a few requests. A random choice would follow the weights only on average, which is visible for a service with
  * few requests.
  */
-const rotate = <Target extends RoutableTarget>(
+const selectByRoundRobin = <Target extends RoutableTarget>(
     zones: readonly ZoneState<Target>[],
-    total: number,
+    totalShare: number,
 ): ZoneState<Target> | undefined => {
     let chosen: ZoneState<Target> | undefined;
     for (const zone of zones) {
@@ -55,7 +55,7 @@
         }
     }
     if (chosen !== undefined) {
-        chosen.credit -= total;
+        chosen.credit -= totalShare;
     }
     return chosen;
 };
@@ -74,11 +74,11 @@
         return onlyZone;
     }
     const isReachable = (zone: ZoneState<Target>): boolean => isZoneUsable(zone, now, canResend);
-    const total = assignShares(zones, (zone) => zone.zone !== avoidZone && isReachable(zone));
-    if (total > 0) {
-        return rotate(zones, total);
+    const totalShare = assignShares(zones, (zone) => zone.zone !== avoidZone && isReachable(zone));
+    if (totalShare > 0) {
+        return selectByRoundRobin(zones, totalShare);
     }
     // If no zone seems usable, the fault may be on this node. Refusing all requests would make the outage certain.
     const reachableTotal = assignShares(zones, isReachable);
-    return rotate(zones, reachableTotal > 0 ? reachableTotal : assignShares(zones, () => true));
+    return selectByRoundRobin(zones, reachableTotal > 0 ? reachableTotal : assignShares(zones, () => true));
 };
--- a/packages/oleandergap-routing/src/zoneShares.ts
+++ b/packages/oleandergap-routing/src/zoneShares.ts
@@ -19,21 +19,21 @@
  * what it receives keeps all of its requests. Any other zone sends its surplus to the zones whose shares exceed what
  * they receive, in proportion to the difference.
  */
-const shareLocally = (shares: ZoneShares, zones: readonly ZoneName[], ownZone: ZoneName): ZoneShares => {
-    const received = 1 / zones.length;
-    const kept = Math.min(1, (shares.get(ownZone) ?? 0) / received);
-    const missing = new Map<ZoneName, number>();
+const planLocalShares = (shares: ZoneShares, zones: readonly ZoneName[], localZone: ZoneName): ZoneShares => {
+    const receivedShare = 1 / zones.length;
+    const keptShare = Math.min(1, (shares.get(localZone) ?? 0) / receivedShare);
+    const shortfalls = new Map<ZoneName, number>();
     for (const [zone, share] of shares) {
-        missing.set(zone, Math.max(0, share - received));
+        shortfalls.set(zone, Math.max(0, share - receivedShare));
     }
-    const local = new Map<ZoneName, number>();
-    for (const [zone, share] of normalise(missing)) {
-        local.set(zone, share * (1 - kept));
+    const localShares = new Map<ZoneName, number>();
+    for (const [zone, share] of normalise(shortfalls)) {
+        localShares.set(zone, share * (1 - keptShare));
     }
-    if (kept > 0) {
-        local.set(ownZone, (local.get(ownZone) ?? 0) + kept);
+    if (keptShare > 0) {
+        localShares.set(localZone, (localShares.get(localZone) ?? 0) + keptShare);
     }
-    return local;
+    return localShares;
 };
 
 /**
@@ -42,12 +42,12 @@
  */
 export const planZoneShares = (
     weights: ReadonlyMap<ZoneName, number>,
-    ownZone: ZoneName,
+    localZone: ZoneName,
     callerSpread: CallerSpread,
 ): ZoneShares => {
     const shares = normalise(weights);
     if (callerSpread === "unknown") {
         return shares;
     }
-    return shareLocally(shares, [...new Set([...weights.keys(), ownZone])], ownZone);
+    return planLocalShares(shares, [...new Set([...weights.keys(), localZone])], localZone);
 };
--- a/packages/oleandergap-routing/src/zoneState.ts
+++ b/packages/oleandergap-routing/src/zoneState.ts
@@ -4,20 +4,20 @@
 import { closeCircuit, createCircuit, isProbeDue, openCircuit, startProbe, type Circuit } from "./circuit.js";
 import type { PickerOptions } from "./options.js";
 import type { RoutableTarget } from "./target.js";
-import { countTargets, createCandidates, shortenEjections, type Candidates } from "./zoneCandidates.js";
+import { countTargets, createCandidates, makeProbesDue, type Candidates } from "./zoneCandidates.js";
 
 /** Fraction of the remaining share of a zone that one refusal moves to other zones. */
 const SPILL_STEP = 0.2;
 /** Maximum spill. Some requests always go to an overloaded zone, so that its recovery is detected. */
 const MAXIMUM_SPILL = 0.95;
 /** Spill of a zone that has just become reachable again. Its share returns as the spill decays. */
-const SPILL_AFTER_CUT = 0.8;
+const SPILL_AFTER_RECOVERY = 0.8;
 /**
  * Bounds of the number of consecutive failures after which a zone counts as unreachable. Between the bounds, the number
  * is that of the zone's targets.
  */
-const MINIMUM_FAILURES_OF_CUT = 3;
-const MAXIMUM_FAILURES_OF_CUT = 8;
+const MINIMUM_FAILURES_TO_TRIP = 3;
+const MAXIMUM_FAILURES_TO_TRIP = 8;
 /** Step of the running median of latencies, as a factor. */
 const TYPICAL_LATENCY_STEP = 1.02;
 
@@ -37,12 +37,12 @@
     spillUpdatedAt: Milliseconds;
     readonly circuit: Circuit;
     /** Node that failed last, and whether more than one node has failed since the last success. */
-    lastFailed: NodeId | undefined;
-    hasSeveralFailed: boolean;
+    lastFailedNode: NodeId | undefined;
+    haveSeveralNodesFailed: boolean;
     /** Running median over all kinds of requests; 0 while no latency was measured. */
     typicalLatencyMs: Milliseconds;
     /** Running median by kind of request. */
-    readonly typicalByKind: Map<string, Milliseconds>;
+    readonly typicalLatencyByKind: Map<string, Milliseconds>;
     /** Current share of the zone, and its credit in the smooth weighted round robin. */
     effectiveShare: number;
     credit: number;
@@ -60,16 +60,16 @@
     spill: 0,
     spillUpdatedAt: now,
     circuit: createCircuit(),
-    lastFailed: undefined,
-    hasSeveralFailed: false,
+    lastFailedNode: undefined,
+    haveSeveralNodesFailed: false,
     typicalLatencyMs: 0,
-    typicalByKind: new Map(),
+    typicalLatencyByKind: new Map(),
     effectiveShare: 0,
     credit: 0,
 });
 
 /** Decays the spill exponentially by the time since its last update. */
-export const fadeSpill = <Target extends RoutableTarget>(
+export const decaySpill = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     now: Milliseconds,
     spillReturnMs: Milliseconds,
@@ -86,7 +86,7 @@
  * returned with the first accepted request, all nodes would switch between the zones together, and the zones would be
  * overloaded in turn.
  */
-export const raiseSpill = <Target extends RoutableTarget>(zone: ZoneState<Target>, step = SPILL_STEP): void => {
+export const increaseSpill = <Target extends RoutableTarget>(zone: ZoneState<Target>, step = SPILL_STEP): void => {
     zone.spill = Math.min(MAXIMUM_SPILL, zone.spill + step * (1 - zone.spill));
 };
 
@@ -102,8 +102,8 @@
  * Returns the typical latency of a kind of request in the zone, or that of all kinds while none of this kind was
  * measured.
  */
-export const usualLatency = <Target extends RoutableTarget>(zone: ZoneState<Target>, kind: string): Milliseconds =>
-    zone.typicalByKind.get(kind) ?? zone.typicalLatencyMs;
+export const getTypicalLatency = <Target extends RoutableTarget>(zone: ZoneState<Target>, kind: string): Milliseconds =>
+    zone.typicalLatencyByKind.get(kind) ?? zone.typicalLatencyMs;
 
 /**
  * Scales a latency to that of a request of typical duration. Otherwise a service with both short and long requests
@@ -114,8 +114,8 @@
     kind: string,
     latencyMs: Milliseconds,
 ): Milliseconds => {
-    const usual = usualLatency(zone, kind);
-    return usual === 0 ? latencyMs : (latencyMs * zone.typicalLatencyMs) / usual;
+    const typicalMs = getTypicalLatency(zone, kind);
+    return typicalMs === 0 ? latencyMs : (latencyMs * zone.typicalLatencyMs) / typicalMs;
 };
 
 /** Adds the latency of a response to the running medians. */
@@ -124,38 +124,40 @@
     kind: string,
     latencyMs: Milliseconds,
 ): void => {
-    const median = stepMedian(zone.typicalByKind.get(kind) ?? 0, latencyMs);
-    const [oldest] = zone.typicalByKind.keys();
-    if (!zone.typicalByKind.has(kind) && zone.typicalByKind.size >= MAXIMUM_KINDS && oldest !== undefined) {
-        zone.typicalByKind.delete(oldest);
+    const median = stepMedian(zone.typicalLatencyByKind.get(kind) ?? 0, latencyMs);
+    const [oldest] = zone.typicalLatencyByKind.keys();
+    if (
+        !zone.typicalLatencyByKind.has(kind) && zone.typicalLatencyByKind.size >= MAXIMUM_KINDS && oldest !== undefined
+    ) {
+        zone.typicalLatencyByKind.delete(oldest);
     }
-    zone.typicalByKind.set(kind, median);
+    zone.typicalLatencyByKind.set(kind, median);
     zone.typicalLatencyMs = stepMedian(zone.typicalLatencyMs, latencyMs);
 };
 
 /** Records a response of any kind from the zone. */
-export const markZoneReached = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
+export const recordZoneResponse = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
     zone.circuit.failures = 0;
-    zone.lastFailed = undefined;
-    zone.hasSeveralFailed = false;
+    zone.lastFailedNode = undefined;
+    zone.haveSeveralNodesFailed = false;
     if (zone.circuit.state === "closed") {
         return;
     }
     closeCircuit(zone.circuit);
     zone.circuit.trips = 0;
-    zone.spill = SPILL_AFTER_CUT;
+    zone.spill = SPILL_AFTER_RECOVERY;
     zone.spillUpdatedAt = now;
-    shortenEjections(zone.candidates, now);
+    makeProbesDue(zone.candidates, now);
 };
 
-const failuresOfCut = <Target extends RoutableTarget>(zone: ZoneState<Target>): number =>
-    Math.min(MAXIMUM_FAILURES_OF_CUT, Math.max(MINIMUM_FAILURES_OF_CUT, countTargets(zone.candidates)));
+const countFailuresToTrip = <Target extends RoutableTarget>(zone: ZoneState<Target>): number =>
+    Math.min(MAXIMUM_FAILURES_TO_TRIP, Math.max(MINIMUM_FAILURES_TO_TRIP, countTargets(zone.candidates)));
 
 /**
  * Records a failure to connect or a lost response. A zone of several targets does not count as unreachable when only
  * one of them fails.
  */
-export const markZoneFailed = <Target extends RoutableTarget>(
+export const recordZoneFailure = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     nodeId: NodeId,
     now: Milliseconds,
@@ -164,11 +166,11 @@
 ): void => {
     const { circuit } = zone;
     circuit.failures += 1;
-    zone.hasSeveralFailed ||= zone.lastFailed !== undefined && zone.lastFailed !== nodeId;
-    zone.lastFailed = nodeId;
-    const isTrip = circuit.state === "closed" && circuit.failures >= failuresOfCut(zone) &&
-        (zone.hasSeveralFailed || countTargets(zone.candidates) === 1);
-    if (isTrip || circuit.state === "probing") {
+    zone.haveSeveralNodesFailed ||= zone.lastFailedNode !== undefined && zone.lastFailedNode !== nodeId;
+    zone.lastFailedNode = nodeId;
+    const shouldTrip = circuit.state === "closed" && circuit.failures >= countFailuresToTrip(zone) &&
+        (zone.haveSeveralNodesFailed || countTargets(zone.candidates) === 1);
+    if (shouldTrip || circuit.state === "probing") {
         openCircuit(circuit, now, options, random);
     }
 };
@@ -177,7 +179,7 @@
  * Returns whether the zone has an available target, or an ejected one that the request may probe. All targets of a zone
  * may be ejected as unresponsive; the zone then receives only probes.
  */
-const hasOpenTarget = <Target extends RoutableTarget>(
+const hasUsableTarget = <Target extends RoutableTarget>(
     { candidates }: ZoneState<Target>,
     now: Milliseconds,
     canResend: boolean,
@@ -188,11 +190,11 @@
     zone: ZoneState<Target>,
     now: Milliseconds,
     canResend: boolean,
-): boolean => hasOpenTarget(zone, now, canResend) &&
+): boolean => hasUsableTarget(zone, now, canResend) &&
     (zone.circuit.state === "closed" || isProbeDue(zone.circuit, now, canResend));
 
 /** Marks the zone as being probed when a request is sent to a zone that counts as unreachable. */
-export const noteZoneProbe = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
+export const startZoneProbe = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
     if (zone.circuit.state !== "closed") {
         startProbe(zone.circuit, now);
     }
