--- a/packages/oleandergap-routing/src/__tests__/abandonedCalls.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/abandonedCalls.test.ts
@@ -18,7 +18,9 @@
             counts.slowTarget += isSlowTarget ? 1 : 0;
             counts.otherTargets += isSlowTarget || count < 100 ? 0 : 1;
             clock.after(isSlowTarget ? CALLER_TIMEOUT_MS : TYPICAL_LATENCY_MS, () => chosen?.report(
-                isSlowTarget ? { kind: "Abandoned", waitedMs: CALLER_TIMEOUT_MS } : { kind: "Answered", latencyMs: TYPICAL_LATENCY_MS },
+                isSlowTarget ?
+                    { kind: "Abandoned", waitedMs: CALLER_TIMEOUT_MS } :
+                    { kind: "Answered", latencyMs: TYPICAL_LATENCY_MS },
                 isSlowTarget ? undefined : { inFlight: 4, queued: 0, capacity: 10, expectedWaitMs: 0 },
             ));
             await clock.advance(10);
--- a/packages/oleandergap-routing/src/__tests__/ejection.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/ejection.test.ts
@@ -97,7 +97,7 @@
     it("avoids a target that sends no responses to its requests in flight", async () => {
         const harness = createSingleZoneHarness(6);
         const frozenNodeId = harness.pick()?.target.nodeId;
-        const busy = { inFlight: 10, queued: 40, capacity: 10, expectedWaitMs: 0 };
+        const busyLoad = { inFlight: 10, queued: 40, capacity: 10, expectedWaitMs: 0 };
         let hangingRequests = 0;
         for (let count = 0; count < 500; count++) {
             const chosen = harness.pick();
@@ -105,7 +105,7 @@
                 hangingRequests += 1;
             }
             else {
-                chosen?.report(answered, busy);
+                chosen?.report(answered, busyLoad);
             }
             harness.clock.freeze(100);
         }
--- a/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
@@ -42,7 +42,7 @@
  */
 describe("an attempt that is left running after a heartbeat timeout", () => {
     const clock = createManualClock();
-    let open: ControlledAttempt;
+    let openAttempt: ControlledAttempt;
     let secondAttempt: ControlledAttempt;
     let cancellations: number;
     let secondSignal: AbortSignal | undefined;
@@ -53,7 +53,7 @@
      * controls the second.
      */
     const execute = (): Promise<Either<RoutedFailure, Routed<string>>> => {
-        open = createControlledAttempt();
+        openAttempt = createControlledAttempt();
         secondAttempt = createControlledAttempt();
         cancellations = 0;
         discardedAnswers = [];
@@ -77,7 +77,7 @@
             return Promise.resolve({
                 ...failed(answerLost),
                 open: {
-                    result: open.result,
+                    result: openAttempt.result,
                     cancel: () => {
                         cancellations += 1;
                     },
@@ -90,7 +90,7 @@
         const routed = execute();
         secondAttempt.end(failed(refused("DeadlineTooShort")));
         await flushPromises();
-        open.end(answered("late"));
+        openAttempt.end(answered("late"));
         expect(either.toUnion(await routed)).to.include({ answer: "late" });
         expect(cancellations).to.equal(0);
         expect(discardedAnswers).to.deep.equal([]);
@@ -99,7 +99,7 @@
     it("cancels the other attempt when it responds first", async () => {
         const routed = execute();
         await flushPromises();
-        open.end(answered("late"));
+        openAttempt.end(answered("late"));
         expect(either.toUnion(await routed)).to.include({ answer: "late" });
         expect(secondSignal?.aborted).to.equal(true);
         secondAttempt.end(answered("second"));
@@ -112,7 +112,7 @@
         secondAttempt.end(answered("second"));
         expect(either.toUnion(await routed)).to.include({ answer: "second" });
         expect(cancellations).to.equal(1);
-        open.end(answered("late"));
+        openAttempt.end(answered("late"));
         await flushPromises();
         expect(discardedAnswers).to.deep.equal(["late"]);
     });
@@ -121,7 +121,7 @@
         const routed = execute();
         secondAttempt.end(failed(refused("DeadlineTooShort")));
         await flushPromises();
-        open.end(failed(answerLost));
+        openAttempt.end(failed(answerLost));
         const result = await routed;
         expect(either.isLeft(result) && result.left.failure.verdict).to.equal("mayHaveRun");
     });
--- a/packages/oleandergap-routing/src/__tests__/placement.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/placement.test.ts
@@ -46,7 +46,8 @@
     it("does not prefer a local target during its slow start", async () => {
         // Guards against late responses from a target that has just started on a VM with callers, while other targets
         // have free slots. The preference for local targets must not override the small share during slow start.
-        const targetsWithNewOne = targets.map((target) => target.nodeId === "hall-a-0" ? { ...target, since: 1_000_000 } : target);
+        const targetsWithNewOne = targets.map((target) =>
+            target.nodeId === "hall-a-0" ? { ...target, since: 1_000_000 } : target);
         const harness = createPickerHarness(targetsWithNewOne, rowPlacedByLoad);
         const counts = await harness.send(200);
         expect(counts.get("hall-a-0") ?? 0).to.be.at.most(20);
@@ -54,7 +55,12 @@
 
     it("reports whether a target that was not tried has a free slot", () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), rowPlacedByLoad);
-        const request = { service: testService, row: rowPlacedByLoad, targets: createTargets("hall-a", 2), canResend: true };
+        const request = {
+            service: testService,
+            row: rowPlacedByLoad,
+            targets: createTargets("hall-a", 2),
+            canResend: true,
+        };
         const hasRoom = (exclude: readonly string[]): boolean => harness.picker.hasRoom({ ...request, exclude });
         const fullLoad = { inFlight: 10, queued: 4, capacity: 10, expectedWaitMs: 80 };
         harness.pick(["hall-a-1"])?.report({ kind: "Refused", reason: "QueueFull" }, fullLoad);
--- a/packages/oleandergap-routing/src/__tests__/requestRouter.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/requestRouter.test.ts
@@ -46,12 +46,12 @@
     return verdicts.includes("mayHaveRun") ? "mayHaveRun" : "notRun";
 };
 
-/** Returns whether a rule forbids another attempt after `done`, regardless of the retry budget. */
+/** Returns whether a rule forbids another attempt after `attempted`, regardless of the retry budget. */
 const isRetryForbidden = (attempted: ScriptedAttempt, idempotent: boolean, replayable: boolean): boolean => {
     const verdict = attempted.failure?.verdict ?? "ran";
-    const isFinal = attempted.failure?.kind === "BadRequest" || attempted.failure?.kind === "DuplicateKey";
+    const isNonRetryable = attempted.failure?.kind === "BadRequest" || attempted.failure?.kind === "DuplicateKey";
     const isUnsafe = verdict === "ran" || (verdict === "mayHaveRun" && !idempotent);
-    return isUnsafe || isFinal || !replayable || attempted.retriedBelow === true;
+    return isUnsafe || isNonRetryable || !replayable || attempted.retriedBelow === true;
 };
 
 describe("createRequestRouter", () => {
@@ -102,7 +102,8 @@
         const expired = await harness.execute([], { deadline: harness.clock.monotonic() });
         const disconnected = await harness.execute([], { signal: AbortSignal.abort() });
         expect([expired.tried, disconnected.tried]).to.deep.equal([[], []]);
-        expect([failureOf(expired), failureOf(disconnected)].map((failure) => failure?.kind === "Refused" && failure.reason))
+        expect([failureOf(expired), failureOf(disconnected)]
+            .map((failure) => failure?.kind === "Refused" && failure.reason))
             .to.deep.equal(["DeadlinePassed", "Cancelled"]);
     });
 
--- a/packages/oleandergap-routing/src/__tests__/silence.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/silence.test.ts
@@ -86,8 +86,8 @@
     // it stays unresponsive.
     it("probes unresponsive targets with one retryable request at a time", () => {
         const harness = createSingleZoneHarness(4);
-        for (const name of ["hall-a-0", "hall-a-1"]) {
-            pickTarget(harness, name).progress.silent();
+        for (const nodeId of ["hall-a-0", "hall-a-1"]) {
+            pickTarget(harness, nodeId).progress.silent();
         }
         harness.clock.freeze(1010);
         const isProbe = (chosen: TargetPick<RoutableTarget> | undefined): boolean =>
--- a/packages/oleandergap-routing/src/__tests__/starvationThrottle.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/starvationThrottle.test.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Offers 100 requests per second of one kind for `seconds`. `served` returns the probability that a downstream call is
- * served.
+ * Offers 100 requests per second of one kind for `seconds`. `getServedShare` returns the probability that a downstream
+ * call is served.
  */
 const simulate = async (
     { kind, callingShare }: RequestKind,
--- a/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
@@ -14,7 +14,7 @@
 
 const CALL_INTERVAL_MS: Milliseconds = 5;
 const RUN_MS: Milliseconds = 50;
-/** The deadlines of such calls are those of the runs that made them. */
+/** Time until a caller disconnects. Calls expire together with the runs that made them. */
 const CALLER_TIMEOUT_MS: Milliseconds = 400;
 
 /** How the only target handles a call: it responds quickly, just in time, or after the caller has disconnected. */
@@ -28,7 +28,7 @@
     /**
      * Returns the calls since the previous invocation: all of them, those that were sent, and those that were answered.
      */
-    readonly takeCounts: () => { readonly asked: number; readonly sent: number; readonly answered: number };
+    readonly takeCounts: () => { readonly requested: number; readonly sent: number; readonly answered: number };
     readonly simulate: (
         durationMs: Milliseconds,
         handling: CallHandling,
@@ -45,7 +45,7 @@
     const router = createRequestRouter({ clock, picker, throttle });
     const row = { ...createRow({ "hall-a": 1 }, 0.1), placement: "load" as const };
     const targets = createTargets("hall-a", 1);
-    let asked = 0;
+    let requested = 0;
     let sent = 0;
     let answered = 0;
 
@@ -59,7 +59,7 @@
         });
 
     const call = async (handling: CallHandling, callerTimeoutMs: Milliseconds): Promise<void> => {
-        asked += 1;
+        requested += 1;
         const caller = new AbortController();
         clock.after(callerTimeoutMs, () => caller.abort());
         const routed = await router.execute<string>({
@@ -79,8 +79,8 @@
     return {
         clock,
         takeCounts: () => {
-            const counts = { asked, sent, answered };
-            asked = 0;
+            const counts = { requested, sent, answered };
+            requested = 0;
             sent = 0;
             answered = 0;
             return counts;
@@ -109,12 +109,12 @@
         simulation.takeCounts();
         await simulation.simulate(1_000, "ReadsTooLate");
         const lateCounts = simulation.takeCounts();
-        expect(lateCounts.sent / lateCounts.asked).to.be.at.most(1 / 3);
+        expect(lateCounts.sent / lateCounts.requested).to.be.at.most(1 / 3);
         await simulation.simulate(3_000, "Answers");
         simulation.takeCounts();
         await simulation.simulate(1_000, "Answers");
         const recoveredCounts = simulation.takeCounts();
-        expect(recoveredCounts.answered / recoveredCounts.asked).to.be.at.least(0.95);
+        expect(recoveredCounts.answered / recoveredCounts.requested).to.be.at.least(0.95);
     });
 
     it("are not counted against the service if their callers disconnect early", async () => {
@@ -122,7 +122,7 @@
         await simulation.simulate(1_000, "Answers");
         simulation.takeCounts();
         await simulation.simulate(2_000, "Answers", RUN_MS / 2);
-        const { asked, sent } = simulation.takeCounts();
-        expect(sent).to.equal(asked);
+        const { requested, sent } = simulation.takeCounts();
+        expect(sent).to.equal(requested);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/unheardTargets.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unheardTargets.test.ts
@@ -18,7 +18,8 @@
         const router = createRequestRouter({ clock, picker });
         const targets = createTargets("hall-a", 4);
         const row = { ...createRow({}), placement: "load" as const };
-        const deadlinePassed: RequestFailure = { kind: "Refused", verdict: "notRun", reason: "DeadlinePassed", retryAfterMs: 0 };
+        const deadlinePassed: RequestFailure =
+            { kind: "Refused", verdict: "notRun", reason: "DeadlinePassed", retryAfterMs: 0 };
         let sentToUnreachable = 0;
         const sendRequest = (): Promise<unknown> => router.execute<string>({
             service: testService,
--- a/packages/oleandergap-routing/src/__tests__/zoneFailures.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/zoneFailures.test.ts
@@ -24,7 +24,8 @@
         await harness.send(30);
         const countsWhileUnreachable = await harness.send(600, failZones("hall-b"));
         expect(countFor(countsWhileUnreachable, "hall-b")).to.be.at.most(8);
-        expect(Math.abs(countFor(countsWhileUnreachable, "hall-a") - countFor(countsWhileUnreachable, "hall-c"))).to.be.at.most(3);
+        expect(Math.abs(countFor(countsWhileUnreachable, "hall-a") - countFor(countsWhileUnreachable, "hall-c")))
+            .to.be.at.most(3);
         harness.clock.freeze(5000);
         const countWhileRecovering = countFor(await harness.send(300), "hall-b");
         await harness.send(300, undefined, 100);
--- a/packages/oleandergap-routing/src/attemptHistory.ts
+++ b/packages/oleandergap-routing/src/attemptHistory.ts
@@ -46,9 +46,9 @@
     };
 
     /**
-     * If the response to an idempotent request is lost at one target and another target then refuses the request, the
-     * refusal alone would report `notRun` although the request may have run at the first target. The caller would see a
-     * "not run" request take effect.
+     * Creates the final failure, whose verdict covers all attempts. If the response to an idempotent request is lost at
+     * one target and another target then refuses the request, the refusal alone would report `notRun` although the
+     * request may have run at the first target. The caller would see a "not run" request take effect.
      */
     const conclude: AttemptHistory["conclude"] = (failure, fallbackRetryAfterMs) => {
         recordRetryAfter(failure);
--- a/packages/oleandergap-routing/src/attemptProgress.ts
+++ b/packages/oleandergap-routing/src/attemptProgress.ts
@@ -41,7 +41,7 @@
         ejectUnresponsiveTarget(zone.candidates, state, clock.monotonic(), options, random);
         return wasUnresponsive;
     },
-    bodyEnded: (isWhole) => {
-        recordBodyEnd(zone, state, isWhole, { now: clock.monotonic(), options, random });
+    bodyEnded: (isComplete) => {
+        recordBodyEnd(zone, state, isComplete, { now: clock.monotonic(), options, random });
     },
 });
--- a/packages/oleandergap-routing/src/drawTarget.ts
+++ b/packages/oleandergap-routing/src/drawTarget.ts
@@ -41,12 +41,12 @@
 const findEligibleTarget = <Target extends RoutableTarget>(
     pool: readonly TargetState<Target>[],
     { exclude, random }: SampleContext,
-    firstSample: TargetState<Target> | undefined,
+    alreadySampled: TargetState<Target> | undefined,
 ): TargetState<Target> | undefined => {
     const offset = pickIndex(random, pool.length);
     for (let distance = 0; distance < pool.length; distance++) {
         const state = pool[(offset + distance) % pool.length];
-        if (state !== undefined && state !== firstSample && !exclude.includes(state.target.nodeId)) {
+        if (state !== undefined && state !== alreadySampled && !exclude.includes(state.target.nodeId)) {
             return state;
         }
     }
@@ -57,17 +57,17 @@
     pool: readonly TargetState<Target>[],
     oldestStartedAt: Milliseconds,
     context: SampleContext,
-    firstSample: TargetState<Target> | undefined,
+    alreadySampled: TargetState<Target> | undefined,
 ): TargetState<Target> | undefined => {
     for (let sample = 0; sample < MAXIMUM_SAMPLES; sample++) {
         const state = pool[pickIndex(context.random, pool.length)];
         const isEligible =
-            state !== undefined && state !== firstSample && !context.exclude.includes(state.target.nodeId);
+            state !== undefined && state !== alreadySampled && !context.exclude.includes(state.target.nodeId);
         if (isEligible && isAcceptedInSlowStart(state, oldestStartedAt, context)) {
             return state;
         }
     }
-    return findEligibleTarget(pool, context, firstSample);
+    return findEligibleTarget(pool, context, alreadySampled);
 };
 
 /**
--- a/packages/oleandergap-routing/src/measure/decisionCost.ts
+++ b/packages/oleandergap-routing/src/measure/decisionCost.ts
@@ -20,7 +20,7 @@
     readonly pickAndReportNs: number;
 }
 
-const measureRound = async (round: () => void | Promise<void>): Promise<number> => {
+const measureAverageNs = async (round: () => void | Promise<void>): Promise<number> => {
     for (let warmUp = 0; warmUp < ROUNDS / 4; warmUp++) {
         await round();
     }
@@ -35,7 +35,7 @@
     const clock = createSystemClock();
     const gate = createGate({ clock, limit: basePlan.limit, slots: basePlan.announcedSlots });
     const { signal } = new AbortController();
-    return measureRound(async () => {
+    return measureAverageNs(async () => {
         const admission = await gate.admit({ ...SERVICE, deadline: clock.monotonic() + 1000, signal });
         if (either.isRight(admission)) {
             admission.right.release("Answered");
@@ -69,7 +69,7 @@
     };
     const targets = createTargets(count);
     const load = { inFlight: 3, queued: 0, capacity: 12, expectedWaitMs: 0 };
-    return measureRound(() => {
+    return measureAverageNs(() => {
         const pick = picker.pick({ service: SERVICE, row, targets, exclude: [], canResend: true });
         pick?.report({ kind: "Answered", latencyMs: 10 }, load);
     });
--- a/packages/oleandergap-routing/src/measure/ourService.ts
+++ b/packages/oleandergap-routing/src/measure/ourService.ts
@@ -12,7 +12,7 @@
 
 const SERVICE: ServiceReference = { partner: "halloway", service: "wills-desk" };
 /** Start time of the targets, long enough ago that their slow start is over. */
-const STARTED_LONG_AGO = -1_000_000;
+const START_TIME_MS = -1_000_000;
 
 /** A simulated target behind a real gate. */
 export interface ModelTarget extends RoutableTarget {
@@ -40,7 +40,7 @@
     zone: `zone-${index % plan.zones}`,
     slots: plan.announcedSlots,
     leaving: false,
-    since: STARTED_LONG_AGO,
+    since: START_TIME_MS,
     model,
     gate: createGate({ clock, limit: plan.limit, slots: plan.announcedSlots, options: plan.gateOptions }),
 }));
--- a/packages/oleandergap-routing/src/measure/runLoad.ts
+++ b/packages/oleandergap-routing/src/measure/runLoad.ts
@@ -9,7 +9,7 @@
 /** A service behind this project, or behind a naive proxy. */
 export type ServiceKind = "ours" | "naive";
 
-/** Returns the value below which the share `part` of the sorted values lies, or 0 if there are no values. */
+/** Returns the value below which the given fraction of the sorted values lies, or 0 if there are no values. */
 export const quantile = (sorted: readonly number[], fraction: number): number =>
     sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? 0;
 
--- a/packages/oleandergap-routing/src/nearTarget.ts
+++ b/packages/oleandergap-routing/src/nearTarget.ts
@@ -1,7 +1,7 @@
 /**
  * Prefers local targets while they have free slots. A response from the local VM needs no second hop and no traffic
- * between availability zones; a response from the local zone needs no such traffic. A nearly full target is not
- * preferred, because the added latency would outweigh this saving.
+ * between availability zones; a response from the local zone needs no such traffic. This saving does not justify a
+ * nearly full target.
  *
  * The load of the target on the local VM is known exactly, so a single free slot suffices there. With a stricter limit,
  * every request would take the second hop under load, just when processor time is scarcest.
@@ -23,8 +23,8 @@
     /** Like `nearLoad`, for the target on the local VM. */
     readonly ownLoad: number;
     /**
-     * Factor by which a local target may be more loaded than a remote one and still be chosen, when no local target has
-     * a free slot.
+     * Factor by which a local target may be more loaded than a target sampled from all zones and still be chosen, when
+     * no local target is within its load limit.
      */
     readonly nearAdvantage: number;
 }
@@ -73,13 +73,13 @@
 interface LocalTarget<Target extends RoutableTarget> {
     readonly state: TargetState<Target>;
     readonly load: number;
-    /** Whether the target is chosen without a comparison with other targets. */
-    readonly hasFreeSlot: boolean;
+    /** Whether the load of the target is within the limit below which local targets are preferred. */
+    readonly isPreferred: boolean;
 }
 
 /**
- * Returns the target on the local VM while that has a free slot, else the least loaded local target. Targets in slow
- * start are skipped, because sampling limits their share.
+ * Returns the target on the local VM while its load is at most `ownLoad`, else the least loaded local target. Targets
+ * in slow start are skipped, because sampling limits their share.
  */
 const findLocalTarget = <Target extends RoutableTarget>(
     localTargets: readonly TargetState<Target>[],
@@ -94,19 +94,19 @@
         }
         const load = scoreTarget(state, context);
         if (isOnLocalVm(state, preference) && load <= preference.ownLoad) {
-            return { state, load, hasFreeSlot: true };
+            return { state, load, isPreferred: true };
         }
         if (best === undefined || load < best.load) {
-            best = { state, load, hasFreeSlot: load <= preference.nearLoad };
+            best = { state, load, isPreferred: load <= preference.nearLoad };
         }
     }
     return best;
 };
 
 /**
- * Returns a local target with a free slot, or else a target sampled from all targets, unless a local target is hardly
- * more loaded than the sampled one. In an overload no target has a free slot; without this exception, nearly every
- * request would then cross availability zones.
+ * Returns a local target whose load is within its limit, or else a target sampled from all targets, unless a local
+ * target is hardly more loaded than the sampled one. In an overload no target has a free slot; without this exception,
+ * nearly every request would then cross availability zones.
  */
 export const chooseTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
@@ -115,7 +115,7 @@
     context: SampleContext,
 ): TargetState<Target> | undefined => {
     const localTarget = findLocalTarget(localTargets, preference, context);
-    if (localTarget?.hasFreeSlot === true) {
+    if (localTarget?.isPreferred === true) {
         return localTarget.state;
     }
     const sampledTarget = sampleTarget(candidates, context);
--- a/packages/oleandergap-routing/src/openAttempts.ts
+++ b/packages/oleandergap-routing/src/openAttempts.ts
@@ -10,7 +10,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { AttemptResult, DiscardAnswer, OpenAttempt } from "./requestExecution.js";
 
-/** The attempts of one request that are still running. It is empty at first. */
+/** The attempts of one request that are still running. The list is empty at first. */
 export interface OpenAttempts<Answer> {
     readonly add: (attempt: OpenAttempt<Answer>) => void;
     readonly isEmpty: () => boolean;
--- a/packages/oleandergap-routing/src/options.ts
+++ b/packages/oleandergap-routing/src/options.ts
@@ -44,8 +44,8 @@
     /** Like `nearLoad`, for the target on the local VM. At 1, one more request still finds a free slot there. */
     ownLoad: z.number().min(0).max(10).default(1),
     /**
-     * Factor by which a local target may be more loaded than a remote one and still be chosen, when no local target has
-     * a free slot.
+     * Factor by which a local target may be more loaded than a remote one and still be chosen, when no local target is
+     * within `nearLoad` or `ownLoad`.
      */
     nearAdvantage: z.number().min(0).max(10).default(1.2),
     /**
--- a/packages/oleandergap-routing/src/refuseBeforeSending.ts
+++ b/packages/oleandergap-routing/src/refuseBeforeSending.ts
@@ -22,10 +22,14 @@
     failure.kind === "Refused" && failure.reason === "TargetBusy" && hasFreeSlot();
 
 /** Creates a refusal without a retry delay; `AttemptHistory.conclude` adds the delay. */
-export const createRefusal = (reason: "Cancelled" | "DeadlinePassed" | "LimitReached" | "NoTarget" | "Starved"): RequestFailure =>
-    ({ kind: "Refused", verdict: "notRun", reason, retryAfterMs: 0 });
+export const createRefusal = (
+    reason: "Cancelled" | "DeadlinePassed" | "LimitReached" | "NoTarget" | "Starved",
+): RequestFailure => ({ kind: "Refused", verdict: "notRun", reason, retryAfterMs: 0 });
 
-/** Returns whether a request finally failed for lack of capacity. `hasRoom` returns whether targets have free slots. */
+/**
+ * Returns whether a request finally failed for lack of capacity. `hasFreeSlot` returns whether any target has a free
+ * slot.
+ */
 const wasRefusedForCapacity = (routed: Either<RoutedFailure, unknown>, hasFreeSlot: () => boolean): boolean =>
     either.isLeft(routed) &&
     routed.left.failure.kind === "Refused" &&
--- a/packages/oleandergap-routing/src/requestExecution.ts
+++ b/packages/oleandergap-routing/src/requestExecution.ts
@@ -41,7 +41,7 @@
 export interface AttemptContext {
     readonly deadline: Milliseconds;
     readonly signal: AbortSignal;
-    /** Receives events of the attempt that occur before its outcome. */
+    /** Receives events of the attempt that say something about its target. */
     readonly progress: AttemptProgress;
 }
 
--- a/packages/oleandergap-routing/src/retryBudget.ts
+++ b/packages/oleandergap-routing/src/retryBudget.ts
@@ -7,8 +7,11 @@
 const REROUTES_PER_SUCCESS = 1;
 
 /**
+ * Kind of budget token that a retry costs.
+ *
  * - `Repeat`: the failed attempt caused work for a target or a gate, and the retry may cause it again.
- * - `Reroute`: the failed attempt only met a target that is gone, so the retry adds no load to the healthy targets.
+ * - `Reroute`: the failed attempt only met a target that is gone, or was refused without work for a target, so the
+ *   retry adds no load to the healthy targets.
  */
 export type RetryCost = "Repeat" | "Reroute";
 
--- a/packages/oleandergap-routing/src/serviceState.ts
+++ b/packages/oleandergap-routing/src/serviceState.ts
@@ -128,7 +128,9 @@
         }
     }
     service.zones = normaliseShares(zones);
-    service.localTargets = row.placement === "load" ? listLocalTargets(service.states.values(), context.localityPreference) : [];
+    service.localTargets = row.placement === "load" ?
+        listLocalTargets(service.states.values(), context.localityPreference) :
+        [];
 };
 
 /** Distributes the shares of zones without targets over the other zones, in proportion to their weights. */
--- a/packages/oleandergap-routing/src/target.ts
+++ b/packages/oleandergap-routing/src/target.ts
@@ -63,7 +63,7 @@
      */
     | { readonly kind: "Abandoned"; readonly waitedMs?: Milliseconds };
 
-/** Receives events of an attempt that occur before or after its outcome. */
+/** Receives events of an attempt that say something about its target, besides the outcome. */
 export interface AttemptProgress {
     /** Whether the request probes an ejected target. A probe should wait only briefly for a heartbeat. */
     readonly isProbe: boolean;
@@ -78,8 +78,8 @@
      */
     readonly silent: () => boolean;
     /**
-     * Records that the response body ended completely (`isWhole`) or was interrupted through no fault of the caller. It
-     * is called after the outcome was reported.
+     * Records that the response body ended completely (`isComplete`) or was interrupted through no fault of the caller.
+     * It is called after the outcome was reported.
      */
     readonly bodyEnded: (isComplete: boolean) => void;
 }
--- a/packages/oleandergap-routing/src/tryTarget.ts
+++ b/packages/oleandergap-routing/src/tryTarget.ts
@@ -45,14 +45,14 @@
     pick: TargetPick<Target>,
     execution: RequestExecution<Target>,
     attempt: Attempt<Target, Answer>,
-    open: OpenAttempts<Answer>,
+    openAttempts: OpenAttempts<Answer>,
 ) => Promise<AttemptResult<Answer>>;
 
 /** Creates the function that runs attempts. */
 export const createTryTarget = <Target extends RoutableTarget>(clock: Clock): TryTarget<Target> => {
     /**
-     * An attempt that throws is a fault of this program. The request may or may not have been sent, so the verdict is
-     * `mayHaveRun`.
+     * Runs the attempt and converts an exception to a failure. An exception is a fault of this program. The request may
+     * or may not have been sent, so the verdict is `mayHaveRun`.
      */
     const runAttempt = async <Answer>(
         { target, progress }: TargetPick<Target>,
@@ -99,16 +99,16 @@
         pick: TargetPick<Target>,
         execution: RequestExecution<Target>,
         attempt: Attempt<Target, Answer>,
-        open: OpenAttempts<Answer>,
+        openAttempts: OpenAttempts<Answer>,
     ): Promise<AttemptResult<Answer>> => {
-        if (open.isEmpty()) {
+        if (openAttempts.isEmpty()) {
             return tryTarget(pick, execution, attempt);
         }
         const cancellation = new AbortController();
         const signal = AbortSignal.any([execution.signal, cancellation.signal]);
         const result = tryTarget(pick, { ...execution, signal }, attempt);
-        const firstResult = await Promise.race([result, open.answer().then((answer) => answer ?? result)]);
-        open.add({ result, cancel: () => cancellation.abort() });
+        const firstResult = await Promise.race([result, openAttempts.answer().then((answer) => answer ?? result)]);
+        openAttempts.add({ result, cancel: () => cancellation.abort() });
         return firstResult;
     };
 };
--- a/packages/oleandergap-routing/src/zoneShares.ts
+++ b/packages/oleandergap-routing/src/zoneShares.ts
@@ -37,7 +37,7 @@
 };
 
 /**
- * Returns the share of each zone in the requests of a node in `ownZone`. Over the whole fleet, the shares match the
+ * Returns the share of each zone in the requests of a node in `localZone`. Over the whole fleet, the shares match the
  * weights of the table; a zone of weight 0 gets none.
  */
 export const planZoneShares = (
