--- a/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
@@ -19,43 +19,44 @@
 const failed = (failure: Parameters<typeof either.left>[0]): Result =>
     ({ outcome: either.left(failure), load: undefined, retriedBelow: false } as Result);
 
-/** An attempt that ends when the test says so. */
-interface Controlled {
+/** An attempt that ends when the test resolves it. */
+interface ControlledAttempt {
     readonly result: Promise<Result>;
     readonly end: (result: Result) => void;
 }
 
-const createControlled = (): Controlled => {
-    let end: Controlled["end"] = () => undefined;
+const createControlledAttempt = (): ControlledAttempt => {
+    let end: ControlledAttempt["end"] = () => undefined;
     const result = new Promise<Result>((resolve) => {
         end = resolve;
     });
     return { result, end };
 };
 
-/** Enough turns for all that waits only for promises. */
-const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+/** Waits until all pending promise callbacks have run. */
+const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 /*
- * Symptom: reads that a target works on are cut, and their callers get an answer of the system's own.
- * Sequence: a gate whose signs of life are late was silent to another request already, so that there is no second try
- *   at it; the request is sent elsewhere, and refused there.
- * Cause: the silent attempt was closed as soon as the next one began.
+ * Guards against aborted reads whose callers receive an error of the routing layer. The gate's heartbeats are late, so
+ * the request is sent to another target and refused there. The first attempt must still be running at that time.
  */
-describe("an attempt that is silent and goes on", () => {
+describe("an attempt that is left running after a heartbeat timeout", () => {
     const clock = createManualClock();
-    let open: Controlled;
-    let second: Controlled;
-    let cancelled: number;
+    let openAttempt: ControlledAttempt;
+    let secondAttempt: ControlledAttempt;
+    let cancellations: number;
     let secondSignal: AbortSignal | undefined;
-    let discarded: string[];
+    let discardedAnswers: string[];
 
-    /** Two targets: the first attempt is silent and stays open, the second is under the test's control. */
+    /**
+     * Routes a request with two targets: the first attempt times out without a heartbeat and stays open, and the test
+     * controls the second.
+     */
     const execute = (): Promise<Either<RoutedFailure, Routed<string>>> => {
-        open = createControlled();
-        second = createControlled();
-        cancelled = 0;
-        discarded = [];
+        openAttempt = createControlledAttempt();
+        secondAttempt = createControlledAttempt();
+        cancellations = 0;
+        discardedAnswers = [];
         const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-a", clock, random: createSeededRandom(1) });
         let attempts = 0;
         return createRequestRouter({ clock, picker }).execute<string>({
@@ -71,56 +72,56 @@
             attempts += 1;
             if (attempts > 1) {
                 secondSignal = signal;
-                return second.result;
+                return secondAttempt.result;
             }
             return Promise.resolve({
                 ...failed(answerLost),
                 open: {
-                    result: open.result,
+                    result: openAttempt.result,
                     cancel: () => {
-                        cancelled += 1;
+                        cancellations += 1;
                     },
                 },
             });
-        }, (answer) => discarded.push(answer));
+        }, (answer) => discardedAnswers.push(answer));
     };
 
-    it("gives the answer when the request is refused elsewhere", async () => {
+    it("provides the response when the other target refuses the request", async () => {
         const routed = execute();
-        second.end(failed(refused("DeadlineTooShort")));
-        await settle();
-        open.end(answered("late"));
+        secondAttempt.end(failed(refused("DeadlineTooShort")));
+        await flushPromises();
+        openAttempt.end(answered("late"));
         expect(either.toUnion(await routed)).to.include({ answer: "late" });
-        expect(cancelled).to.equal(0);
-        expect(discarded).to.deep.equal([]);
+        expect(cancellations).to.equal(0);
+        expect(discardedAnswers).to.deep.equal([]);
     });
 
-    it("gives the answer when it comes before another one, which is given up", async () => {
+    it("cancels the other attempt when it responds first", async () => {
         const routed = execute();
-        await settle();
-        open.end(answered("late"));
+        await flushPromises();
+        openAttempt.end(answered("late"));
         expect(either.toUnion(await routed)).to.include({ answer: "late" });
         expect(secondSignal?.aborted).to.equal(true);
-        second.end(answered("second"));
-        await settle();
-        expect(discarded).to.deep.equal(["second"]);
+        secondAttempt.end(answered("second"));
+        await flushPromises();
+        expect(discardedAnswers).to.deep.equal(["second"]);
     });
 
-    it("is given up when another target answers first", async () => {
+    it("is cancelled when another target responds first", async () => {
         const routed = execute();
-        second.end(answered("second"));
+        secondAttempt.end(answered("second"));
         expect(either.toUnion(await routed)).to.include({ answer: "second" });
-        expect(cancelled).to.equal(1);
-        open.end(answered("late"));
-        await settle();
-        expect(discarded).to.deep.equal(["late"]);
+        expect(cancellations).to.equal(1);
+        openAttempt.end(answered("late"));
+        await flushPromises();
+        expect(discardedAnswers).to.deep.equal(["late"]);
     });
 
-    it("leaves the verdict open when it ends without an answer", async () => {
+    it("leads to the verdict mayHaveRun when it ends without a response", async () => {
         const routed = execute();
-        second.end(failed(refused("DeadlineTooShort")));
-        await settle();
-        open.end(failed(answerLost));
+        secondAttempt.end(failed(refused("DeadlineTooShort")));
+        await flushPromises();
+        openAttempt.end(failed(answerLost));
         const result = await routed;
         expect(either.isLeft(result) && result.left.failure.verdict).to.equal("mayHaveRun");
     });
--- a/packages/oleandergap-routing/src/__tests__/routerHarness.ts
+++ b/packages/oleandergap-routing/src/__tests__/routerHarness.ts
@@ -1,4 +1,4 @@
-/** Drives a request router in tests with attempts whose results are given. */
+/** Test harness for the request router, with predefined attempt results. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { NodeId, RefusalReason, RequestFailure } from "oleandergap-types";
@@ -20,14 +20,14 @@
 export const answerLost: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "reset" };
 export const answerCut: RequestFailure = { kind: "AnswerCut", verdict: "ran", detail: "cut" };
 
-/** A result of one attempt; undefined stands for an answer. */
-export interface Scripted {
+/** Result of one attempt; an undefined failure means a response. */
+export interface ScriptedAttempt {
     readonly failure: RequestFailure | undefined;
     readonly retriedBelow?: boolean;
     readonly takesMs?: number;
 }
 
-export const good: Scripted = { failure: undefined };
+export const successful: ScriptedAttempt = { failure: undefined };
 
 export interface ExecutionRecord {
     readonly result: Either<RoutedFailure, Routed<string>>;
@@ -36,9 +36,9 @@
 
 export interface RouterHarness {
     readonly clock: ManualClock;
-    /** Runs one request; the n-th attempt gets the n-th result, and an answer when there is none left. */
+    /** Routes one request. The n-th attempt ends with the n-th result, or with a response if there is none. */
     readonly execute: (
-        script: readonly Scripted[],
+        script: readonly ScriptedAttempt[],
         overrides?: Partial<RequestExecution<RoutableTarget>>,
     ) => Promise<ExecutionRecord>;
 }
@@ -67,13 +67,13 @@
             signal: new AbortController().signal,
             ...overrides,
         }, async (target) => {
-            const scripted = script[tried.length] ?? good;
+            const attempt = script[tried.length] ?? successful;
             tried.push(target.nodeId);
-            clock.freeze(scripted.takesMs ?? 1);
+            clock.freeze(attempt.takesMs ?? 1);
             return {
-                outcome: scripted.failure === undefined ? either.right("answer") : either.left(scripted.failure),
+                outcome: attempt.failure === undefined ? either.right("answer") : either.left(attempt.failure),
                 load: undefined,
-                retriedBelow: scripted.retriedBelow ?? false,
+                retriedBelow: attempt.retriedBelow ?? false,
             };
         });
         return { result, tried };
--- a/packages/oleandergap-routing/src/__tests__/starvationThrottle.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/starvationThrottle.test.ts
@@ -2,20 +2,27 @@
 import { createManualClock, createSeededRandom } from "oleandergap-utils";
 import { createStarvationThrottle } from "../starvationThrottle.js";
 
-interface Part {
+interface RequestKind {
     readonly kind: string;
-    /** Part of its runs that need a call. */
-    readonly calling: number;
+    /** Share of the runs of this kind that need a downstream call. */
+    readonly callingShare: number;
 }
 
-interface Played {
+interface SimulationResult {
     readonly offered: number;
     readonly sent: number;
     readonly served: number;
 }
 
-/** Offers 100 requests of a kind a second for `seconds`; calls are served with a probability. */
-const play = async ({ kind, calling }: Part, served: (second: number) => number, seconds: number): Promise<Played> => {
+/**
+ * Offers 100 requests per second of one kind for `seconds`. `getServedShare` returns the probability that a downstream
+ * call is served.
+ */
+const simulate = async (
+    { kind, callingShare }: RequestKind,
+    getServedShare: (second: number) => number,
+    seconds: number,
+): Promise<SimulationResult> => {
     const clock = createManualClock();
     const random = createSeededRandom(7);
     const throttle = createStarvationThrottle(clock, createSeededRandom(8));
@@ -24,9 +31,9 @@
         counts.offered += 1;
         if (throttle.admits(kind)) {
             counts.sent += 1;
-            const isStarved = random() < calling && random() >= served(count / 100);
+            const isStarved = random() < callingShare && random() >= getServedShare(count / 100);
             counts.served += isStarved ? 0 : 1;
-            clock.after(150, () => throttle.noteRun(kind, isStarved));
+            clock.after(150, () => throttle.recordRun(kind, isStarved));
         }
         await clock.advance(10);
     }
@@ -34,21 +41,21 @@
 };
 
 describe("createStarvationThrottle", () => {
-    // Symptom: seven in ten runs of a service end with its targets' own 500, and its queues are full.
-    // Sequence: a service loses two of its three targets; requests elsewhere are let in, run, call it and fail.
-    // Cause: each hop decides by its own room alone, whatever the runs that it lets in need.
-    it("sends little of what nearly always fails, and still notices room", async () => {
-        const short = await play({ kind: "again", calling: 0.875 }, () => 0, 20);
-        expect(short.sent / short.offered).to.be.within(0.2, 0.55);
-        const none = await play({ kind: "lookup", calling: 1 }, () => 0, 20);
-        expect(none.sent / none.offered).to.be.within(0.08, 0.16);
-        const back = await play({ kind: "lookup", calling: 1 }, (second) => second < 10 ? 0 : 1, 20);
-        // Of the 1,000 requests after the return, more than nine in ten.
-        expect(back.served).to.be.above(900);
+    // Guards against seven in ten runs of a service ending with status 500 while its queues are full. A downstream
+    // service has lost two of its three targets, and each hop admits requests by its own capacity alone, although their
+    // runs need that service.
+    it("limits requests that nearly always fail and detects the recovery", async () => {
+        const mostlyStarved = await simulate({ kind: "again", callingShare: 0.875 }, () => 0, 20);
+        expect(mostlyStarved.sent / mostlyStarved.offered).to.be.within(0.2, 0.55);
+        const alwaysStarved = await simulate({ kind: "lookup", callingShare: 1 }, () => 0, 20);
+        expect(alwaysStarved.sent / alwaysStarved.offered).to.be.within(0.08, 0.16);
+        const recovered = await simulate({ kind: "lookup", callingShare: 1 }, (second) => second < 10 ? 0 : 1, 20);
+        // More than nine in ten of the 1,000 requests after the recovery.
+        expect(recovered.served).to.be.above(900);
     });
 
-    it("sends everything while a third of the runs ends well", async () => {
-        const { offered, sent } = await play({ kind: "first", calling: 0.5 }, () => 0, 10);
+    it("sends all requests while at least a third of the runs succeed", async () => {
+        const { offered, sent } = await simulate({ kind: "first", callingShare: 0.5 }, () => 0, 10);
         expect(sent / offered).to.be.above(0.97);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/targetPicker.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/targetPicker.test.ts
@@ -5,7 +5,7 @@
 const threeZones = [...createTargets("hall-a", 4), ...createTargets("hall-b", 4), ...createTargets("hall-c", 4)];
 
 describe("createTargetPicker", () => {
-    it("gives each zone its exact share, give or take two requests", async () => {
+    it("gives each zone its exact share within two requests", async () => {
         await fastCheck.assert(fastCheck.asyncProperty(
             fastCheck.record({
                 "hall-a": fastCheck.nat(100),
@@ -26,7 +26,7 @@
         ), { numRuns: 60 });
     });
 
-    it("never uses a zone of weight 0, whatever fails elsewhere", async () => {
+    it("never uses a zone of weight 0, even if the other zones fail", async () => {
         const harness = createPickerHarness(threeZones, createRow({ "hall-a": 1, "hall-b": 0 }));
         const refused = await harness.send(200, () => queueFull);
         const failed = await harness.send(200, () => connectFailed);
@@ -37,7 +37,7 @@
         expect(harness.pick(allOfZone)).to.equal(undefined);
     });
 
-    it("never picks a leaving target or one that the request has tried", async () => {
+    it("never picks a leaving target or one that the request was already sent to", async () => {
         const targets = createTargets("hall-a", 4).map((target, index) => ({ ...target, leaving: index === 0 }));
         const harness = createPickerHarness(targets, createRow({ "hall-a": 1 }));
         expect((await harness.send(100)).has("hall-a-0")).to.equal(false);
@@ -46,7 +46,7 @@
         }
     });
 
-    it("follows a changed row and a changed directory with the next pick", async () => {
+    it("applies a changed row or directory at the next pick", async () => {
         const harness = createPickerHarness(threeZones, createRow({ "hall-a": 1 }));
         await harness.send(10);
         harness.setRow(createRow({ "hall-b": 1 }));
@@ -55,51 +55,51 @@
         expect(harness.pick()).to.equal(undefined);
     });
 
-    it("prefers targets with free slots, as their gates report them", async () => {
+    it("prefers targets whose gates report free slots", async () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), createRow({ "hall-a": 1 }));
-        const busy = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
-        const idle = { inFlight: 0, queued: 0, capacity: 10, expectedWaitMs: 0 };
+        const busyLoad = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
+        const idleLoad = { inFlight: 0, queued: 0, capacity: 10, expectedWaitMs: 0 };
         let idlePicks = 0;
         for (let count = 0; count < 100; count++) {
             const chosen = harness.pick();
             const isIdle = chosen?.target.nodeId === "hall-a-1";
             idlePicks += isIdle ? 1 : 0;
-            chosen?.report({ kind: "Answered", latencyMs: 10 }, isIdle ? idle : busy);
+            chosen?.report({ kind: "Answered", latencyMs: 10 }, isIdle ? idleLoad : busyLoad);
             harness.clock.freeze(1);
         }
         expect(idlePicks).to.be.at.least(98);
     });
 
-    it("lets a load report fade, so that an old one keeps no target out", async () => {
+    it("decays a load report, so that an old one does not exclude a target", async () => {
         const harness = createPickerHarness(createTargets("hall-a", 2), createRow({ "hall-a": 1 }));
-        const busy = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
+        const busyLoad = { inFlight: 9, queued: 5, capacity: 10, expectedWaitMs: 50 };
         const first = harness.pick();
-        first?.report({ kind: "Answered", latencyMs: 10 }, busy);
+        first?.report({ kind: "Answered", latencyMs: 10 }, busyLoad);
         harness.clock.freeze(3000);
         const counts = await harness.send(100);
         expect(counts.get(first?.target.nodeId ?? "")).to.be.at.least(25);
     });
 
-    it("stays in the own zone when callers are spread evenly and weights are equal, and leaves it when it is short", async () => {
+    it("stays in the local zone with even callers and weights, and leaves it when it is overloaded", async () => {
         const weights = createRow({ "hall-a": 1, "hall-b": 1, "hall-c": 1 });
         const harness = createPickerHarness(threeZones, weights, { callerSpread: "evenOverZones" }, "hall-b");
         expect(countFor(await harness.send(90), "hall-b")).to.equal(90);
-        const short = await harness.send(90, ({ zone }) => zone === "hall-b" ? queueFull : answered);
-        expect(countFor(short, "hall-b")).to.be.below(45);
-        expect(countFor(short, "hall-a")).to.be.closeTo(countFor(short, "hall-c"), 2);
+        const countsWhenOverloaded = await harness.send(90, ({ zone }) => zone === "hall-b" ? queueFull : answered);
+        expect(countFor(countsWhenOverloaded, "hall-b")).to.be.below(45);
+        expect(countFor(countsWhenOverloaded, "hall-a")).to.be.closeTo(countFor(countsWhenOverloaded, "hall-c"), 2);
     });
 
-    it("starts young targets slowly, and all alike when all are young", async () => {
-        const old = createTargets("hall-a", 4);
-        const young = createTargets("hall-a-young", 1, 1_000_000).map((target) => ({ ...target, zone: "hall-a" }));
-        const mixed = createPickerHarness([...old, ...young], createRow({ "hall-a": 1 }));
-        const first = countFor(await mixed.send(500), "hall-a-young");
-        mixed.clock.freeze(20_000);
-        const later = countFor(await mixed.send(500), "hall-a-young");
+    it("applies the slow start to new targets, but not relative to other new targets", async () => {
+        const establishedTargets = createTargets("hall-a", 4);
+        const newTargets = createTargets("hall-a-young", 1, 1_000_000).map((target) => ({ ...target, zone: "hall-a" }));
+        const mixedHarness = createPickerHarness([...establishedTargets, ...newTargets], createRow({ "hall-a": 1 }));
+        const first = countFor(await mixedHarness.send(500), "hall-a-young");
+        mixedHarness.clock.freeze(20_000);
+        const later = countFor(await mixedHarness.send(500), "hall-a-young");
         expect(first).to.be.within(3, 30);
         expect(later).to.be.within(70, 130);
-        const fresh = createPickerHarness(createTargets("hall-a", 4, 1_000_000), createRow({ "hall-a": 1 }));
-        const shares = [...(await fresh.send(400)).values()];
+        const newTargetsHarness = createPickerHarness(createTargets("hall-a", 4, 1_000_000), createRow({ "hall-a": 1 }));
+        const shares = [...(await newTargetsHarness.send(400)).values()];
         expect(Math.min(...shares)).to.be.at.least(60);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
@@ -12,26 +12,32 @@
 import { createRow, createTargets, testService } from "./pickerHarness.js";
 import { answerLost } from "./routerHarness.js";
 
-const CALL_DISTANCE_MS: Milliseconds = 5;
+const CALL_INTERVAL_MS: Milliseconds = 5;
 const RUN_MS: Milliseconds = 50;
-/** Callers of such calls expire with the runs that made them. */
-const PATIENCE_MS: Milliseconds = 400;
+/** Time until a caller disconnects. Calls expire together with the runs that made them. */
+const CALLER_TIMEOUT_MS: Milliseconds = 400;
 
-/** How the only target treats a call; it answers just in time, or after its caller has gone. */
-type Treatment = "Answers" | "AnswersSlowly" | "ReadsTooLate";
+/** How the only target handles a call: it responds quickly, just in time, or after the caller has disconnected. */
+type CallHandling = "Answers" | "AnswersSlowly" | "ReadsTooLate";
 
-const RUN_TIMES: Readonly<Record<Treatment, Milliseconds>> =
-    { Answers: RUN_MS, AnswersSlowly: 0.8 * PATIENCE_MS, ReadsTooLate: 2 * PATIENCE_MS };
+const RUN_DURATIONS: Readonly<Record<CallHandling, Milliseconds>> =
+    { Answers: RUN_MS, AnswersSlowly: 0.8 * CALLER_TIMEOUT_MS, ReadsTooLate: 2 * CALLER_TIMEOUT_MS };
 
-interface Calls {
+interface CallSimulation {
     readonly clock: ManualClock;
-    /** Calls of the time that has passed since the last look: all of them, and those that were sent and answered. */
-    readonly look: () => { readonly asked: number; readonly sent: number; readonly answered: number };
-    readonly play: (durationMs: Milliseconds, treatment: Treatment, patienceMs?: Milliseconds) => Promise<void>;
+    /**
+     * Returns the calls since the previous invocation: all of them, those that were sent, and those that were answered.
+     */
+    readonly takeCounts: () => { readonly requested: number; readonly sent: number; readonly answered: number };
+    readonly simulate: (
+        durationMs: Milliseconds,
+        handling: CallHandling,
+        callerTimeoutMs?: Milliseconds,
+    ) => Promise<void>;
 }
 
-/** One node that calls a service with one target, 200 times a second. */
-const createCalls = (): Calls => {
+/** Creates one node that calls a service with one target 200 times per second. */
+const createCallSimulation = (): CallSimulation => {
     const clock = createManualClock();
     const random = createSeededRandom(5);
     const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-a", clock, random });
@@ -39,88 +45,84 @@
     const router = createRequestRouter({ clock, picker, throttle });
     const row = { ...createRow({ "hall-a": 1 }, 0.1), placement: "load" as const };
     const targets = createTargets("hall-a", 1);
-    let asked = 0;
+    let requested = 0;
     let sent = 0;
     let answered = 0;
 
-    const attempt = (treatment: Treatment, signal: AbortSignal): Promise<AttemptResult<string>> =>
+    const attempt = (handling: CallHandling, signal: AbortSignal): Promise<AttemptResult<string>> =>
         new Promise((resolve) => {
             sent += 1;
             signal.addEventListener("abort", () =>
                 resolve({ outcome: either.left(answerLost), load: undefined, retriedBelow: false }));
-            clock.after(RUN_TIMES[treatment], () =>
+            clock.after(RUN_DURATIONS[handling], () =>
                 resolve({ outcome: either.right("answer"), load: undefined, retriedBelow: false }));
         });
 
-    const call = async (treatment: Treatment, patienceMs: Milliseconds): Promise<void> => {
-        asked += 1;
+    const call = async (handling: CallHandling, callerTimeoutMs: Milliseconds): Promise<void> => {
+        requested += 1;
         const caller = new AbortController();
-        clock.after(patienceMs, () => caller.abort());
+        clock.after(callerTimeoutMs, () => caller.abort());
         const routed = await router.execute<string>({
             service: testService,
             row,
             targets,
             idempotent: true,
             replayable: () => true,
-            deadline: clock.monotonic() + PATIENCE_MS,
+            deadline: clock.monotonic() + CALLER_TIMEOUT_MS,
             retriesAllowed: true,
             kind: "status",
             signal: caller.signal,
-        }, (_target, { signal }) => attempt(treatment, signal));
+        }, (_target, { signal }) => attempt(handling, signal));
         answered += either.isRight(routed) ? 1 : 0;
     };
 
     return {
         clock,
-        look: () => {
-            const counts = { asked, sent, answered };
-            asked = 0;
+        takeCounts: () => {
+            const counts = { requested, sent, answered };
+            requested = 0;
             sent = 0;
             answered = 0;
             return counts;
         },
-        play: async (durationMs, treatment, patienceMs = PATIENCE_MS) => {
-            for (let passed = 0; passed < durationMs; passed += CALL_DISTANCE_MS) {
-                void call(treatment, patienceMs);
-                await clock.advance(CALL_DISTANCE_MS);
+        simulate: async (durationMs, handling, callerTimeoutMs = CALLER_TIMEOUT_MS) => {
+            for (let passed = 0; passed < durationMs; passed += CALL_INTERVAL_MS) {
+                void call(handling, callerTimeoutMs);
+                await clock.advance(CALL_INTERVAL_MS);
             }
         },
     };
 };
 
 /*
- * Symptom: for ten seconds next to no call of a service is answered, and most requests that make such calls fail,
- *   while its target has nearly all slots free.
- * Sequence: of a service one target is left, beside a node that has just started; calls come faster than the node reads
- *   them; their callers give up before they are read, and the next ones call as often.
- * Cause: each node sent on all its calls, as one that nobody answered counted as accepted; only refusals throttled.
- * Evidence: for nine seconds each call that reached the gate, 98 to 264 a second, had lost its caller, while 0 to 4 of
- *   18 slots were taken, 10 in the last second; without charge for processor time the same day has no such seconds.
+ * Guards against a service that answers almost no calls while nearly all slots of its target are free. Calls arrive
+ * faster than the target's node reads them, and their callers give up first. If an unanswered call counted as accepted,
+ * each node would keep sending all of its calls.
  */
-describe("calls whose callers give up before they are read", () => {
+describe("calls whose callers disconnect before the calls are read", () => {
     it("are refused at the first node until the target's node has caught up", async () => {
-        const calls = createCalls();
-        await calls.play(1_000, "Answers");
-        // Answers take longer and longer before none comes in time; what is usual must not grow with them.
-        await calls.play(2_000, "AnswersSlowly");
-        await calls.play(2_000, "ReadsTooLate");
-        calls.look();
-        await calls.play(1_000, "ReadsTooLate");
-        const late = calls.look();
-        expect(late.sent / late.asked).to.be.at.most(1 / 3);
-        await calls.play(3_000, "Answers");
-        calls.look();
-        await calls.play(1_000, "Answers");
-        const again = calls.look();
-        expect(again.answered / again.asked).to.be.at.least(0.95);
+        const simulation = createCallSimulation();
+        await simulation.simulate(1_000, "Answers");
+        // Responses take longer before they miss the deadline altogether; the typical latency must not grow with them.
+        await simulation.simulate(2_000, "AnswersSlowly");
+        await simulation.simulate(2_000, "ReadsTooLate");
+        simulation.takeCounts();
+        await simulation.simulate(1_000, "ReadsTooLate");
+        const lateCounts = simulation.takeCounts();
+        expect(lateCounts.sent / lateCounts.requested).to.be.at.most(1 / 3);
+        await simulation.simulate(3_000, "Answers");
+        simulation.takeCounts();
+        await simulation.simulate(1_000, "Answers");
+        const recoveredCounts = simulation.takeCounts();
+        expect(recoveredCounts.answered / recoveredCounts.requested).to.be.at.least(0.95);
     });
 
-    it("say nothing if their callers give up early", async () => {
-        const calls = createCalls();
-        await calls.play(1_000, "Answers");
-        calls.look();
-        await calls.play(2_000, "Answers", RUN_MS / 2);
-        const { asked, sent } = calls.look();
-        expect(sent).to.equal(asked);
+    it("are not counted against the service if their callers disconnect early", async () => {
+        const simulation = createCallSimulation();
+        await simulation.simulate(1_000, "Answers");
+        simulation.takeCounts();
+        await simulation.simulate(2_000, "Answers", RUN_MS / 2);
+        const { requested, sent } = simulation.takeCounts();
+        expect(sent).to.equal(requested);
     });
 });
--- a/packages/oleandergap-routing/src/fadingCounts.ts
+++ b/packages/oleandergap-routing/src/fadingCounts.ts
@@ -1,49 +1,49 @@
-/** Counts by kind that fade with time, for decisions that follow what became of requests lately. */
+/** Counters by kind that decay exponentially over time, for decisions based on recent requests. */
 import type { Clock, Milliseconds } from "oleandergap-types";
 
-/** Kinds that are remembered; the oldest gives way. */
+/** Maximum number of kinds with counters. The oldest kind is evicted. */
 const MAXIMUM_KINDS = 512;
 
-/** What counts are kept with. */
-export interface FadingCountsOptions<Counts> {
+/** Settings of the counters. */
+export interface DecayingCountersOptions<Counts> {
     readonly clock: Clock;
-    /** Time in which a count falls to a third. */
-    readonly memoryMs: Milliseconds;
-    /** The counts of a kind that nothing is known of. */
+    /** Time constant of the decay, in milliseconds: a count falls to about a third (1/e) in this time. */
+    readonly timeConstantMs: Milliseconds;
+    /** Returns the initial counters of a kind. */
     readonly create: () => Counts;
-    /** Multiplies each count by a part of one. */
+    /** Multiplies each counter by a factor between 0 and 1. */
     readonly scale: (counts: Counts, factor: number) => void;
 }
 
 interface Entry<Counts> {
     readonly counts: Counts;
-    countedAt: Milliseconds;
+    updatedAt: Milliseconds;
 }
 
-/** The counts of a kind as they are now; to be changed in place. */
-export type FadingCounts<Counts> = (kind: string) => Counts;
+/** Returns the counters of a kind, decayed to the current time. Callers modify them in place. */
+export type DecayingCounters<Counts> = (kind: string) => Counts;
 
-/** Starts without any kind. */
-export const createFadingCounts = <Counts>(
-    { clock, memoryMs, create, scale }: FadingCountsOptions<Counts>,
-): FadingCounts<Counts> => {
+/** Creates counters without any kinds. */
+export const createDecayingCounters = <Counts>(
+    { clock, timeConstantMs, create, scale }: DecayingCountersOptions<Counts>,
+): DecayingCounters<Counts> => {
     const entries = new Map<string, Entry<Counts>>();
 
-    const start = (kind: string, now: Milliseconds): Entry<Counts> => {
+    const createEntry = (kind: string, now: Milliseconds): Entry<Counts> => {
         const [oldest] = entries.keys();
         if (entries.size >= MAXIMUM_KINDS && oldest !== undefined) {
             entries.delete(oldest);
         }
-        const entry = { counts: create(), countedAt: now };
+        const entry = { counts: create(), updatedAt: now };
         entries.set(kind, entry);
         return entry;
     };
 
     return (kind) => {
         const now = clock.monotonic();
-        const entry = entries.get(kind) ?? start(kind, now);
-        scale(entry.counts, Math.exp((entry.countedAt - now) / memoryMs));
-        entry.countedAt = now;
+        const entry = entries.get(kind) ?? createEntry(kind, now);
+        scale(entry.counts, Math.exp((entry.updatedAt - now) / timeConstantMs));
+        entry.updatedAt = now;
         return entry.counts;
     };
 };
--- a/packages/oleandergap-routing/src/measure/decisionCost.ts
+++ b/packages/oleandergap-routing/src/measure/decisionCost.ts
@@ -1,4 +1,4 @@
-/** What the decisions on a request's way cost the processor. */
+/** Measures the processor time of the decisions that are made for each request. */
 import { performance } from "node:perf_hooks";
 import * as either from "fp-ts/lib/Either.js";
 import { createGate } from "oleandergap-gate";
@@ -20,7 +20,7 @@
     readonly pickAndReportNs: number;
 }
 
-const timeRounds = async (round: () => void | Promise<void>): Promise<number> => {
+const measureAverageNs = async (round: () => void | Promise<void>): Promise<number> => {
     for (let warmUp = 0; warmUp < ROUNDS / 4; warmUp++) {
         await round();
     }
@@ -31,11 +31,11 @@
     return ((performance.now() - startedAt) * NANOSECONDS_PER_MILLISECOND) / ROUNDS;
 };
 
-const timeGate = (): Promise<number> => {
+const measureGate = (): Promise<number> => {
     const clock = createSystemClock();
     const gate = createGate({ clock, limit: basePlan.limit, slots: basePlan.announcedSlots });
     const { signal } = new AbortController();
-    return timeRounds(async () => {
+    return measureAverageNs(async () => {
         const admission = await gate.admit({ ...SERVICE, deadline: clock.monotonic() + 1000, signal });
         if (either.isRight(admission)) {
             admission.right.release("Answered");
@@ -52,7 +52,7 @@
         since: 0,
     }));
 
-const timePicker = (count: number): Promise<number> => {
+const measurePicker = (count: number): Promise<number> => {
     const picker = createTargetPicker({
         ownZone: "zone-0",
         clock: createSystemClock(),
@@ -69,15 +69,18 @@
     };
     const targets = createTargets(count);
     const load = { inFlight: 3, queued: 0, capacity: 12, expectedWaitMs: 0 };
-    return timeRounds(() => {
+    return measureAverageNs(() => {
         const pick = picker.pick({ service: SERVICE, row, targets, exclude: [], canResend: true });
         pick?.report({ kind: "Answered", latencyMs: 10 }, load);
     });
 };
 
-/** Wall-clock time of each decision, averaged over many; the figure depends on the machine and what else it runs. */
+/**
+ * Measures the wall-clock time of each decision, averaged over many rounds. The result depends on the machine and its
+ * other load.
+ */
 export const measureDecisionCost = async (targets: number): Promise<DecisionCost> => ({
     targets,
-    admitAndReleaseNs: await timeGate(),
-    pickAndReportNs: await timePicker(targets),
+    admitAndReleaseNs: await measureGate(),
+    pickAndReportNs: await measurePicker(targets),
 });
--- a/packages/oleandergap-routing/src/measure/ourService.ts
+++ b/packages/oleandergap-routing/src/measure/ourService.ts
@@ -1,4 +1,4 @@
-/** The service under measurement with this project's router and gates. */
+/** The measured service behind this project's router and gates. */
 import * as either from "fp-ts/lib/Either.js";
 import { createGate, type Admission, type Gate } from "oleandergap-gate";
 import type { Clock, RequestFailure, ServiceReference, ServiceRow } from "oleandergap-types";
@@ -7,12 +7,12 @@
 import { createRequestRouter } from "../requestRouter.js";
 import type { RoutableTarget } from "../target.js";
 import { createTargetPicker } from "../targetPicker.js";
-import type { LoadPlan, RequestEnd } from "./loadPlan.js";
+import type { LoadPlan, RequestResult } from "./loadPlan.js";
 import type { TargetModel } from "./targetModel.js";
 
 const SERVICE: ServiceReference = { partner: "halloway", service: "wills-desk" };
-/** The targets have been up for long. */
-const STARTED_LONG_AGO = -1_000_000;
+/** Start time of the targets, long enough ago that their slow start is over. */
+const START_TIME_MS = -1_000_000;
 
 /** A simulated target behind a real gate. */
 export interface ModelTarget extends RoutableTarget {
@@ -20,17 +20,17 @@
     readonly model: TargetModel;
 }
 
-/** One request of the load; its deadline is on the monotonic clock. */
+/** One request of the load. Its deadline is on the monotonic clock. */
 export interface SentRequest {
     readonly id: number;
     readonly idempotent: boolean;
     readonly deadline: number;
 }
 
-/** Carries one request to its end; `onAttempt` runs at each attempt. */
-export type SendRequest = (request: SentRequest, onAttempt: () => void) => Promise<RequestEnd>;
+/** Sends one request and returns its result. `onAttempt` is called at each attempt. */
+export type SendRequest = (request: SentRequest, onAttempt: () => void) => Promise<RequestResult>;
 
-/** One gate for each model, spread over the zones in turn. */
+/** Creates a gate for each target model and distributes them over the zones in turn. */
 export const createModelTargets = (
     clock: Clock,
     plan: LoadPlan,
@@ -40,7 +40,7 @@
     zone: `zone-${index % plan.zones}`,
     slots: plan.announcedSlots,
     leaving: false,
-    since: STARTED_LONG_AGO,
+    since: START_TIME_MS,
     model,
     gate: createGate({ clock, limit: plan.limit, slots: plan.announcedSlots, options: plan.gateOptions }),
 }));
@@ -54,9 +54,12 @@
     placement: "weights",
 });
 
-const lost: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "deadline passed" };
+const lostFailure: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "deadline passed" };
 
-/** Runs an admitted request until it is answered or its deadline passes; the slot is free once the target stopped. */
+/**
+ * Runs an admitted request until it is answered or its deadline passes. The slot is released when the target has
+ * stopped.
+ */
 const serve = (
     clock: Clock,
     target: ModelTarget,
@@ -72,7 +75,7 @@
         const stop = target.model.run(request.id, () => finish(either.right(request.id)));
         const cancelTimeout = clock.after(request.deadline - clock.monotonic(), () => {
             stop();
-            finish(either.left(lost));
+            finish(either.left(lostFailure));
         });
     });
 
@@ -94,8 +97,8 @@
         return createRequestRouter({ clock, picker });
     });
 
-/** Sends each request through the router of a gateway drawn at random. */
-export const createOurService = (
+/** Creates a sender that routes each request through a randomly selected gateway. */
+export const createRoutedService = (
     clock: Clock,
     random: Random,
     plan: LoadPlan,
--- a/packages/oleandergap-routing/src/measure/virtualClock.ts
+++ b/packages/oleandergap-routing/src/measure/virtualClock.ts
@@ -1,24 +1,24 @@
-/** A clock for discrete-event runs: time jumps from one event to the next. */
+/** A clock for discrete-event runs: time advances from one event to the next. */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { createSleep } from "oleandergap-utils";
 
 interface VirtualTimer {
     readonly due: Milliseconds;
     readonly order: number;
-    /** Undefined once cancelled; the entry itself stays until it falls due. */
+    /** Undefined after cancellation. The timer itself stays in the heap until it is due. */
     callback: (() => void) | undefined;
 }
 
-/** A clock that stands still between events. */
+/** A clock whose time does not advance between events. */
 export interface VirtualClock extends Clock {
-    /** Runs all events up to `end`, letting promises settle after each. */
+    /** Runs all events up to `end` and lets promises settle after each. */
     readonly runUntil: (end: Milliseconds) => Promise<void>;
 }
 
 const isBefore = (left: VirtualTimer, right: VirtualTimer): boolean =>
     left.due !== right.due ? left.due < right.due : left.order < right.order;
 
-/** A binary heap, since a run holds thousands of timers at once. */
+/** Creates a binary heap, because a run holds thousands of timers at once. */
 const createTimerHeap = (): { push: (timer: VirtualTimer) => void; pop: () => VirtualTimer | undefined } => {
     const heap: VirtualTimer[] = [];
 
@@ -37,40 +37,44 @@
         return first !== undefined && second !== undefined && isBefore(first, second);
     };
 
-    const rise = (start: number): void => {
-        for (let place = start; place > 0 && precedes(place, (place - 1) >> 1); place = (place - 1) >> 1) {
-            swap(place, (place - 1) >> 1);
+    const siftUp = (start: number): void => {
+        for (
+            let position = start;
+            position > 0 && precedes(position, (position - 1) >> 1);
+            position = (position - 1) >> 1
+        ) {
+            swap(position, (position - 1) >> 1);
         }
     };
 
-    const sink = (): void => {
-        let place = 0;
+    const siftDown = (): void => {
+        let position = 0;
         for (;;) {
-            const left = 2 * place + 1;
+            const left = 2 * position + 1;
             const smaller = precedes(left + 1, left) ? left + 1 : left;
-            if (!precedes(smaller, place)) {
+            if (!precedes(smaller, position)) {
                 return;
             }
-            swap(smaller, place);
-            place = smaller;
+            swap(smaller, position);
+            position = smaller;
         }
     };
 
     return {
         push: (timer) => {
             heap.push(timer);
-            rise(heap.length - 1);
+            siftUp(heap.length - 1);
         },
         pop: () => {
             swap(0, heap.length - 1);
             const first = heap.pop();
-            sink();
+            siftDown();
             return first;
         },
     };
 };
 
-/** Starts at 0, wall clock and monotonic alike. */
+/** Creates a clock whose wall-clock and monotonic times both start at 0. */
 export const createVirtualClock = (): VirtualClock => {
     const timers = createTimerHeap();
     let time = 0;
@@ -84,7 +88,7 @@
         };
     };
 
-    const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+    const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
     const runUntil = async (end: Milliseconds): Promise<void> => {
         for (let timer = timers.pop(); timer !== undefined; timer = timers.pop()) {
@@ -95,7 +99,7 @@
             if (timer.callback !== undefined) {
                 time = timer.due;
                 timer.callback();
-                await settle();
+                await flushPromises();
             }
         }
         time = end;
--- a/packages/oleandergap-routing/src/nearTarget.ts
+++ b/packages/oleandergap-routing/src/nearTarget.ts
@@ -1,112 +1,128 @@
 /**
- * Prefers targets nearby while they have room. An answer from the own VM costs neither a second hop nor bytes between
- * availability zones, and one from the own zone no such bytes; a target that is nearly full is not worth that. The load
- * of the own VM's target is known exactly, so that there a single free slot is room enough: under load, when processor
- * time is dearest, the second hop would otherwise be made for every request.
+ * Prefers local targets while they have free slots. A response from the local VM needs no second hop and no traffic
+ * between availability zones; a response from the local zone needs no such traffic. This saving does not justify a
+ * nearly full target.
+ *
+ * The load of the target on the local VM is known exactly, so a single free slot suffices there. With a stricter limit,
+ * every request would take the second hop under load, just when processor time is scarcest.
  */
 import type { NodeId, ZoneName } from "oleandergap-types";
 import { rankByRendezvous } from "oleandergap-utils";
-import { drawTarget, type DrawContext } from "./drawTarget.js";
+import { sampleTarget, type SampleContext } from "./drawTarget.js";
 import type { PickerOptions } from "./options.js";
 import type { RoutableTarget } from "./target.js";
 import { scoreTarget, type TargetState } from "./targetState.js";
 import type { Candidates } from "./zoneCandidates.js";
 
-/** Where a node stands, and how full a target nearby may be. */
-export interface Nearness {
-    readonly ownNode: NodeId | undefined;
-    readonly ownZone: ZoneName;
-    /** Highest expected load per slot at which a target nearby is chosen; 0 switches the preference off. */
+/** Position of this node, and the load limits up to which local targets are preferred. */
+export interface LocalityPreference {
+    readonly localNodeId: NodeId | undefined;
+    readonly localZone: ZoneName;
+    /** Highest expected load per slot at which a local target is chosen; 0 disables the preference. */
     readonly nearLoad: number;
-    /** The same for the target on the own VM. */
+    /** Like `nearLoad`, for the target on the local VM. */
     readonly ownLoad: number;
-    /** How many times as loaded as one further away a target nearby may be when none nearby has room. */
+    /**
+     * Factor by which a local target may be more loaded than a target sampled from all zones and still be chosen, when
+     * no local target is within its load limit.
+     */
     readonly nearAdvantage: number;
 }
 
-/** What the settings say; a `nearLoad` of 0 switches all preference for what is near off. */
-export const createNearness = (
+/** Creates the preference from the settings. A `nearLoad` of 0 disables every preference for local targets. */
+export const createLocalityPreference = (
     { nearLoad, ownLoad, nearAdvantage }: PickerOptions,
-    ownNode: NodeId | undefined,
-    ownZone: ZoneName,
-): Nearness => nearLoad === 0 ?
-    { ownNode, ownZone, nearLoad, ownLoad: 0, nearAdvantage: 0 } :
-    { ownNode, ownZone, nearLoad, ownLoad, nearAdvantage };
+    localNodeId: NodeId | undefined,
+    localZone: ZoneName,
+): LocalityPreference => nearLoad === 0 ?
+    { localNodeId, localZone, nearLoad, ownLoad: 0, nearAdvantage: 0 } :
+    { localNodeId, localZone, nearLoad, ownLoad, nearAdvantage };
 
-/** Targets nearby that are looked at for one request, so that a choice costs the same in a large zone. */
-const MAXIMUM_LOOKS = 8;
+/**
+ * Maximum number of local targets that are scored per request, so that the cost does not grow with the size of the
+ * zone.
+ */
+const MAXIMUM_SCORED_TARGETS = 8;
 
-const isOwn = <Target extends RoutableTarget>({ target }: TargetState<Target>, { ownNode }: Nearness): boolean =>
-    target.nodeId === ownNode;
+const isOnLocalVm = <Target extends RoutableTarget>(
+    { target }: TargetState<Target>,
+    { localNodeId }: LocalityPreference,
+): boolean => target.nodeId === localNodeId;
 
 /**
- * The targets of the own VM and zone: the own VM's first, the others in an order of this node's own, which hardly
- * changes when one comes or goes.
+ * Lists the targets of the local zone: first the one on the local VM, then the others in an order that is specific to
+ * this node and hardly changes when a target is added or removed.
  *
- * Only the first few are looked at. If all nodes listed them in the same order, those few would get nearly all requests
- * of a large zone: with 40 nodes and 20 targets 5 would get all of a calm load. With an order of its own each
- * node still uses few targets, over connections that it has open.
+ * Only the first few targets of the list are scored. If all nodes used the same order, those few would receive nearly
+ * all requests of a large zone: with 40 nodes and 20 targets, 5 targets would receive all requests at low load. With a
+ * node-specific order, each node still uses few targets, over connections that are already open.
  */
-export const listNearTargets = <Target extends RoutableTarget>(
+export const listLocalTargets = <Target extends RoutableTarget>(
     states: Iterable<TargetState<Target>>,
-    nearness: Nearness,
+    preference: LocalityPreference,
 ): readonly TargetState<Target>[] => {
-    const near = [...states].filter(({ target }) => target.zone === nearness.ownZone && !target.leaving);
-    const others = near.filter((state) => !isOwn(state, nearness));
+    const localTargets = [...states].filter(({ target }) => target.zone === preference.localZone && !target.leaving);
+    const others = localTargets.filter((state) => !isOnLocalVm(state, preference));
     return [
-        ...near.filter((state) => isOwn(state, nearness)),
-        ...rankByRendezvous(nearness.ownNode ?? "", others, ({ target }) => target.nodeId),
+        ...localTargets.filter((state) => isOnLocalVm(state, preference)),
+        ...rankByRendezvous(preference.localNodeId ?? "", others, ({ target }) => target.nodeId),
     ];
 };
 
-/** A target nearby, with its expected load per slot. */
-interface NearTarget<Target extends RoutableTarget> {
+/** A local target with its expected load per slot. */
+interface LocalTarget<Target extends RoutableTarget> {
     readonly state: TargetState<Target>;
     readonly load: number;
-    /** Whether it is chosen without a look at the others. */
-    readonly hasRoom: boolean;
+    /** Whether the load of the target is within the limit below which local targets are preferred. */
+    readonly isPreferred: boolean;
 }
 
-/** The least loaded one, or the own VM's while that has room; one that has just started is left to the slow start. */
-const findNearTarget = <Target extends RoutableTarget>(
-    near: readonly TargetState<Target>[],
-    nearness: Nearness,
-    context: DrawContext,
-): NearTarget<Target> | undefined => {
-    let found: NearTarget<Target> | undefined;
-    for (const state of near.slice(0, MAXIMUM_LOOKS)) {
-        const isYoung = context.now - state.startedAt < context.slowStartMs;
-        if (state.circuit.state !== "closed" || isYoung || context.exclude.includes(state.target.nodeId)) {
+/**
+ * Returns the target on the local VM while its load is at most `ownLoad`, else the least loaded local target. Targets
+ * in slow start are skipped, because sampling limits their share.
+ */
+const findLocalTarget = <Target extends RoutableTarget>(
+    localTargets: readonly TargetState<Target>[],
+    preference: LocalityPreference,
+    context: SampleContext,
+): LocalTarget<Target> | undefined => {
+    let best: LocalTarget<Target> | undefined;
+    for (const state of localTargets.slice(0, MAXIMUM_SCORED_TARGETS)) {
+        const isInSlowStart = context.now - state.startedAt < context.slowStartMs;
+        if (state.circuit.state !== "closed" || isInSlowStart || context.exclude.includes(state.target.nodeId)) {
             continue;
         }
         const load = scoreTarget(state, context);
-        if (isOwn(state, nearness) && load <= nearness.ownLoad) {
-            return { state, load, hasRoom: true };
+        if (isOnLocalVm(state, preference) && load <= preference.ownLoad) {
+            return { state, load, isPreferred: true };
         }
-        if (found === undefined || load < found.load) {
-            found = { state, load, hasRoom: load <= nearness.nearLoad };
+        if (best === undefined || load < best.load) {
+            best = { state, load, isPreferred: load <= preference.nearLoad };
         }
     }
-    return found;
+    return best;
 };
 
 /**
- * A target nearby that has room, else one drawn from all, unless a target nearby is hardly more loaded than that. In an
- * overload no target has room; drawn from all, nearly every request would then cross the availability zones.
+ * Returns a local target whose load is within its limit, or else a target sampled from all targets, unless a local
+ * target is hardly more loaded than the sampled one. In an overload no target has a free slot; without this exception,
+ * nearly every request would then cross availability zones.
  */
 export const chooseTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
-    near: readonly TargetState<Target>[],
-    nearness: Nearness,
-    context: DrawContext,
+    localTargets: readonly TargetState<Target>[],
+    preference: LocalityPreference,
+    context: SampleContext,
 ): TargetState<Target> | undefined => {
-    const found = findNearTarget(near, nearness, context);
-    if (found?.hasRoom === true) {
-        return found.state;
+    const localTarget = findLocalTarget(localTargets, preference, context);
+    if (localTarget?.isPreferred === true) {
+        return localTarget.state;
     }
-    const drawn = drawTarget(candidates, context);
-    if (found === undefined || drawn === undefined) {
-        return drawn ?? found?.state;
+    const sampledTarget = sampleTarget(candidates, context);
+    if (localTarget === undefined || sampledTarget === undefined) {
+        return sampledTarget ?? localTarget?.state;
     }
-    return found.load <= nearness.nearAdvantage * scoreTarget(drawn, context) ? found.state : drawn;
+    return localTarget.load <= preference.nearAdvantage * scoreTarget(sampledTarget, context) ?
+        localTarget.state :
+        sampledTarget;
 };
--- a/packages/oleandergap-routing/src/retryDecision.ts
+++ b/packages/oleandergap-routing/src/retryDecision.ts
@@ -1,51 +1,55 @@
-/** Whether a failed attempt may be followed by another one. */
+/** Decides whether a failed attempt may be retried. */
 import type { RefusalReason, RequestFailure } from "oleandergap-types";
-import { isShortage } from "./learnOutcome.js";
+import { isCapacityRefusal } from "./learnOutcome.js";
 import type { RetryBudget, RetryCost } from "./retryBudget.js";
 
-/** Refusals for want of capacity by different targets that show the whole service to be overloaded. */
-const REFUSALS_OF_OVERLOAD = 2;
+/**
+ * Number of refusals for lack of capacity, by different targets, after which the whole service counts as overloaded.
+ */
+const MAXIMUM_CAPACITY_REFUSALS = 2;
 
-/** What the decision depends on. */
-export interface RetryQuestion {
+/** Inputs of the decision. */
+export interface RetryConditions {
     readonly failure: RequestFailure;
     readonly idempotent: boolean;
     readonly replayable: () => boolean;
-    /** False when a hop above forbids it, a hop below has retried, or the row allows none. */
+    /**
+     * False when an upstream hop forbids retries, a downstream hop has already retried, or the row allows no retries.
+     */
     readonly retriesAllowed: boolean;
     readonly attempts: number;
     readonly maximumAttempts: number;
-    /** Whether the route lets the request reach another target. */
+    /** Whether the route allows the request to reach another target. */
     readonly hasTargetsLeft: boolean;
-    /** Attempts of this request that were refused for want of capacity. */
-    readonly shortages: number;
-    /** Whether another target is believed to have a free slot. */
-    readonly hasRoomElsewhere: () => boolean;
+    /** Number of attempts of this request that were refused for lack of capacity. */
+    readonly capacityRefusals: number;
+    /** Returns whether another target is expected to have a free slot. */
+    readonly hasFreeSlotElsewhere: () => boolean;
     readonly budget: RetryBudget;
 }
 
-/** Reasons that any other target would give as well, or that leave nobody to answer to. */
-const finalReasons: ReadonlySet<RefusalReason> = new Set<RefusalReason>([
+/** Refusal reasons that any other target would give as well, or after which no caller is waiting any more. */
+const nonRetryableReasons: ReadonlySet<RefusalReason> = new Set<RefusalReason>([
     "Cancelled",
     "ClaimUnavailable",
     "Contained",
     "DeadlinePassed",
 ]);
 
-const isFinal = (failure: RequestFailure): boolean => {
+const isNonRetryable = (failure: RequestFailure): boolean => {
     switch (failure.kind) {
         case "BadRequest":
         case "DuplicateKey":
             return true;
         case "Refused":
-            return finalReasons.has(failure.reason);
+            return nonRetryableReasons.has(failure.reason);
         default:
             return false;
     }
 };
 
-/** Whether a second run is impossible (`notRun`) or harmless (idempotent). */
-const isSafe = ({ failure, idempotent, replayable }: RetryQuestion): boolean => {
+/** Returns whether a second run is impossible (`notRun`) or harmless (idempotent). */
+const isSafeToRetry = ({ failure, idempotent, replayable }: RetryConditions): boolean => {
     switch (failure.verdict) {
         case "notRun":
             return replayable();
@@ -57,25 +61,26 @@
 };
 
 /**
- * A refusal by the gate itself has cost its target nothing. Where another target has a free slot, going there is no
- * repeat; counted as one, requests would be refused by a full target while others are idle.
+ * Returns the kind of token that a retry costs. A refusal by the gate itself causes no work for its target, so a retry
+ * at a target with a free slot counts as a reroute. If it counted as a repeat, requests would be refused by a full
+ * target while other targets are idle.
  */
-const costOf = ({ failure, hasRoomElsewhere }: RetryQuestion): RetryCost => {
+const getRetryCost = ({ failure, hasFreeSlotElsewhere }: RetryConditions): RetryCost => {
     if (failure.kind === "ConnectFailed") {
         return "Reroute";
     }
     if (failure.kind !== "Refused" || failure.reason === "TargetBusy") {
         return "Repeat";
     }
-    return isShortage(failure.reason) && !hasRoomElsewhere() ? "Repeat" : "Reroute";
+    return isCapacityRefusal(failure.reason) && !hasFreeSlotElsewhere() ? "Repeat" : "Reroute";
 };
 
-/** Takes a token from the budget when it answers true. */
-export const mayRetry = (question: RetryQuestion): boolean => {
-    const { failure, retriesAllowed, attempts, maximumAttempts, hasTargetsLeft, shortages, budget } = question;
-    const mayGoOn = retriesAllowed && hasTargetsLeft && attempts < maximumAttempts;
-    if (!mayGoOn || shortages >= REFUSALS_OF_OVERLOAD) {
+/** Returns whether the request may be retried. If so, it also takes a token from the budget. */
+export const tryAcquireRetry = (conditions: RetryConditions): boolean => {
+    const { failure, retriesAllowed, attempts, maximumAttempts, hasTargetsLeft, capacityRefusals, budget } = conditions;
+    const isWithinLimits = retriesAllowed && hasTargetsLeft && attempts < maximumAttempts;
+    if (!isWithinLimits || capacityRefusals >= MAXIMUM_CAPACITY_REFUSALS) {
         return false;
     }
-    return !isFinal(failure) && isSafe(question) && budget.tryWithdraw(costOf(question));
+    return !isNonRetryable(failure) && isSafeToRetry(conditions) && budget.tryWithdraw(getRetryCost(conditions));
 };
--- a/packages/oleandergap-routing/src/serviceState.ts
+++ b/packages/oleandergap-routing/src/serviceState.ts
@@ -1,7 +1,7 @@
-/** What one node knows of one service; rebuilt when the service's row or its targets change. */
+/** State that one node keeps about one service. It is rebuilt when the service's row or targets change. */
 import type { Clock, NodeId, ServiceRow, ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { listNearTargets, type Nearness } from "./nearTarget.js";
+import { listLocalTargets, type LocalityPreference } from "./nearTarget.js";
 import type { CallerSpread } from "./options.js";
 import type { RoutableTarget } from "./target.js";
 import { createTargetState, updateTarget, type TargetState } from "./targetState.js";
@@ -14,40 +14,40 @@
     row: ServiceRow | undefined;
     targets: readonly Target[] | undefined;
     states: Map<NodeId, TargetState<Target>>;
-    /** Kept also for zones without targets at the moment, so that what is known of them survives. */
+    /** Includes zones that have no targets at the moment, so that their state is kept. */
     readonly allZones: Map<ZoneName, ZoneState<Target>>;
-    /** Zones that may be chosen: with a weight and with targets. */
+    /** Zones that may be chosen: those with a weight and targets. */
     zones: readonly ZoneState<Target>[];
-    /** Targets of the own VM and zone; empty unless targets are placed by load. */
-    near: readonly TargetState<Target>[];
+    /** Targets on the local VM and in the local zone. Empty unless targets are placed by load. */
+    localTargets: readonly TargetState<Target>[];
 }
 
-/** What a rebuild depends on besides row and targets. */
+/** Inputs of a rebuild besides the row and the targets. */
 export interface RebuildContext {
     readonly clock: Clock;
     readonly random: Random;
-    readonly nearness: Nearness;
+    readonly localityPreference: LocalityPreference;
     readonly callerSpread: CallerSpread;
 }
 
-/** Starts without targets. */
+/** Creates the state of a service without targets. */
 export const createServiceState = <Target extends RoutableTarget>(): ServiceState<Target> => ({
     row: undefined,
     targets: undefined,
     states: new Map(),
     allZones: new Map(),
     zones: [],
-    near: [],
+    localTargets: [],
 });
 
 const collectStates = <Target extends RoutableTarget>(
-    known: ReadonlyMap<NodeId, TargetState<Target>>,
+    previousStates: ReadonlyMap<NodeId, TargetState<Target>>,
     targets: readonly Target[],
     clock: Clock,
 ): Map<NodeId, TargetState<Target>> => {
     const states = new Map<NodeId, TargetState<Target>>();
     for (const target of targets) {
-        const state = known.get(target.nodeId) ?? createTargetState(target, clock);
+        const state = previousStates.get(target.nodeId) ?? createTargetState(target, clock);
         updateTarget(state, target, clock);
         states.set(target.nodeId, state);
     }
@@ -55,12 +55,13 @@
 };
 
 /**
- * Stands for all availability zones where targets are chosen by load alone. Within one group the less loaded target
- * wins wherever it stands; split by zone, a zone with one target of a service would get as much as one with three.
+ * Represents all availability zones together where targets are chosen by load alone. Within one group, the less loaded
+ * target is chosen in whichever zone it is. With a group per zone, a zone with one target of a service would receive as
+ * many requests as a zone with three.
  */
 const ALL_ZONES: ZoneName = "";
 
-const groupStates = <Target extends RoutableTarget>(
+const groupByZone = <Target extends RoutableTarget>(
     states: Iterable<TargetState<Target>>,
     { placement }: ServiceRow,
 ): Map<ZoneName, TargetState<Target>[]> => {
@@ -77,7 +78,7 @@
     return groups;
 };
 
-const zoneOf = <Target extends RoutableTarget>(
+const getOrCreateZone = <Target extends RoutableTarget>(
     service: ServiceState<Target>,
     name: ZoneName,
     { clock, random }: RebuildContext,
@@ -85,37 +86,40 @@
     let zone = service.allZones.get(name);
     if (zone === undefined) {
         zone = createZoneState<Target>(name, clock.monotonic());
-        // Nodes that start together would otherwise all send their first requests to the same zone.
+        // Without a random start value, nodes that start together would all send their first requests to the same zone.
         zone.credit = random();
         service.allZones.set(name, zone);
     }
     return zone;
 };
 
-/** A directory may hand out a new array of the same records; comparing them is far cheaper than a rebuild. */
+/**
+ * Compares two lists by their items. A directory may return a new array of the same records, and this comparison is far
+ * cheaper than a rebuild.
+ */
 const isSameList = <Item>(left: readonly Item[] | undefined, right: readonly Item[]): boolean =>
     left === right ||
     (left?.length === right.length && left.every((item, index) => item === right[index]));
 
-/** Takes in a new row or new targets; does nothing when both are the ones known. */
+/** Applies a new row or new targets. Does nothing if neither has changed. */
 export const refreshService = <Target extends RoutableTarget>(
     service: ServiceState<Target>,
     row: ServiceRow,
     targets: readonly Target[],
     context: RebuildContext,
 ): void => {
-    const isKnown = service.row === row && isSameList(service.targets, targets);
+    const isUnchanged = service.row === row && isSameList(service.targets, targets);
     service.targets = targets;
-    if (isKnown) {
+    if (isUnchanged) {
         return;
     }
     service.row = row;
     service.states = collectStates(service.states, targets, context.clock);
     const weights: ServiceRow["weights"] = row.placement === "load" ? new Map([[ALL_ZONES, 1]]) : row.weights;
-    const shares = planZoneShares(weights, context.nearness.ownZone, context.callerSpread);
+    const shares = planZoneShares(weights, context.localityPreference.localZone, context.callerSpread);
     const zones: ZoneState<Target>[] = [];
-    for (const [name, states] of groupStates(service.states.values(), row)) {
-        const zone = zoneOf(service, name, context);
+    for (const [name, states] of groupByZone(service.states.values(), row)) {
+        const zone = getOrCreateZone(service, name, context);
         zone.candidates = createCandidates(name, states);
         zone.weight = weights.get(name) ?? 0;
         zone.share = shares.get(name) ?? 0;
@@ -124,17 +128,19 @@
         }
     }
     service.zones = normaliseShares(zones);
-    service.near = row.placement === "load" ? listNearTargets(service.states.values(), context.nearness) : [];
+    service.localTargets = row.placement === "load" ?
+        listLocalTargets(service.states.values(), context.localityPreference) :
+        [];
 };
 
-/** A zone without targets leaves its share to the others in proportion to their weights. */
+/** Distributes the shares of zones without targets over the other zones, in proportion to their weights. */
 const normaliseShares = <Target extends RoutableTarget>(
     zones: readonly ZoneState<Target>[],
 ): readonly ZoneState<Target>[] => {
-    const planned = zones.reduce((sum, zone) => sum + zone.share, 0);
-    const weights = zones.reduce((sum, zone) => sum + zone.weight, 0);
+    const plannedShare = zones.reduce((sum, zone) => sum + zone.share, 0);
+    const totalWeight = zones.reduce((sum, zone) => sum + zone.weight, 0);
     for (const zone of zones) {
-        zone.share += ((1 - planned) * zone.weight) / weights;
+        zone.share += ((1 - plannedShare) * zone.weight) / totalWeight;
     }
     return zones;
 };
--- a/packages/oleandergap-routing/src/tryTarget.ts
+++ b/packages/oleandergap-routing/src/tryTarget.ts
@@ -1,4 +1,4 @@
-/** Runs one attempt at a chosen target, and tells the picker what it teaches. */
+/** Runs one attempt at a picked target and reports its outcome to the picker. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, GateLoad, Milliseconds, RequestFailure } from "oleandergap-types";
 import { describeError } from "oleandergap-utils";
@@ -7,10 +7,11 @@
 import type { AttemptOutcome, RoutableTarget, TargetPick } from "./target.js";
 
 /**
- * A request whose time is over before it could be sent is refused by this node, not by the target's: no load was told.
- * Taken for an answer, it would bring a target back that is cut off; one would see requests wait there again and again.
+ * Returns whether this node refused the request itself, because its deadline passed before it could be sent: in that
+ * case, no load was reported. If such a refusal counted as a response of the target's node, it would readmit an
+ * unreachable target, and requests would wait there again and again.
  */
-const isUnheard = (failure: RequestFailure, load: GateLoad | undefined): boolean =>
+const isRefusedLocally = (failure: RequestFailure, load: GateLoad | undefined): boolean =>
     failure.kind === "Refused" && failure.reason === "DeadlinePassed" && load === undefined;
 
 const toOutcome = (
@@ -18,7 +19,7 @@
     waitedMs: Milliseconds,
     isTimeout: boolean,
 ): AttemptOutcome => {
-    if (isUnheard(failure, load)) {
+    if (isRefusedLocally(failure, load)) {
         return { kind: "AnswerLost", waitedMs, isTimeout: true };
     }
     switch (failure.kind) {
@@ -36,17 +37,23 @@
     }
 };
 
-/** Never rejects. An attempt that goes on beside open ones is given up if one of them answers first. */
+/**
+ * Runs an attempt. Never rejects. While earlier attempts of the request are still running, a response to one of them
+ * cancels this attempt.
+ */
 export type TryTarget<Target extends RoutableTarget> = <Answer>(
     pick: TargetPick<Target>,
     execution: RequestExecution<Target>,
     attempt: Attempt<Target, Answer>,
-    open: OpenAttempts<Answer>,
+    openAttempts: OpenAttempts<Answer>,
 ) => Promise<AttemptResult<Answer>>;
 
 /** Creates the function that runs attempts. */
 export const createTryTarget = <Target extends RoutableTarget>(clock: Clock): TryTarget<Target> => {
-    /** An attempt that throws is a fault of this program; the request may be anywhere. */
+    /**
+     * Runs the attempt and converts an exception to a failure. An exception is a fault of this program. The request may
+     * or may not have been sent, so the verdict is `mayHaveRun`.
+     */
     const runAttempt = async <Answer>(
         { target, progress }: TargetPick<Target>,
         { deadline, signal }: RequestExecution<Target>,
@@ -71,7 +78,8 @@
         const result = await runAttempt(pick, execution, attempt);
         const now = clock.monotonic();
         if (either.isRight(result.outcome)) {
-            // A run that failed for want of a call took as long as the call, which says nothing of its target.
+            // A run that failed because its call was not served took as long as that call, so its latency says nothing
+            // about its target.
             pick.report(
                 result.isStarved === true ? { kind: "Abandoned" } : { kind: "Answered", latencyMs: now - sentAt },
                 result.load,
@@ -91,16 +99,16 @@
         pick: TargetPick<Target>,
         execution: RequestExecution<Target>,
         attempt: Attempt<Target, Answer>,
-        open: OpenAttempts<Answer>,
+        openAttempts: OpenAttempts<Answer>,
     ): Promise<AttemptResult<Answer>> => {
-        if (open.isEmpty()) {
+        if (openAttempts.isEmpty()) {
             return tryTarget(pick, execution, attempt);
         }
-        const loser = new AbortController();
-        const signal = AbortSignal.any([execution.signal, loser.signal]);
+        const cancellation = new AbortController();
+        const signal = AbortSignal.any([execution.signal, cancellation.signal]);
         const result = tryTarget(pick, { ...execution, signal }, attempt);
-        const earlier = await Promise.race([result, open.answer().then((answer) => answer ?? result)]);
-        open.add({ result, cancel: () => loser.abort() });
-        return earlier;
+        const firstResult = await Promise.race([result, openAttempts.answer().then((answer) => answer ?? result)]);
+        openAttempts.add({ result, cancel: () => cancellation.abort() });
+        return firstResult;
     };
 };
--- a/packages/oleandergap-routing/src/zoneChoice.ts
+++ b/packages/oleandergap-routing/src/zoneChoice.ts
@@ -1,4 +1,7 @@
-/** Chooses the zone of the next request: planned shares, less what cut-off or short zones cannot take. */
+/**
+ * Chooses the zone of the next request by the planned shares, reduced by what unreachable or overloaded zones cannot
+ * serve.
+ */
 import type { Milliseconds, ZoneName } from "oleandergap-types";
 import type { RoutableTarget } from "./target.js";
 import { isZoneUsable, type ZoneState } from "./zoneState.js";
@@ -13,31 +16,32 @@
     zones: readonly ZoneState<Target>[],
     isUsable: (zone: ZoneState<Target>) => boolean,
 ): number => {
-    let lost = 0;
-    let takers = 0;
+    let displacedShare = 0;
+    let receivingWeight = 0;
     for (const zone of zones) {
-        const part = isUsable(zone) ? 1 - zone.spill : 0;
-        zone.effectiveShare = zone.share * part;
-        lost += zone.share * (1 - part);
-        takers += zone.weight * part;
+        const usableShare = isUsable(zone) ? 1 - zone.spill : 0;
+        zone.effectiveShare = zone.share * usableShare;
+        displacedShare += zone.share * (1 - usableShare);
+        receivingWeight += zone.weight * usableShare;
     }
-    if (lost === 0 || takers === 0) {
-        return 1 - lost;
+    if (displacedShare === 0 || receivingWeight === 0) {
+        return 1 - displacedShare;
     }
     for (const zone of zones) {
-        const part = isUsable(zone) ? 1 - zone.spill : 0;
-        zone.effectiveShare += (lost * zone.weight * part) / takers;
+        const usableShare = isUsable(zone) ? 1 - zone.spill : 0;
+        zone.effectiveShare += (displacedShare * zone.weight * usableShare) / receivingWeight;
     }
     return 1;
 };
 
 /**
- * Smooth weighted rotation: after any number of picks each zone has had its exact share, give or take a few requests.
- * A random choice would honour the weights only on average, and a service with few requests would see the difference.
+ * Selects a zone by smooth weighted round robin: after any number of picks, each zone has received its exact share,
+ * within a few requests. A random choice would follow the weights only on average, which is visible for a service with
+ * few requests.
  */
-const rotate = <Target extends RoutableTarget>(
+const selectByRoundRobin = <Target extends RoutableTarget>(
     zones: readonly ZoneState<Target>[],
-    total: number,
+    totalShare: number,
 ): ZoneState<Target> | undefined => {
     let chosen: ZoneState<Target> | undefined;
     for (const zone of zones) {
@@ -51,13 +55,15 @@
         }
     }
     if (chosen !== undefined) {
-        chosen.credit -= total;
+        chosen.credit -= totalShare;
     }
     return chosen;
 };
 
 /**
- * @param zones only zones with a weight and with targets
+ * Chooses the zone of the next request.
+ *
+ * @param zones The zones that have a weight and targets.
  */
 export const chooseZone = <Target extends RoutableTarget>(
     zones: readonly ZoneState<Target>[],
@@ -68,11 +74,11 @@
         return onlyZone;
     }
     const isReachable = (zone: ZoneState<Target>): boolean => isZoneUsable(zone, now, canResend);
-    const total = assignShares(zones, (zone) => zone.zone !== avoidZone && isReachable(zone));
-    if (total > 0) {
-        return rotate(zones, total);
+    const totalShare = assignShares(zones, (zone) => zone.zone !== avoidZone && isReachable(zone));
+    if (totalShare > 0) {
+        return selectByRoundRobin(zones, totalShare);
     }
-    // If no zone seems to be left, the fault may as well be this node's. Refusing everything would make it certain.
+    // If no zone seems usable, the fault may be on this node. Refusing all requests would make the outage certain.
     const reachableTotal = assignShares(zones, isReachable);
-    return rotate(zones, reachableTotal > 0 ? reachableTotal : assignShares(zones, () => true));
+    return selectByRoundRobin(zones, reachableTotal > 0 ? reachableTotal : assignShares(zones, () => true));
 };
--- a/packages/oleandergap-routing/src/zoneState.ts
+++ b/packages/oleandergap-routing/src/zoneState.ts
@@ -1,51 +1,54 @@
-/** What one node knows of one service's zone: reachability, shortage, usual latency. */
+/** State that one node keeps about one zone of a service: reachability, lack of capacity, typical latency. */
 import type { Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { closeCircuit, createCircuit, isProbeDue, openCircuit, startProbe, type Circuit } from "./circuit.js";
 import type { PickerOptions } from "./options.js";
 import type { RoutableTarget } from "./target.js";
-import { countTargets, createCandidates, shortenEjections, type Candidates } from "./zoneCandidates.js";
+import { countTargets, createCandidates, makeProbesDue, type Candidates } from "./zoneCandidates.js";
 
-/** Part of a zone's remaining share that one refusal moves elsewhere. */
+/** Fraction of the remaining share of a zone that one refusal moves to other zones. */
 const SPILL_STEP = 0.2;
-/** Some requests always go to a short zone, so that its recovery shows. */
+/** Maximum spill. Some requests always go to an overloaded zone, so that its recovery is detected. */
 const MAXIMUM_SPILL = 0.95;
-/** Spill of a zone that has just become reachable again; its share returns as the spill fades. */
-const SPILL_AFTER_CUT = 0.8;
-/** Failures in a row, with no success between, after which a zone counts as cut off: its targets, within these. */
-const MINIMUM_FAILURES_OF_CUT = 3;
-const MAXIMUM_FAILURES_OF_CUT = 8;
+/** Spill of a zone that has just become reachable again. Its share returns as the spill decays. */
+const SPILL_AFTER_RECOVERY = 0.8;
+/**
+ * Bounds of the number of consecutive failures after which a zone counts as unreachable. Between the bounds, the number
+ * is that of the zone's targets.
+ */
+const MINIMUM_FAILURES_TO_TRIP = 3;
+const MAXIMUM_FAILURES_TO_TRIP = 8;
 /** Step of the running median of latencies, as a factor. */
 const TYPICAL_LATENCY_STEP = 1.02;
 
-/** Kinds of requests whose usual latency is remembered; the oldest gives way. */
+/** Maximum number of request kinds with a stored typical latency. The oldest kind is evicted. */
 const MAXIMUM_KINDS = 64;
 
-/** One zone's part in a service; times are on the monotonic clock. */
+/** State of one zone of a service. Times are on the monotonic clock. */
 export interface ZoneState<Target extends RoutableTarget> {
     readonly zone: ZoneName;
     candidates: Candidates<Target>;
-    /** The table's weight. */
+    /** Weight of the zone in the table. */
     weight: number;
-    /** Planned part of the node's requests. */
+    /** Planned share of this node's requests. */
     share: number;
-    /** Part of the share that goes elsewhere for want of capacity. */
+    /** Fraction of the share that is sent to other zones for lack of capacity, from 0 to 1. */
     spill: number;
     spillUpdatedAt: Milliseconds;
     readonly circuit: Circuit;
-    /** Node that failed last, and whether more than one failed since the last success. */
-    lastFailed: NodeId | undefined;
-    hasSeveralFailed: boolean;
-    /** Running median over all kinds of requests; 0 while nothing is known. */
+    /** Node that failed last, and whether more than one node has failed since the last success. */
+    lastFailedNode: NodeId | undefined;
+    haveSeveralNodesFailed: boolean;
+    /** Running median over all kinds of requests; 0 while no latency was measured. */
     typicalLatencyMs: Milliseconds;
-    /** Running medians by kind of request. */
-    readonly typicalByKind: Map<string, Milliseconds>;
-    /** Part that the zone gets at the moment, and its credit in the smooth weighted rotation. */
+    /** Running median by kind of request. */
+    readonly typicalLatencyByKind: Map<string, Milliseconds>;
+    /** Current share of the zone, and its credit in the smooth weighted round robin. */
     effectiveShare: number;
     credit: number;
 }
 
-/** A zone that nothing is known of yet. */
+/** Creates the state of a zone that has not been used yet. */
 export const createZoneState = <Target extends RoutableTarget>(
     zone: ZoneName,
     now: Milliseconds,
@@ -57,16 +60,16 @@
     spill: 0,
     spillUpdatedAt: now,
     circuit: createCircuit(),
-    lastFailed: undefined,
-    hasSeveralFailed: false,
+    lastFailedNode: undefined,
+    haveSeveralNodesFailed: false,
     typicalLatencyMs: 0,
-    typicalByKind: new Map(),
+    typicalLatencyByKind: new Map(),
     effectiveShare: 0,
     credit: 0,
 });
 
-/** Lets the spill fade with the time since it was last looked at. */
-export const fadeSpill = <Target extends RoutableTarget>(
+/** Decays the spill exponentially by the time since its last update. */
+export const decaySpill = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     now: Milliseconds,
     spillReturnMs: Milliseconds,
@@ -79,14 +82,15 @@
 };
 
 /**
- * A refusal for want of capacity. The share moves by steps and returns by time: if it returned with the first accepted
- * request, all nodes would swing between the zones together; one would see zones overloaded in turn.
+ * Increases the spill after a refusal for lack of capacity. The share moves in steps and returns over time. If it
+ * returned with the first accepted request, all nodes would switch between the zones together, and the zones would be
+ * overloaded in turn.
  */
-export const raiseSpill = <Target extends RoutableTarget>(zone: ZoneState<Target>, step = SPILL_STEP): void => {
+export const increaseSpill = <Target extends RoutableTarget>(zone: ZoneState<Target>, step = SPILL_STEP): void => {
     zone.spill = Math.min(MAXIMUM_SPILL, zone.spill + step * (1 - zone.spill));
 };
 
-/** One step of a running median towards the latest value. */
+/** Moves a running median one step towards the latest value. */
 const stepMedian = (median: Milliseconds, latest: Milliseconds): Milliseconds => {
     if (median === 0) {
         return latest;
@@ -94,58 +98,66 @@
     return median * (latest > median ? TYPICAL_LATENCY_STEP : 1 / TYPICAL_LATENCY_STEP);
 };
 
-/** The usual latency of a kind of request in the zone; that of all kinds while nothing is known of it. */
-export const usualLatency = <Target extends RoutableTarget>(zone: ZoneState<Target>, kind: string): Milliseconds =>
-    zone.typicalByKind.get(kind) ?? zone.typicalLatencyMs;
+/**
+ * Returns the typical latency of a kind of request in the zone, or that of all kinds while none of this kind was
+ * measured.
+ */
+export const getTypicalLatency = <Target extends RoutableTarget>(zone: ZoneState<Target>, kind: string): Milliseconds =>
+    zone.typicalLatencyByKind.get(kind) ?? zone.typicalLatencyMs;
 
 /**
- * A latency as if the request were of the usual kind. A service that runs short and long requests would otherwise seem
- * slow whenever a few long ones follow each other; one would see good targets ejected in turn.
+ * Scales a latency to that of a request of typical duration. Otherwise a service with both short and long requests
+ * would seem slow whenever a few long ones follow each other, and healthy targets would be ejected in turn.
  */
 export const normaliseLatency = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     kind: string,
     latencyMs: Milliseconds,
 ): Milliseconds => {
-    const usual = usualLatency(zone, kind);
-    return usual === 0 ? latencyMs : (latencyMs * zone.typicalLatencyMs) / usual;
+    const typicalMs = getTypicalLatency(zone, kind);
+    return typicalMs === 0 ? latencyMs : (latencyMs * zone.typicalLatencyMs) / typicalMs;
 };
 
-/** Takes in the latency of an answer. */
+/** Adds the latency of a response to the running medians. */
 export const addZoneLatency = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     kind: string,
     latencyMs: Milliseconds,
 ): void => {
-    const median = stepMedian(zone.typicalByKind.get(kind) ?? 0, latencyMs);
-    const [oldest] = zone.typicalByKind.keys();
-    if (!zone.typicalByKind.has(kind) && zone.typicalByKind.size >= MAXIMUM_KINDS && oldest !== undefined) {
-        zone.typicalByKind.delete(oldest);
+    const median = stepMedian(zone.typicalLatencyByKind.get(kind) ?? 0, latencyMs);
+    const [oldest] = zone.typicalLatencyByKind.keys();
+    if (
+        !zone.typicalLatencyByKind.has(kind) && zone.typicalLatencyByKind.size >= MAXIMUM_KINDS && oldest !== undefined
+    ) {
+        zone.typicalLatencyByKind.delete(oldest);
     }
-    zone.typicalByKind.set(kind, median);
+    zone.typicalLatencyByKind.set(kind, median);
     zone.typicalLatencyMs = stepMedian(zone.typicalLatencyMs, latencyMs);
 };
 
-/** An answer of any kind from the zone. */
-export const markZoneReached = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
+/** Records a response of any kind from the zone. */
+export const recordZoneResponse = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
     zone.circuit.failures = 0;
-    zone.lastFailed = undefined;
-    zone.hasSeveralFailed = false;
+    zone.lastFailedNode = undefined;
+    zone.haveSeveralNodesFailed = false;
     if (zone.circuit.state === "closed") {
         return;
     }
     closeCircuit(zone.circuit);
     zone.circuit.trips = 0;
-    zone.spill = SPILL_AFTER_CUT;
+    zone.spill = SPILL_AFTER_RECOVERY;
     zone.spillUpdatedAt = now;
-    shortenEjections(zone.candidates, now);
+    makeProbesDue(zone.candidates, now);
 };
 
-const failuresOfCut = <Target extends RoutableTarget>(zone: ZoneState<Target>): number =>
-    Math.min(MAXIMUM_FAILURES_OF_CUT, Math.max(MINIMUM_FAILURES_OF_CUT, countTargets(zone.candidates)));
+const countFailuresToTrip = <Target extends RoutableTarget>(zone: ZoneState<Target>): number =>
+    Math.min(MAXIMUM_FAILURES_TO_TRIP, Math.max(MINIMUM_FAILURES_TO_TRIP, countTargets(zone.candidates)));
 
-/** A connect failure or lost answer. A zone of several targets is not cut off because one of them fails. */
-export const markZoneFailed = <Target extends RoutableTarget>(
+/**
+ * Records a failure to connect or a lost response. A zone of several targets does not count as unreachable when only
+ * one of them fails.
+ */
+export const recordZoneFailure = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     nodeId: NodeId,
     now: Milliseconds,
@@ -154,32 +166,35 @@
 ): void => {
     const { circuit } = zone;
     circuit.failures += 1;
-    zone.hasSeveralFailed ||= zone.lastFailed !== undefined && zone.lastFailed !== nodeId;
-    zone.lastFailed = nodeId;
-    const isTrip = circuit.state === "closed" && circuit.failures >= failuresOfCut(zone) &&
-        (zone.hasSeveralFailed || countTargets(zone.candidates) === 1);
-    if (isTrip || circuit.state === "probing") {
+    zone.haveSeveralNodesFailed ||= zone.lastFailedNode !== undefined && zone.lastFailedNode !== nodeId;
+    zone.lastFailedNode = nodeId;
+    const shouldTrip = circuit.state === "closed" && circuit.failures >= countFailuresToTrip(zone) &&
+        (zone.haveSeveralNodesFailed || countTargets(zone.candidates) === 1);
+    if (shouldTrip || circuit.state === "probing") {
         openCircuit(circuit, now, options, random);
     }
 };
 
-/** Silence may take out all of a zone's targets; then only probes go there. */
-const hasOpenTarget = <Target extends RoutableTarget>(
+/**
+ * Returns whether the zone has an available target, or an ejected one that the request may probe. All targets of a zone
+ * may be ejected as unresponsive; the zone then receives only probes.
+ */
+const hasUsableTarget = <Target extends RoutableTarget>(
     { candidates }: ZoneState<Target>,
     now: Milliseconds,
     canResend: boolean,
 ): boolean => candidates.open.length > 0 || (canResend && now >= candidates.nextProbeAt);
 
-/** Whether the zone takes part in the choice, or this request may probe it. */
+/** Returns whether the zone takes part in the selection, or whether this request may probe it. */
 export const isZoneUsable = <Target extends RoutableTarget>(
     zone: ZoneState<Target>,
     now: Milliseconds,
     canResend: boolean,
-): boolean => hasOpenTarget(zone, now, canResend) &&
+): boolean => hasUsableTarget(zone, now, canResend) &&
     (zone.circuit.state === "closed" || isProbeDue(zone.circuit, now, canResend));
 
-/** Marks the probe when a request goes to a zone that counts as cut off. */
-export const noteZoneProbe = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
+/** Marks the zone as being probed when a request is sent to a zone that counts as unreachable. */
+export const startZoneProbe = <Target extends RoutableTarget>(zone: ZoneState<Target>, now: Milliseconds): void => {
     if (zone.circuit.state !== "closed") {
         startProbe(zone.circuit, now);
     }
