--- a/packages/oleandergap-node/src/__tests__/connectTimeout.test.ts
+++ b/packages/oleandergap-node/src/__tests__/connectTimeout.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { createManualClock } from "oleandergap-utils";
 import type { buildConnector } from "undici";
-import { createWatchedConnector } from "../http/socketEnd.js";
+import { createTrackedConnector } from "../http/socketEnd.js";
 
 const TIMEOUT_MS = 250;
 const TARGET = { hostname: "127.0.0.1", protocol: "http:", port: "9" };
@@ -19,7 +19,7 @@
             socket.once("error", (error) => callback(error, null));
             return socket;
         };
-        const connect = createWatchedConnector({ clock, timeoutMs: TIMEOUT_MS, build });
+        const connect = createTrackedConnector({ clock, timeoutMs: TIMEOUT_MS, build });
         const failures: string[] = [];
         connect(TARGET, (...[error]) => {
             failures.push((error as { code?: string } | null)?.code ?? "");
@@ -38,7 +38,7 @@
             clock.after(10, () => callback(null, socket));
             return socket;
         };
-        createWatchedConnector({ clock, timeoutMs: TIMEOUT_MS, build })(TARGET, () => undefined);
+        createTrackedConnector({ clock, timeoutMs: TIMEOUT_MS, build })(TARGET, () => undefined);
         await clock.advance(10 * TIMEOUT_MS);
         expect(socket.destroyed).to.equal(false);
         socket.destroy();
--- a/packages/oleandergap-node/src/__tests__/cutAnswers.test.ts
+++ b/packages/oleandergap-node/src/__tests__/cutAnswers.test.ts
@@ -77,7 +77,7 @@
         const turn = async (): Promise<void> => {
             turns += 1;
         };
-        const lag = createLoopLag({ clock, turn, onPause: (lagMs) => pauses.push(lagMs) });
+        const lag = createLoopLag({ clock, nextTurn: turn, onPause: (lagMs) => pauses.push(lagMs) });
         const life = new AbortController();
         lag.start(life.signal);
         await clock.advance(200);
@@ -99,7 +99,7 @@
      */
     it("schedules the next check a full interval after the last one while requests arrive", async () => {
         const clock = createManualClock(1_000_000);
-        const lag = createLoopLag({ clock, turn: async () => undefined, onPause: () => undefined });
+        const lag = createLoopLag({ clock, nextTurn: async () => undefined, onPause: () => undefined });
         const life = new AbortController();
         lag.start(life.signal);
         void lag.catchUp();
@@ -126,7 +126,7 @@
         const turn = async (): Promise<void> => {
             turns += 1;
         };
-        const lag = createLoopLag({ clock, turn, onPause: () => undefined });
+        const lag = createLoopLag({ clock, nextTurn: turn, onPause: () => undefined });
         const life = new AbortController();
         lag.start(life.signal);
         await clock.advance(200);
--- a/packages/oleandergap-node/src/__tests__/requestFingerprint.test.ts
+++ b/packages/oleandergap-node/src/__tests__/requestFingerprint.test.ts
@@ -3,7 +3,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Fingerprint } from "oleandergap-containment";
 import { createSystemClock } from "oleandergap-utils";
-import { receiveBody, REPLAY_BYTES } from "../http/requestBody.js";
+import { receiveBody, MAX_REPLAY_BYTES } from "../http/requestBody.js";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
 import { createCleanup, LOOPBACK, startTarget, until } from "./support.js";
 
@@ -22,7 +22,7 @@
                 }
             });
         });
-        const body = Buffer.alloc(2 * REPLAY_BYTES, "scan");
+        const body = Buffer.alloc(2 * MAX_REPLAY_BYTES, "scan");
         const head = `POST /deed HTTP/1.1\r\nhost: a.example\r\ncontent-length: ${body.length}\r\n\r\n`;
         for (const firstPiece of [1, 700, 40_000]) {
             const socket = net.connect(port, LOOPBACK).on("error", () => undefined);
--- a/packages/oleandergap-node/src/gateway/gatewayHandler.ts
+++ b/packages/oleandergap-node/src/gateway/gatewayHandler.ts
@@ -21,7 +21,7 @@
 import type { CallerDialect } from "../http/dialect.js";
 import type { RequestArrival } from "../http/listener.js";
 import { HTTP_STATUS } from "../http/refusal.js";
-import { canSendAgain, receiveBody, toRequestFailure, type RequestBody } from "../http/requestBody.js";
+import { isReplayable, receiveBody, toRequestFailure, type RequestBody } from "../http/requestBody.js";
 import type { RequestEnd } from "../http/requestEnd.js";
 import { writeAnswer, writeFailure } from "../http/writeAnswer.js";
 import type { EstimateWaited } from "./callerPatience.js";
@@ -154,7 +154,7 @@
             row,
             targets,
             idempotent: caller.idempotent,
-            replayable: () => canSendAgain(body),
+            replayable: () => isReplayable(body),
             deadline,
             retriesAllowed: !dialect.forbidsRetries(passage.request),
             maximumTargets: caller.maximumTargets,
--- a/packages/oleandergap-node/src/gateway/requestCare.ts
+++ b/packages/oleandergap-node/src/gateway/requestCare.ts
@@ -12,7 +12,7 @@
 import { observeBody, type Answer } from "../http/answer.js";
 import type { RequestBody } from "../http/requestBody.js";
 import { FIRST_ERROR_STATUS } from "../http/requestEnd.js";
-import { fingerprintRequest, type NamedRequest } from "../http/requestFingerprint.js";
+import { fingerprintRequest, type FingerprintedRequest } from "../http/requestFingerprint.js";
 import type { GateOutcome } from "./sendToGate.js";
 
 /** Subset of the containment that the gateway uses. */
@@ -38,7 +38,7 @@
 }
 
 /** Creates the crash containment of one request. */
-export type CreateRequestCare = (request: NamedRequest, body: RequestBody) => RequestCare;
+export type CreateRequestCare = (request: FingerprintedRequest, body: RequestBody) => RequestCare;
 
 /** Sends the request to one target; for `isSuspect` see `GateRequest`. */
 type SendOnce = (target: TargetMember, isSuspect: boolean, context: AttemptContext) => Promise<GateOutcome>;
--- a/packages/oleandergap-node/src/gateway/sendToGate.ts
+++ b/packages/oleandergap-node/src/gateway/sendToGate.ts
@@ -35,7 +35,7 @@
 import { parseLoad } from "../http/loadHeader.js";
 import { readFailure } from "../http/refusal.js";
 import type { RequestBody } from "../http/requestBody.js";
-import { sendWatched, type OpenTry, type Silence } from "../http/watchedExchange.js";
+import { sendWatched, type PendingAttempt, type Silence } from "../http/watchedExchange.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { LogSilentGate } from "./silenceLog.js";
 
@@ -119,7 +119,7 @@
  * Converts a pending attempt to the router's type. A response that arrives after a silence ends the silence of its
  * gate.
  */
-const readOpenTry = ({ outcome, cancel }: OpenTry, attempt: GateAttempt): OpenAttempt<Answer> => ({
+const readOpenTry = ({ outcome, cancel }: PendingAttempt, attempt: GateAttempt): OpenAttempt<Answer> => ({
     result: outcome.then((ended) => {
         if (either.isRight(ended)) {
             attempt.progress.heard();
@@ -205,7 +205,7 @@
             answerIdHeader: REQUEST_ID_HEADER,
             answerIdOf: (requestId) => requestId,
             headersOf: headersOf(attempt),
-            onSign: progress.heard,
+            onHeartbeat: progress.heard,
             onSilence: (silence) => {
                 const wasSilent = progress.silent();
                 log(silence, wasSilent);
--- a/packages/oleandergap-node/src/http/answer.ts
+++ b/packages/oleandergap-node/src/http/answer.ts
@@ -5,7 +5,7 @@
 export type AnswerHeaders = Readonly<Record<string, string | readonly string[] | undefined>>;
 
 /** Receives the body of a response. Exactly one of `end` and `fail` is called, exactly once and as the last call. */
-export interface AnswerSink {
+export interface ResponseSink {
     /** Returns false when the sink is full; the body then pauses until `resume` is called. */
     readonly write: (chunk: Buffer) => boolean;
     /** Called when the response is complete. */
@@ -14,9 +14,9 @@
     readonly fail: (failure: RequestFailure) => void;
 }
 
-export interface AnswerBody {
+export interface ResponseBody {
     /** Starts to write the body to `sink`. Must be called at most once. */
-    readonly deliver: (sink: AnswerSink) => void;
+    readonly deliver: (sink: ResponseSink) => void;
     /** Continues to write after `write` returned false. */
     readonly resume: () => void;
     /** Aborts the response: destroys its connection and calls `fail` unless the body has already ended. */
@@ -26,19 +26,19 @@
 export interface Answer {
     readonly statusCode: number;
     readonly headers: AnswerHeaders;
-    readonly body: AnswerBody;
+    readonly body: ResponseBody;
     /** True if the target failed because an outgoing call that it made was not served. */
     readonly isStarved?: boolean | undefined;
 }
 
 /** Returns the first value of a header, or undefined when the response does not contain it. */
 export const readAnswerHeader = (headers: AnswerHeaders, name: string): string | undefined => {
-    const value = headers[name];
-    return typeof value === "object" ? value[0] : value;
+    const headerValue = headers[name];
+    return typeof headerValue === "object" ? headerValue[0] : headerValue;
 };
 
 /** Creates a response body from bytes that are completely in memory. */
-export const createWholeBody = (bytes: Buffer): AnswerBody => ({
+export const createWholeBody = (bytes: Buffer): ResponseBody => ({
     deliver: (sink) => {
         if (bytes.length > 0) {
             sink.write(bytes);
@@ -59,11 +59,11 @@
  * Wraps a body so that `observer` sees its chunks and its end. Used to free a slot or to store a copy once the response
  * has been forwarded.
  */
-export const observeBody = (body: AnswerBody, observer: BodyObserver): AnswerBody => {
-    let finished = false;
+export const observeBody = (body: ResponseBody, observer: BodyObserver): ResponseBody => {
+    let isFinished = false;
     const finish = (failure: RequestFailure | undefined): void => {
-        if (!finished) {
-            finished = true;
+        if (!isFinished) {
+            isFinished = true;
             observer.onFinish(failure);
         }
     };
@@ -96,13 +96,13 @@
 const MAX_DISCARDED_BYTES = 16 * 1024;
 
 /** Discards the body. A short body is read to its end so that the connection can be reused. */
-export const discardBody = (answer: Answer): void => {
+export const discardBody = (upstreamResponse: Answer): void => {
     let discardedBytes = 0;
-    answer.body.deliver({
+    upstreamResponse.body.deliver({
         write: (chunk) => {
             discardedBytes += chunk.length;
             if (discardedBytes > MAX_DISCARDED_BYTES) {
-                answer.body.cancel("the answer is not needed");
+                upstreamResponse.body.cancel("the answer is not needed");
             }
             return true;
         },
--- a/packages/oleandergap-node/src/http/bodyFeed.ts
+++ b/packages/oleandergap-node/src/http/bodyFeed.ts
@@ -18,20 +18,20 @@
     readonly close: () => void;
 }
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
 const createStreamingFeed = (body: StreamingBody, awaitAdmission: boolean): BodyFeed => {
-    let decide: (goesOn: boolean) => void = ignore;
-    const decision = new Promise<boolean>((resolve) => {
-        decide = resolve;
+    let resolveAdmission: (isAdmitted: boolean) => void = noop;
+    const admission = new Promise<boolean>((resolve) => {
+        resolveAdmission = resolve;
     });
     if (!awaitAdmission) {
-        decide(true);
+        resolveAdmission(true);
     }
 
     const generate = async function* (): AsyncGenerator<Buffer> {
         yield body.prefix;
-        if (!await decision) {
+        if (!await admission) {
             throw new Error("the request was given up before it was sent whole");
         }
         yield* body.rest();
@@ -40,16 +40,16 @@
     const stream = Readable.from(generate(), { objectMode: false });
     // The exchange may already have ended when the feed is closed. The stream error would then have no other listener
     // and would terminate the process.
-    stream.on("error", ignore);
-    return { body: stream, open: () => decide(true), close: () => decide(false) };
+    stream.on("error", noop);
+    return { body: stream, open: () => resolveAdmission(true), close: () => resolveAdmission(false) };
 };
 
 export const createBodyFeed = (body: RequestBody, awaitAdmission: boolean): BodyFeed => {
     switch (body.kind) {
         case "Empty":
-            return { body: null, open: ignore, close: ignore };
+            return { body: null, open: noop, close: noop };
         case "Buffered":
-            return { body: body.bytes, open: ignore, close: ignore };
+            return { body: body.bytes, open: noop, close: noop };
         case "Streaming":
             return createStreamingFeed(body, awaitAdmission);
     }
--- a/packages/oleandergap-node/src/http/callerSignal.ts
+++ b/packages/oleandergap-node/src/http/callerSignal.ts
@@ -27,16 +27,16 @@
             // The `close` event of the response fires several event loop iterations after the end of the connection was
             // read. A node that lags behind checks for that end before it forwards a request and would miss it in these
             // iterations.
-            const leave = (): void => {
+            const abortIfUnfinished = (): void => {
                 if (!response.writableFinished) {
                     controller.abort();
                 }
             };
-            socket.once("end", leave);
+            socket.once("end", abortIfUnfinished);
             response.once("close", () => {
-                socket.removeListener("end", leave);
+                socket.removeListener("end", abortIfUnfinished);
                 controllers.delete(controller);
-                leave();
+                abortIfUnfinished();
             });
             return controller.signal;
         },
--- a/packages/oleandergap-node/src/http/connectionPools.ts
+++ b/packages/oleandergap-node/src/http/connectionPools.ts
@@ -9,7 +9,7 @@
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { Pool, type Dispatcher } from "undici";
-import { createWatchedConnector } from "./socketEnd.js";
+import { createTrackedConnector } from "./socketEnd.js";
 
 export interface ConnectionPoolsOptions {
     readonly clock: Clock;
@@ -38,80 +38,80 @@
 interface PoolEntry {
     readonly pool: Pool;
     readonly connections: number;
-    usedAt: Milliseconds;
+    lastUsedAt: Milliseconds;
 }
 
 const formatOrigin = (address: string, port: number): string =>
     address.includes(":") ? `http://[${address}]:${port}` : `http://${address}:${port}`;
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
 export const createConnectionPools = (options: ConnectionPoolsOptions): ConnectionPools => {
     const { clock } = options;
     const entries = new Map<string, PoolEntry>();
-    let sweptAt = clock.monotonic();
+    let lastSweepAt = clock.monotonic();
 
-    const openPool = (origin: string, connections: number): Pool =>
+    const createPool = (origin: string, connections: number): Pool =>
         new Pool(origin, {
             connections,
             pipelining: 1,
             keepAliveTimeout: options.idleMs,
             // The server's keep-alive hint may shorten the idle time, but not extend it.
             keepAliveMaxTimeout: options.idleMs,
-            connect: createWatchedConnector({ clock, timeoutMs: options.connectTimeoutMs }),
+            connect: createTrackedConnector({ clock, timeoutMs: options.connectTimeoutMs }),
         });
 
-    const retire = (key: string, entry: PoolEntry): void => {
+    const closePool = (key: string, entry: PoolEntry): void => {
         entries.delete(key);
-        entry.pool.close().catch(ignore);
+        entry.pool.close().catch(noop);
     };
 
-    const retireAll = (): void => {
+    const closeAllPools = (): void => {
         for (const [key, entry] of entries) {
-            retire(key, entry);
+            closePool(key, entry);
         }
     };
 
-    const noticeFreeze = (now: Milliseconds): void => {
+    const handleFreeze = (now: Milliseconds): void => {
         // The sweep runs about once a second, so a pause of this length means that the process was frozen.
-        if (now - sweptAt > options.idleMs) {
-            retireAll();
+        if (now - lastSweepAt > options.idleMs) {
+            closeAllPools();
         }
-        sweptAt = Math.max(sweptAt, now);
+        lastSweepAt = Math.max(lastSweepAt, now);
     };
 
     return {
         take: (address, port, connections) => {
             const now = clock.monotonic();
-            if (now - sweptAt > options.idleMs) {
-                noticeFreeze(now);
+            if (now - lastSweepAt > options.idleMs) {
+                handleFreeze(now);
             }
             const origin = formatOrigin(address, port);
             const existing = entries.get(origin);
             if (existing !== undefined && existing.connections === connections) {
-                existing.usedAt = now;
+                existing.lastUsedAt = now;
                 return existing.pool;
             }
             if (existing !== undefined) {
-                retire(origin, existing);
+                closePool(origin, existing);
             }
-            const pool = openPool(origin, connections);
-            entries.set(origin, { pool, connections, usedAt: now });
+            const pool = createPool(origin, connections);
+            entries.set(origin, { pool, connections, lastUsedAt: now });
             return pool;
         },
         renew: (address, port) => {
             const origin = formatOrigin(address, port);
             const entry = entries.get(origin);
             if (entry !== undefined) {
-                retire(origin, entry);
+                closePool(origin, entry);
             }
         },
         sweep: () => {
             const now = clock.monotonic();
-            noticeFreeze(now);
+            handleFreeze(now);
             for (const [key, entry] of entries) {
-                if (now - entry.usedAt > options.poolIdleMs) {
-                    retire(key, entry);
+                if (now - entry.lastUsedAt > options.poolIdleMs) {
+                    closePool(key, entry);
                 }
             }
         },
--- a/packages/oleandergap-node/src/http/dialect.ts
+++ b/packages/oleandergap-node/src/http/dialect.ts
@@ -87,7 +87,7 @@
 /** Caller ids are echoed in responses, so only harmless characters are accepted. */
 const REQUEST_ID_PATTERN = /^[A-Za-z0-9._~:+=/-]{1,128}$/;
 
-const ownCallerDialect: CallerDialect = {
+const defaultCallerDialect: CallerDialect = {
     readTimeout: (request) => parseTimeout(readRequestHeader(request, TIMEOUT_HEADER), undefined),
     readRequestId: (request) => {
         const id = readRequestHeader(request, REQUEST_ID_HEADER);
@@ -105,7 +105,7 @@
     describeFailure,
 };
 
-const ownTargetDialect: TargetDialect = {
+const defaultTargetDialect: TargetDialect = {
     describeRequest: ({ tryId, remainingMs }) => [TIMEOUT_HEADER, String(remainingMs), REQUEST_ID_HEADER, tryId],
     answerIdHeader: REQUEST_ID_HEADER,
     expectAnswerId: ({ tryId }) => tryId,
@@ -113,4 +113,4 @@
 };
 
 /** Dialects that use the headers described in docs/REQUESTS.md. */
-export const ownDialects: Dialects = { caller: ownCallerDialect, target: ownTargetDialect };
+export const ownDialects: Dialects = { caller: defaultCallerDialect, target: defaultTargetDialect };
--- a/packages/oleandergap-node/src/http/exchange.ts
+++ b/packages/oleandergap-node/src/http/exchange.ts
@@ -14,7 +14,7 @@
 import { createReceivedBody, type ReceivedBody } from "./receivedBody.js";
 import { createBodyFeed } from "./bodyFeed.js";
 import type { RequestBody } from "./requestBody.js";
-import { readSocketEnd, wasReset } from "./socketEnd.js";
+import { getCurrentSocketEnd, wasReset } from "./socketEnd.js";
 
 export interface ExchangeRequest {
     readonly dispatcher: Dispatcher;
@@ -38,7 +38,7 @@
      * Called for an informational response (a status below 200), which shows that the receiver is alive and has the
      * request.
      */
-    readonly onInformation: (statusCode: number) => void;
+    readonly onInformationalResponse: (statusCode: number) => void;
 }
 
 export interface Exchange {
@@ -62,7 +62,7 @@
 
 const describeError = (error: Error): string => "code" in error ? `${String(error.code)}: ${error.message}` : error.message;
 
-const isForeignAnswer = (
+const isMismatchedResponse = (
     { answerIdHeader, answerId, requireId }: ExchangeRequest,
     headers: AnswerHeaders,
 ): boolean => {
@@ -75,8 +75,8 @@
  * length, the end of the connection is the end of the response unless the connection was reset; with chunked encoding,
  * the last chunk has to arrive first.
  */
-const isCutShort = (headers: AnswerHeaders): boolean => {
-    const end = readSocketEnd();
+const isTruncated = (headers: AnswerHeaders): boolean => {
+    const end = getCurrentSocketEnd();
     if (end === undefined || readAnswerHeader(headers, "content-length") !== undefined) {
         return false;
     }
@@ -88,7 +88,7 @@
  * Adds the content length of a streaming body. Without it, the receiver would wait for as many bytes as it buffers,
  * while this side sends only the prefix until the request is admitted.
  */
-const addLength = (headers: string[], body: RequestBody): string[] => {
+const addContentLength = (headers: string[], body: RequestBody): string[] => {
     if (body.kind === "Streaming" && body.length !== undefined) {
         headers.push("content-length", String(body.length));
     }
@@ -97,15 +97,15 @@
 
 /** Starts to send `request` and returns the running exchange. */
 export const startExchange = (request: ExchangeRequest): Exchange => {
-    let settle: (outcome: Either<RequestFailure, Answer>) => void = () => undefined;
+    let resolveOutcome: (outcome: Either<RequestFailure, Answer>) => void = () => undefined;
     const outcome = new Promise<Either<RequestFailure, Answer>>((resolve) => {
-        settle = resolve;
+        resolveOutcome = resolve;
     });
     const feed = createBodyFeed(request.body, request.awaitAdmission);
     let controller: Dispatcher.DispatchController | undefined;
     let body: ReceivedBody | undefined;
     let abortDetail: string | undefined;
-    let answerHeaders: AnswerHeaders = {};
+    let responseHeaders: AnswerHeaders = {};
 
     const abort = (detail: string): void => {
         if (abortDetail !== undefined) {
@@ -115,62 +115,62 @@
         feed.close();
         if (controller === undefined) {
             // The request still waits for a connection; `onRequestStart` aborts it as soon as it is assigned one.
-            settle(either.left(cancelledBeforeSending));
+            resolveOutcome(either.left(cancelledBeforeSending));
         }
         else {
             controller.abort(new Error(detail));
         }
     };
 
-    const startAnswer = (statusCode: number, headers: AnswerHeaders): void => {
+    const handleResponseHead = (statusCode: number, headers: AnswerHeaders): void => {
         if (statusCode < FIRST_FINAL_STATUS) {
             if (statusCode === ADMITTED_STATUS) {
                 feed.open();
             }
-            request.onInformation(statusCode);
+            request.onInformationalResponse(statusCode);
             return;
         }
-        if (isForeignAnswer(request, headers)) {
+        if (isMismatchedResponse(request, headers)) {
             abort("the answer belongs to another request");
             return;
         }
-        answerHeaders = headers;
+        responseHeaders = headers;
         body = createReceivedBody({
             pause: () => controller?.pause(),
             resume: () => controller?.resume(),
             abort,
         });
-        settle(either.right({ statusCode, headers, body }));
+        resolveOutcome(either.right({ statusCode, headers, body }));
     };
 
     const failExchange = (error: Error): void => {
         feed.close();
         const detail = abortDetail ?? describeError(error);
         if (body !== undefined) {
-            body.breakOff({ kind: "AnswerCut", verdict: "ran", detail });
+            body.cutOff({ kind: "AnswerCut", verdict: "ran", detail });
         }
         else if (controller === undefined) {
-            settle(either.left({ kind: "ConnectFailed", verdict: "notRun", detail }));
+            resolveOutcome(either.left({ kind: "ConnectFailed", verdict: "notRun", detail }));
         }
         else {
-            settle(either.left({ kind: "AnswerLost", verdict: "mayHaveRun", detail }));
+            resolveOutcome(either.left({ kind: "AnswerLost", verdict: "mayHaveRun", detail }));
         }
     };
 
     const handler: Dispatcher.DispatchHandler = {
-        onRequestStart: (started) => {
+        onRequestStart: (requestController) => {
             if (abortDetail !== undefined) {
-                started.abort(new Error(abortDetail));
+                requestController.abort(new Error(abortDetail));
                 return;
             }
-            controller = started;
+            controller = requestController;
         },
-        onResponseStart: (_controller, statusCode, headers) => startAnswer(statusCode, headers),
+        onResponseStart: (_controller, statusCode, headers) => handleResponseHead(statusCode, headers),
         onResponseData: (_controller, chunk) => body?.push(chunk),
         onResponseEnd: () => {
             feed.close();
-            if (isCutShort(answerHeaders)) {
-                body?.breakOff({ kind: "AnswerCut", verdict: "ran", detail: "the connection ended within the answer" });
+            if (isTruncated(responseHeaders)) {
+                body?.cutOff({ kind: "AnswerCut", verdict: "ran", detail: "the connection ended within the answer" });
                 return;
             }
             body?.finish();
@@ -182,7 +182,7 @@
         request.dispatcher.dispatch({
             method: request.method,
             path: request.path,
-            headers: addLength(request.headers, request.body),
+            headers: addContentLength(request.headers, request.body),
             body: feed.body,
             headersTimeout: 0,
             bodyTimeout: request.bodySilenceMs,
--- a/packages/oleandergap-node/src/http/headers.ts
+++ b/packages/oleandergap-node/src/http/headers.ts
@@ -63,14 +63,14 @@
 /**
  * Maximum number of cached names. The bound keeps senders that use new names in each request from exhausting memory.
  */
-const MAX_REMEMBERED_NAMES = 512;
+const MAX_CACHED_NAMES = 512;
 
 /**
  * Cache from a header name as received to its forwarded name in lower case, or undefined when the header is dropped.
  */
-const rememberedNames = new Map<string, string | undefined>();
+const forwardedNames = new Map<string, string | undefined>();
 
-const judgeName = (received: string): string | undefined => {
+const normalizeForwardedName = (received: string): string | undefined => {
     const name = received.toLowerCase();
     const isDropped = HOP_BY_HOP_HEADERS.has(name) ||
         REWRITTEN_HEADERS.has(name) ||
@@ -82,13 +82,13 @@
  * Returns the forwarded name of a header from the cache. Callers use the same few names, and a cache lookup costs a
  * third of computing the result.
  */
-const nameOnwards = (received: string): string | undefined => {
-    if (rememberedNames.has(received)) {
-        return rememberedNames.get(received);
+const getForwardedName = (received: string): string | undefined => {
+    if (forwardedNames.has(received)) {
+        return forwardedNames.get(received);
     }
-    const name = judgeName(received);
-    if (rememberedNames.size < MAX_REMEMBERED_NAMES) {
-        rememberedNames.set(received, name);
+    const name = normalizeForwardedName(received);
+    if (forwardedNames.size < MAX_CACHED_NAMES) {
+        forwardedNames.set(received, name);
     }
     return name;
 };
@@ -98,30 +98,30 @@
 /**
  * Returns the headers of a request that are forwarded to the next hop, as alternating names and values.
  *
- * @param reserved further header names to drop, in lower case
+ * @param reservedNames further header names to drop, in lower case
  */
 export const selectRequestHeaders = (
     request: IncomingMessage,
-    reserved: ReadonlySet<string> = NO_NAMES,
+    reservedNames: ReadonlySet<string> = NO_NAMES,
 ): string[] => {
-    const raw = request.rawHeaders;
+    const rawHeaders = request.rawHeaders;
     const connectionOptions = readConnectionOptions(request.headers.connection);
     const selected: string[] = [];
-    for (let index = 0; index + 1 < raw.length; index += 2) {
-        const name = nameOnwards(raw[index] ?? "");
-        if (name !== undefined && !connectionOptions.includes(name) && !reserved.has(name)) {
-            selected.push(name, raw[index + 1] ?? "");
+    for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+        const name = getForwardedName(rawHeaders[index] ?? "");
+        if (name !== undefined && !connectionOptions.includes(name) && !reservedNames.has(name)) {
+            selected.push(name, rawHeaders[index + 1] ?? "");
         }
     }
     return selected;
 };
 
 /** Returns how often a header occurs in a request as received. */
-export const countHeader = (request: IncomingMessage, wanted: string): number => {
+export const countHeader = (request: IncomingMessage, headerName: string): number => {
     let count = 0;
     for (let index = 0; index < request.rawHeaders.length; index += 2) {
         const name = request.rawHeaders[index] ?? "";
-        if (name.length === wanted.length && name.toLowerCase() === wanted) {
+        if (name.length === headerName.length && name.toLowerCase() === headerName) {
             count++;
         }
     }
@@ -135,7 +135,7 @@
 };
 
 /** Returns a new object with the headers of a response that are forwarded to the previous hop. */
-export const selectAnswerHeaders = (headers: AnswerHeaders): Record<string, string | string[]> => {
+export const selectResponseHeaders = (headers: AnswerHeaders): Record<string, string | string[]> => {
     const connection = headers["connection"];
     const connectionOptions = readConnectionOptions(typeof connection === "string" ? connection : undefined);
     const selected: Record<string, string | string[]> = {};
@@ -162,9 +162,9 @@
     });
 
 /** Returns the value of a header in a list of alternating names and values, or undefined when it is absent. */
-export const readHeaderPair = (pairs: readonly string[], wanted: string): string | undefined => {
+export const readHeaderPair = (pairs: readonly string[], headerName: string): string | undefined => {
     for (let index = 0; index + 1 < pairs.length; index += 2) {
-        if (pairs[index] === wanted) {
+        if (pairs[index] === headerName) {
             return pairs[index + 1];
         }
     }
--- a/packages/oleandergap-node/src/http/listener.ts
+++ b/packages/oleandergap-node/src/http/listener.ts
@@ -70,7 +70,7 @@
      * stops accepting. Idle connections are closed, and the promise resolves, once all requests have complete responses
      * or `signal` aborts.
      */
-    readonly drain: (linger: Milliseconds, signal: AbortSignal) => Promise<void>;
+    readonly drain: (lingerMs: Milliseconds, signal: AbortSignal) => Promise<void>;
     /** Stops listening and destroys all remaining connections. */
     readonly destroy: () => void;
 }
@@ -78,7 +78,7 @@
 export const formatListenError = (error: ListenError): string =>
     `Cannot listen on ${error.address}:${error.port} (${error.name}): ${error.detail}`;
 
-const refuseMalformed = (error: Error & { readonly code?: string }, socket: Socket): void => {
+const rejectMalformedRequest = (error: Error & { readonly code?: string }, socket: Socket): void => {
     if (!socket.writable) {
         socket.destroy();
         return;
@@ -114,31 +114,31 @@
     return typeof address === "object" && address !== null ? address.port : 0;
 };
 
-const startAtOnce = (start: () => boolean): boolean => start();
+const startImmediately = (start: () => boolean): boolean => start();
 
 /** Starts a server that listens on the address and port of `options`. */
 export const startListener = (options: ListenerOptions): TaskEither<ListenError, Listener> => async () => {
-    const { turns = { run: startAtOnce, runFirst: startAtOnce } } = options;
+    const { turns = { run: startImmediately, runFirst: startImmediately } } = options;
     /** Connections on which a request has been received before. */
-    const knownSockets = new WeakSet<Socket>();
-    let inFlight = 0;
-    let draining = false;
-    let onEmpty: (() => void) | undefined;
+    const usedSockets = new WeakSet<Socket>();
+    let activeRequests = 0;
+    let isDraining = false;
+    let onIdle: (() => void) | undefined;
 
     const handle = (request: IncomingMessage, response: ServerResponse): void => {
-        inFlight++;
+        activeRequests++;
         response.once("close", () => {
-            inFlight--;
-            if (inFlight === 0) {
-                onEmpty?.();
+            activeRequests--;
+            if (activeRequests === 0) {
+                onIdle?.();
             }
         });
-        if (draining) {
+        if (isDraining) {
             response.setHeader("connection", "close");
         }
-        const arrival = { receivedAt: options.clock.monotonic(), isFirst: !knownSockets.has(request.socket) };
+        const arrival = { receivedAt: options.clock.monotonic(), isFirst: !usedSockets.has(request.socket) };
         const run = arrival.isFirst ? turns.runFirst : turns.run;
-        knownSockets.add(request.socket);
+        usedSockets.add(request.socket);
         run(() => {
             // A request without a caller is handled as well, so that it is counted and logged, although its response
             // cannot be delivered.
@@ -161,7 +161,7 @@
         insecureHTTPParser: false,
     }, handle);
     server.maxConnections = options.maxConnections;
-    server.on("clientError", refuseMalformed);
+    server.on("clientError", rejectMalformedRequest);
 
     const error = await waitForListening(server, options);
     if (error !== undefined) {
@@ -169,13 +169,13 @@
     }
     server.on("error", () => undefined);
 
-    const waitUntilEmpty = (signal: AbortSignal): Promise<void> =>
+    const waitUntilIdle = (signal: AbortSignal): Promise<void> =>
         new Promise((resolve) => {
-            if (inFlight === 0 || signal.aborted) {
+            if (activeRequests === 0 || signal.aborted) {
                 resolve();
                 return;
             }
-            onEmpty = resolve;
+            onIdle = resolve;
             signal.addEventListener("abort", () => resolve(), { once: true });
         });
 
@@ -188,19 +188,19 @@
      * response that the client has not read yet, for example behind a congested link, would be cut off. Therefore only
      * the listening socket is closed first, and idle connections are closed once every response has been read.
      */
-    const drain = async (linger: Milliseconds, signal: AbortSignal): Promise<void> => {
-        draining = true;
-        await options.clock.sleep(linger, signal);
+    const drain = async (lingerMs: Milliseconds, signal: AbortSignal): Promise<void> => {
+        isDraining = true;
+        await options.clock.sleep(lingerMs, signal);
         NetServer.prototype.close.call(server);
-        await waitUntilEmpty(signal);
+        await waitUntilIdle(signal);
         server.closeIdleConnections();
     };
 
     return either.right({
         port: readPort(server),
-        inFlight: () => inFlight,
+        inFlight: () => activeRequests,
         announceClose: () => {
-            draining = true;
+            isDraining = true;
         },
         drain,
         destroy: () => {
--- a/packages/oleandergap-node/src/http/progressWatch.ts
+++ b/packages/oleandergap-node/src/http/progressWatch.ts
@@ -2,7 +2,7 @@
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { afterReading } from "oleandergap-utils";
 
-export interface ProgressWatchOptions {
+export interface ProgressMonitorOptions {
     readonly clock: Clock;
     /** Deadline as monotonic time. */
     readonly deadline: Milliseconds;
@@ -16,9 +16,9 @@
     readonly onSilence: (lateMs: Milliseconds) => void;
 }
 
-export interface ProgressWatch {
+export interface ProgressMonitor {
     /** Records activity of the remote side. */
-    readonly heard: () => void;
+    readonly recordActivity: () => void;
     readonly stop: () => void;
 }
 
@@ -27,37 +27,37 @@
  * when it fires, so that recording activity is cheap and each exchange needs only one timer. When the timer fires late,
  * pending input is read first.
  */
-export const startProgressWatch = (options: ProgressWatchOptions): ProgressWatch => {
+export const startProgressMonitor = (options: ProgressMonitorOptions): ProgressMonitor => {
     const { clock, deadline, silenceMs, onDeadline, onSilence } = options;
     /** Time of the last activity or of the last reported silence. */
-    let countsFrom = clock.monotonic();
+    let silentSince = clock.monotonic();
     let cancel: CancelTimer = () => undefined;
 
-    const silenceEnd = (): Milliseconds =>
-        silenceMs === undefined ? Number.POSITIVE_INFINITY : countsFrom + silenceMs;
+    const computeSilenceDeadline = (): Milliseconds =>
+        silenceMs === undefined ? Number.POSITIVE_INFINITY : silentSince + silenceMs;
 
-    const arm = (now: Milliseconds): void => {
-        cancel = afterReading(clock, Math.max(0, Math.min(deadline, silenceEnd()) - now), tell);
+    const startTimer = (now: Milliseconds): void => {
+        cancel = afterReading(clock, Math.max(0, Math.min(deadline, computeSilenceDeadline()) - now), handleTimer);
     };
 
-    const tell = (): void => {
+    const handleTimer = (): void => {
         const now = clock.monotonic();
         if (now >= deadline) {
             onDeadline();
             return;
         }
-        if (now >= silenceEnd()) {
-            const lateMs = now - silenceEnd();
-            countsFrom = now;
+        if (now >= computeSilenceDeadline()) {
+            const lateMs = now - computeSilenceDeadline();
+            silentSince = now;
             onSilence(lateMs);
         }
-        arm(now);
+        startTimer(now);
     };
 
-    arm(countsFrom);
+    startTimer(silentSince);
     return {
-        heard: () => {
-            countsFrom = clock.monotonic();
+        recordActivity: () => {
+            silentSince = clock.monotonic();
         },
         stop: () => cancel(),
     };
--- a/packages/oleandergap-node/src/http/receivedBody.ts
+++ b/packages/oleandergap-node/src/http/receivedBody.ts
@@ -3,10 +3,10 @@
  * to a limit. Then the connection is paused, so that memory use is bounded regardless of the size of the response.
  */
 import type { RequestFailure } from "oleandergap-types";
-import type { AnswerBody, AnswerSink } from "./answer.js";
+import type { ResponseBody, ResponseSink } from "./answer.js";
 
 /** Number of buffered bytes at which the connection is paused. */
-const MAX_KEPT_BYTES = 64 * 1024;
+const MAX_BUFFERED_BYTES = 64 * 1024;
 
 /** Connection from which a body is received. */
 export interface BodySource {
@@ -16,107 +16,107 @@
     readonly abort: (detail: string) => void;
 }
 
-export interface ReceivedBody extends AnswerBody {
+export interface ReceivedBody extends ResponseBody {
     readonly push: (chunk: Buffer) => void;
     readonly finish: () => void;
-    readonly breakOff: (failure: RequestFailure) => void;
+    readonly cutOff: (failure: RequestFailure) => void;
 }
 
-type End = { readonly kind: "Whole" } | { readonly kind: "Broken"; readonly failure: RequestFailure };
+type BodyEnd = { readonly kind: "Whole" } | { readonly kind: "Broken"; readonly failure: RequestFailure };
 
 export const createReceivedBody = (source: BodySource): ReceivedBody => {
-    let kept: Buffer[] = [];
-    let keptBytes = 0;
-    let paused = false;
-    let sinkIsFull = false;
-    let sink: AnswerSink | undefined;
-    let end: End | undefined;
-    let endDelivered = false;
+    let bufferedChunks: Buffer[] = [];
+    let bufferedBytes = 0;
+    let isPaused = false;
+    let isSinkFull = false;
+    let sink: ResponseSink | undefined;
+    let bodyEnd: BodyEnd | undefined;
+    let isEndDelivered = false;
 
     const pause = (): void => {
-        if (!paused) {
-            paused = true;
+        if (!isPaused) {
+            isPaused = true;
             source.pause();
         }
     };
 
     const deliverEnd = (): void => {
-        if (sink === undefined || end === undefined || endDelivered || kept.length > 0) {
+        if (sink === undefined || bodyEnd === undefined || isEndDelivered || bufferedChunks.length > 0) {
             return;
         }
-        endDelivered = true;
-        if (end.kind === "Whole") {
+        isEndDelivered = true;
+        if (bodyEnd.kind === "Whole") {
             sink.end();
         }
         else {
-            sink.fail(end.failure);
+            sink.fail(bodyEnd.failure);
         }
     };
 
     const flush = (): void => {
-        const chunks = kept;
-        kept = [];
-        keptBytes = 0;
+        const chunks = bufferedChunks;
+        bufferedChunks = [];
+        bufferedBytes = 0;
         for (const chunk of chunks) {
-            if (sinkIsFull || sink === undefined) {
-                kept.push(chunk);
-                keptBytes += chunk.length;
+            if (isSinkFull || sink === undefined) {
+                bufferedChunks.push(chunk);
+                bufferedBytes += chunk.length;
             }
             else {
-                sinkIsFull = !sink.write(chunk);
+                isSinkFull = !sink.write(chunk);
             }
         }
         deliverEnd();
-        if (!sinkIsFull && paused && end === undefined) {
-            paused = false;
+        if (!isSinkFull && isPaused && bodyEnd === undefined) {
+            isPaused = false;
             source.resume();
         }
     };
 
     const push = (chunk: Buffer): void => {
-        if (sink !== undefined && !sinkIsFull) {
-            sinkIsFull = !sink.write(chunk);
-            if (sinkIsFull) {
+        if (sink !== undefined && !isSinkFull) {
+            isSinkFull = !sink.write(chunk);
+            if (isSinkFull) {
                 pause();
             }
             return;
         }
-        kept.push(chunk);
-        keptBytes += chunk.length;
-        if (keptBytes >= MAX_KEPT_BYTES) {
+        bufferedChunks.push(chunk);
+        bufferedBytes += chunk.length;
+        if (bufferedBytes >= MAX_BUFFERED_BYTES) {
             pause();
         }
     };
 
-    const breakOff = (failure: RequestFailure): void => {
-        if (end === undefined) {
-            end = { kind: "Broken", failure };
+    const cutOff = (failure: RequestFailure): void => {
+        if (bodyEnd === undefined) {
+            bodyEnd = { kind: "Broken", failure };
             // The buffered chunks belong to a response that will never be complete, so they are dropped.
-            kept = [];
+            bufferedChunks = [];
             deliverEnd();
         }
     };
 
     return {
         push,
-        breakOff,
+        cutOff: cutOff,
         finish: () => {
-            if (end === undefined) {
-                end = { kind: "Whole" };
+            if (bodyEnd === undefined) {
+                bodyEnd = { kind: "Whole" };
                 deliverEnd();
             }
         },
-        deliver: (taker) => {
-            sink = taker;
+        deliver: (newSink) => {
+            sink = newSink;
             flush();
         },
         resume: () => {
-            sinkIsFull = false;
+            isSinkFull = false;
             flush();
         },
         cancel: (detail) => {
-            if (end === undefined) {
-                breakOff({ kind: "AnswerCut", verdict: "ran", detail });
+            if (bodyEnd === undefined) {
+                cutOff({ kind: "AnswerCut", verdict: "ran", detail });
                 source.abort(detail);
             }
         },
--- a/packages/oleandergap-node/src/http/refusal.ts
+++ b/packages/oleandergap-node/src/http/refusal.ts
@@ -64,10 +64,10 @@
 export const reasonOfFailure = (failure: RequestFailure): string =>
     failure.kind === "Refused" ? failure.reason : failure.kind;
 
-const readRetryAfter = (failure: RequestFailure): number | undefined =>
+const getRetryAfter = (failure: RequestFailure): number | undefined =>
     failure.kind === "Refused" || failure.kind === "DuplicateKey" ? failure.retryAfterMs : undefined;
 
-const readDetail = (failure: RequestFailure): string | undefined => "detail" in failure ? failure.detail : undefined;
+const getDetail = (failure: RequestFailure): string | undefined => "detail" in failure ? failure.detail : undefined;
 
 /** Additional information of the caller of `describeFailure` that is not part of the failure. */
 export interface FailureContext {
@@ -79,9 +79,9 @@
 
 export const describeFailure = (failure: RequestFailure, context: FailureContext = {}): FailureAnswer => {
     const reason = reasonOfFailure(failure);
-    const retryAfterMs = readRetryAfter(failure) ?? context.retryAfterMs;
+    const retryAfterMs = getRetryAfter(failure) ?? context.retryAfterMs;
     const statusCode = context.statusCode ?? statusOfFailure(failure);
-    const detail = readDetail(failure);
+    const detail = getDetail(failure);
     const body = JSON.stringify({ verdict: failure.verdict, reason, retryAfterMs, detail });
     const headers: Record<string, string> = {
         "content-type": "application/json",
@@ -99,13 +99,13 @@
     return { statusCode, headers, body };
 };
 
-const parseCount = (text: string | undefined): number | undefined =>
+const parseNonNegativeInteger = (text: string | undefined): number | undefined =>
     text !== undefined && /^\d{1,9}$/.test(text) ? Number(text) : undefined;
 
 /** Returns the retry delay that the sender of `headers` requests, in milliseconds; 0 when it specifies none. */
 export const readRetryAfterMs = (headers: AnswerHeaders): number => {
-    const milliseconds = parseCount(readAnswerHeader(headers, RETRY_AFTER_MS_HEADER));
-    const seconds = parseCount(readAnswerHeader(headers, RETRY_AFTER_HEADER));
+    const milliseconds = parseNonNegativeInteger(readAnswerHeader(headers, RETRY_AFTER_MS_HEADER));
+    const seconds = parseNonNegativeInteger(readAnswerHeader(headers, RETRY_AFTER_HEADER));
     return Math.min(milliseconds ?? (seconds ?? 0) * MILLISECONDS_PER_SECOND, MAX_RETRY_AFTER_MS);
 };
 
--- a/packages/oleandergap-node/src/http/requestBody.ts
+++ b/packages/oleandergap-node/src/http/requestBody.ts
@@ -8,12 +8,12 @@
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 
 /** Maximum size of a body that is buffered completely for replay, in bytes. */
-export const REPLAY_BYTES = 64 * 1024;
+export const MAX_REPLAY_BYTES = 64 * 1024;
 /**
  * Minimum size of the buffered prefix of a larger body, in bytes. Each node computes the fingerprint of the request
  * from this many bytes.
  */
-export const LEAST_KEPT_BYTES = 1024;
+export const MIN_PREFIX_BYTES = 1024;
 
 export type RequestBody =
     | { readonly kind: "Empty" }
@@ -33,13 +33,13 @@
      */
     readonly rest: () => AsyncIterable<Buffer>;
     /** Returns whether `rest` has been called. */
-    readonly isBegun: () => boolean;
+    readonly isRestTaken: () => boolean;
 }
 
 /** Returns whether the request can be sent again from its first byte. */
-export const canSendAgain = (body: RequestBody): boolean => body.kind !== "Streaming" || !body.isBegun();
+export const isReplayable = (body: RequestBody): boolean => body.kind !== "Streaming" || !body.isRestTaken();
 
-export type BodyProblem =
+export type BodyError =
     /** The body exceeds the configured limit. */
     | { readonly kind: "TooLarge" }
     /** The caller disconnected before the request was complete. */
@@ -47,11 +47,11 @@
     /** The deadline passed before the request had arrived. */
     | { readonly kind: "TooSlow" };
 
-const NO_BODY: Either<BodyProblem, RequestBody> = either.right({ kind: "Empty" });
+const NO_BODY: Either<BodyError, RequestBody> = either.right({ kind: "Empty" });
 
 /** Converts a body error to a request failure. No part of the request has been forwarded. */
-export const toRequestFailure = (problem: BodyProblem): RequestFailure => {
-    switch (problem.kind) {
+export const toRequestFailure = (error: BodyError): RequestFailure => {
+    switch (error.kind) {
         case "TooLarge":
             return { kind: "BadRequest", verdict: "notRun", detail: "the body is larger than allowed" };
         case "BrokenOff":
@@ -86,14 +86,14 @@
     readonly maxBytes: number;
 }
 
-const takenBefore: AsyncIterable<Buffer> = {
+const alreadyTakenRest: AsyncIterable<Buffer> = {
     [Symbol.asyncIterator]: () => ({
         next: () => Promise.reject(new Error("another try of the request has taken the rest of its body")),
     }),
 };
 
 const createStreamingBody = (prefix: Buffer, length: number | undefined, remainder: Remainder): StreamingBody => {
-    let begun = false;
+    let isTaken = false;
 
     const readRest = async function* (): AsyncGenerator<Buffer> {
         let total = remainder.receivedBytes;
@@ -115,13 +115,13 @@
         prefix,
         length,
         rest: () => {
-            if (begun) {
-                return takenBefore;
+            if (isTaken) {
+                return alreadyTakenRest;
             }
-            begun = true;
+            isTaken = true;
             return readRest();
         },
-        isBegun: () => begun,
+        isRestTaken: () => isTaken,
     };
 };
 
@@ -129,42 +129,42 @@
     request: IncomingMessage,
     length: number | undefined,
     maxBytes: number,
-): Promise<Either<BodyProblem, RequestBody>> => {
+): Promise<Either<BodyError, RequestBody>> => {
     // For a body that is known to be large, a prefix is sufficient.
-    const wanted = length === undefined || length <= REPLAY_BYTES ? REPLAY_BYTES : LEAST_KEPT_BYTES - 1;
+    const requiredBytes = length === undefined || length <= MAX_REPLAY_BYTES ? MAX_REPLAY_BYTES : MIN_PREFIX_BYTES - 1;
     const chunks = iterateChunks(request);
     const collected: Buffer[] = [];
-    let total = 0;
+    let receivedBytes = 0;
     try {
-        while (total <= wanted) {
+        while (receivedBytes <= requiredBytes) {
             const next = await chunks.next();
             if (next.done === true) {
                 const bytes = Buffer.concat(collected);
                 return bytes.length === 0 ? NO_BODY : either.right({ kind: "Buffered", bytes });
             }
             collected.push(next.value);
-            total += next.value.length;
+            receivedBytes += next.value.length;
         }
     }
     catch {
         return either.left({ kind: "BrokenOff" });
     }
-    if (total > maxBytes) {
+    if (receivedBytes > maxBytes) {
         return either.left({ kind: "TooLarge" });
     }
     const prefix = Buffer.concat(collected);
-    return either.right(createStreamingBody(prefix, length, { chunks, receivedBytes: total, maxBytes }));
+    return either.right(createStreamingBody(prefix, length, { chunks, receivedBytes: receivedBytes, maxBytes }));
 };
 
 /**
  * Collects a body until the deadline. Without a time limit, a caller that stops sending in the middle of its body would
  * occupy its slot forever.
  */
-const collectInTime = (
+const collectBodyUntilDeadline = (
     request: IncomingMessage,
     length: number | undefined,
     { clock, maxBytes, deadline }: BodyLimits,
-): Promise<Either<BodyProblem, RequestBody>> =>
+): Promise<Either<BodyError, RequestBody>> =>
     new Promise((resolve) => {
         const cancel = clock.after(deadline - clock.monotonic(), () => resolve(either.left({ kind: "TooSlow" })));
         void collectBody(request, length, maxBytes).then((body) => {
@@ -180,7 +180,7 @@
 export const receiveBody = (
     request: IncomingMessage,
     limits: BodyLimits,
-): Either<BodyProblem, RequestBody> | Promise<Either<BodyProblem, RequestBody>> => {
+): Either<BodyError, RequestBody> | Promise<Either<BodyError, RequestBody>> => {
     const length = readDeclaredLength(request);
     const isChunked = request.headers["transfer-encoding"] !== undefined;
     if (!isChunked && (length === undefined || length === 0)) {
@@ -189,5 +189,5 @@
     if (length !== undefined && length > limits.maxBytes) {
         return either.left({ kind: "TooLarge" });
     }
-    return collectInTime(request, length, limits);
+    return collectBodyUntilDeadline(request, length, limits);
 };
--- a/packages/oleandergap-node/src/http/requestFingerprint.ts
+++ b/packages/oleandergap-node/src/http/requestFingerprint.ts
@@ -1,9 +1,9 @@
 /** Computes the fingerprint by which a repeated request is recognized. */
 import { computeFingerprint, type Fingerprint } from "oleandergap-containment";
-import { LEAST_KEPT_BYTES, type RequestBody } from "./requestBody.js";
+import { MIN_PREFIX_BYTES, type RequestBody } from "./requestBody.js";
 
 /** Parts of a request from which its fingerprint is computed; the gateway and the gate see the same values. */
-export interface NamedRequest {
+export interface FingerprintedRequest {
     readonly method: string;
     /** Value of the `host` header. */
     readonly host: string;
@@ -14,7 +14,7 @@
 const NO_BYTES = new Uint8Array();
 
 /** Computes the fingerprint of a request. A streaming body is identified by its prefix and its length. */
-export const fingerprintRequest = ({ method, host, path }: NamedRequest, body: RequestBody): Fingerprint => {
+export const fingerprintRequest = ({ method, host, path }: FingerprintedRequest, body: RequestBody): Fingerprint => {
     switch (body.kind) {
         case "Empty":
             return computeFingerprint({ method, host, path, bodyLength: 0, bodyStart: NO_BYTES });
@@ -26,7 +26,7 @@
                 host,
                 path,
                 bodyLength: body.length,
-                bodyStart: body.prefix.subarray(0, LEAST_KEPT_BYTES),
+                bodyStart: body.prefix.subarray(0, MIN_PREFIX_BYTES),
             });
     }
 };
--- a/packages/oleandergap-node/src/http/socketEnd.ts
+++ b/packages/oleandergap-node/src/http/socketEnd.ts
@@ -23,23 +23,23 @@
     readonly socket: Socket;
 }
 
-let current: SocketEnd | undefined;
+let currentEnd: SocketEnd | undefined;
 
-const note = (kind: SocketEndKind, socket: Socket): void => {
-    current = { kind, socket };
+const recordEnd = (kind: SocketEndKind, socket: Socket): void => {
+    currentEnd = { kind, socket };
     // Runs after all listeners of this event and before the next event.
     queueMicrotask(() => {
-        current = undefined;
+        currentEnd = undefined;
     });
 };
 
 /** Returns the connection end that is currently being handled; undefined while data arrives. */
-export const readSocketEnd = (): SocketEnd | undefined => current;
+export const getCurrentSocketEnd = (): SocketEnd | undefined => currentEnd;
 
 /** Records the end of a socket. Must be called before any other listener is added. */
-export const watchSocketEnd = (socket: Socket): void => {
-    socket.on("error", () => note("Reset", socket));
-    socket.on("end", () => note("Finished", socket));
+export const trackSocketEnd = (socket: Socket): void => {
+    socket.on("error", () => recordEnd("Reset", socket));
+    socket.on("end", () => recordEnd("Finished", socket));
 };
 
 /** Servers ignore an empty line between two requests (RFC 9112, section 2.2). */
@@ -61,7 +61,7 @@
 };
 
 /** Dependencies of the connector. */
-export interface WatchedConnectorOptions {
+export interface TrackedConnectorOptions {
     readonly clock: Clock;
     /** Time after which a connection attempt is aborted. */
     readonly timeoutMs: Milliseconds;
@@ -73,8 +73,8 @@
  * timeout in steps of half a second: connections to an unreachable zone failed after 560 to 830 ms instead of 250 to
  * 500 ms. By then most callers had left, so requests were not sent to other targets in time.
  */
-export const createWatchedConnector = (
-    { clock, timeoutMs, build = buildConnector }: WatchedConnectorOptions,
+export const createTrackedConnector = (
+    { clock, timeoutMs, build = buildConnector }: TrackedConnectorOptions,
 ): buildConnector.connector => {
     // The other direction has to stay open, because otherwise a write after the end would not distinguish a reset.
     const connect = build({ timeout: 2 * timeoutMs, noDelay: true, keepAlive: true, allowHalfOpen: true });
@@ -84,7 +84,7 @@
             cancelTimer();
             const [, socket] = result;
             if (socket instanceof Socket) {
-                watchSocketEnd(socket);
+                trackSocketEnd(socket);
             }
             callback(...result);
         });
--- a/packages/oleandergap-node/src/http/timeoutHeader.ts
+++ b/packages/oleandergap-node/src/http/timeoutHeader.ts
@@ -9,12 +9,12 @@
 const DIGITS_PATTERN = /^\d{1,9}$/;
 
 /** Parses the header's value; returns `usual` when the caller specifies no timeout. */
-export const parseTimeout = <Usual extends Milliseconds | undefined>(
+export const parseTimeout = <Default extends Milliseconds | undefined>(
     value: string | undefined,
-    usual: Usual,
-): Either<RequestFailure, Milliseconds | Usual> => {
+    defaultTimeout: Default,
+): Either<RequestFailure, Milliseconds | Default> => {
     if (value === undefined) {
-        return either.right(usual);
+        return either.right(defaultTimeout);
     }
     return DIGITS_PATTERN.test(value) ?
         either.right(Math.min(Number(value), MAX_TIMEOUT_MS)) :
--- a/packages/oleandergap-node/src/http/turnQueue.ts
+++ b/packages/oleandergap-node/src/http/turnQueue.ts
@@ -19,7 +19,7 @@
  * Number of iterations after which the end of a connection is known if it arrived before the first request was read:
  * the end is read in the iteration after the data and reported in the following one.
  */
-const TURNS_TO_NOTICE_END = 2;
+const TURNS_TO_DETECT_CLOSE = 2;
 
 /**
  * Maximum number of tasks without work in one iteration, which keeps iterations short.
@@ -28,7 +28,7 @@
  * the remaining requests would be started after their callers have left as well, and the node would only process
  * requests without a caller.
  */
-const MOST_IDLE_TASKS = 16;
+const MAX_EMPTY_TASKS = 16;
 
 /** A first-in, first-out queue of tasks. */
 export interface TurnQueue {
@@ -45,26 +45,26 @@
 
 /** Creates an empty queue. Tasks must not throw. */
 export const createTurnQueue = (runNextTurn: RunNextTurn = (task) => void setImmediate(task)): TurnQueue => {
-    let waiting: TurnTask[] = [];
-    let next = 0;
-    let isTaken = false;
+    let queuedTasks: TurnTask[] = [];
+    let nextIndex = 0;
+    let isTurnScheduled = false;
 
-    const takeNext = (): TurnTask | undefined => {
-        const task = waiting[next];
-        next += 1;
-        if (next >= waiting.length) {
-            waiting = [];
-            next = 0;
+    const dequeueTask = (): TurnTask | undefined => {
+        const task = queuedTasks[nextIndex];
+        nextIndex += 1;
+        if (nextIndex >= queuedTasks.length) {
+            queuedTasks = [];
+            nextIndex = 0;
         }
         return task;
     };
 
     /** Runs queued tasks. Returns false when the queue is empty. */
-    const runWaiting = (): boolean => {
-        for (let idle = 0; idle < MOST_IDLE_TASKS; idle++) {
-            const task = takeNext();
+    const runQueuedTasks = (): boolean => {
+        for (let emptyTasks = 0; emptyTasks < MAX_EMPTY_TASKS; emptyTasks++) {
+            const task = dequeueTask();
             if (task === undefined) {
-                return idle > 0;
+                return emptyTasks > 0;
             }
             if (task()) {
                 return true;
@@ -73,22 +73,22 @@
         return true;
     };
 
-    const startTurn = (): void => {
-        if (runWaiting()) {
-            runNextTurn(startTurn);
+    const runTurn = (): void => {
+        if (runQueuedTasks()) {
+            runNextTurn(runTurn);
         }
         else {
-            isTaken = false;
+            isTurnScheduled = false;
         }
     };
 
     const run: TurnQueue["run"] = (task) => {
-        if (isTaken) {
-            waiting.push(task);
+        if (isTurnScheduled) {
+            queuedTasks.push(task);
             return;
         }
-        isTaken = true;
-        runNextTurn(startTurn);
+        isTurnScheduled = true;
+        runNextTurn(runTurn);
         task();
     };
 
@@ -102,7 +102,7 @@
 
     return {
         run,
-        runFirst: (task) => runAfter(TURNS_TO_NOTICE_END, task),
-        size: () => waiting.length - next,
+        runFirst: (task) => runAfter(TURNS_TO_DETECT_CLOSE, task),
+        size: () => queuedTasks.length - nextIndex,
     };
 };
--- a/packages/oleandergap-node/src/http/watchedExchange.ts
+++ b/packages/oleandergap-node/src/http/watchedExchange.ts
@@ -18,10 +18,10 @@
 import type { Dispatcher } from "undici";
 import { discardBody, type Answer } from "./answer.js";
 import { startExchange, type Exchange } from "./exchange.js";
-import { startProgressWatch, type ProgressWatch } from "./progressWatch.js";
-import { canSendAgain, type RequestBody } from "./requestBody.js";
+import { startProgressMonitor, type ProgressMonitor } from "./progressWatch.js";
+import { isReplayable, type RequestBody } from "./requestBody.js";
 
-export interface WatchedRequest {
+export interface MonitoredRequest {
     readonly method: string;
     /** Path and query. */
     readonly path: string;
@@ -55,7 +55,7 @@
     readonly lossMs: Milliseconds | undefined;
     readonly idempotent: boolean;
     /** Called for each heartbeat. */
-    readonly onSign?: () => void;
+    readonly onHeartbeat?: () => void;
     /** Called immediately for each silence; returns true if another attempt at the same target is pointless. */
     readonly onSilence?: (silence: Silence) => boolean;
     /** Called when an attempt is aborted because its connection counts as lost. */
@@ -77,24 +77,24 @@
 type Outcome = Either<RequestFailure, Answer>;
 
 /** An attempt that continues after a silence, until a response arrives or the connection counts as lost. */
-export interface OpenTry {
+export interface PendingAttempt {
     /** Never rejects. */
     readonly outcome: Promise<Outcome>;
     readonly cancel: () => void;
 }
 
 /** Result of a request for its sender. */
-export interface WatchedOutcome {
+export interface MonitoredOutcome {
     readonly outcome: Outcome;
     /**
      * Present when the outcome is a silence: a response may still arrive while the request is sent to other targets.
      */
-    readonly open?: OpenTry;
+    readonly open?: PendingAttempt;
 }
 
-type Ending = "Open" | "DeadlinePassed" | "Cancelled" | "Silent";
+type EndReason = "Open" | "DeadlinePassed" | "Cancelled" | "Silent";
 
-interface Try extends OpenTry {
+interface MonitoredAttempt extends PendingAttempt {
     /** Resolves at the first silence; never settles if there is none. */
     readonly silence: Promise<"Silent">;
     readonly hasEnded: () => boolean;
@@ -102,7 +102,7 @@
     readonly isPointless: () => boolean;
 }
 
-const DETAILS: Readonly<Record<Exclude<Ending, "Open">, string>> = {
+const ABORT_DETAILS: Readonly<Record<Exclude<EndReason, "Open">, string>> = {
     DeadlinePassed: "the deadline passed",
     Cancelled: "the caller went away",
     Silent: "the connection was silent",
@@ -112,9 +112,9 @@
  * Sets the reason of a request that was aborted before it was sent to `DeadlinePassed` if its deadline caused the
  * abort.
  */
-const nameReason = (outcome: Outcome, ending: Ending): Outcome => {
+const applyEndReason = (outcome: Outcome, endReason: EndReason): Outcome => {
     const isUnsent = either.isLeft(outcome) && outcome.left.kind === "Refused";
-    return isUnsent && ending === "DeadlinePassed" ?
+    return isUnsent && endReason === "DeadlinePassed" ?
         either.left({ kind: "Refused", verdict: "notRun", reason: "DeadlinePassed", retryAfterMs: 0 }) :
         outcome;
 };
@@ -123,49 +123,49 @@
  * Returns the time after which a connection counts as lost. A non-idempotent request waits until its deadline, because
  * it is unknown whether the request arrived.
  */
-const findLossTime = ({ idempotent, lossMs }: WatchedRequest): Milliseconds =>
+const getLossTimeout = ({ idempotent, lossMs }: MonitoredRequest): Milliseconds =>
     idempotent && lossMs !== undefined ? lossMs : Number.POSITIVE_INFINITY;
 
 /** Starts an attempt, which is aborted once it has received no heartbeat for the loss timeout. */
-const startTry = (clock: Clock, request: WatchedRequest): Try => {
+const startAttempt = (clock: Clock, request: MonitoredRequest): MonitoredAttempt => {
     const { signal } = request;
-    const lossMs = findLossTime(request);
-    let ending: Ending = "Open";
+    const lossMs = getLossTimeout(request);
+    let endReason: EndReason = "Open";
     let hasEnded = false;
     let isPointless = false;
-    let signs = 0;
-    let wasSilent = false;
+    let heartbeats = 0;
+    let isSilent = false;
     const sentAt = clock.monotonic();
-    let heardAt = sentAt;
-    let tellSilence: (silence: "Silent") => void = () => undefined;
+    let lastHeartbeatAt = sentAt;
+    let resolveSilence: (silence: "Silent") => void = () => undefined;
     const silence = new Promise<"Silent">((resolve) => {
-        tellSilence = resolve;
+        resolveSilence = resolve;
     });
 
-    const end = (reason: Exclude<Ending, "Open">): void => {
-        if (ending === "Open") {
-            ending = reason;
-            exchange.abort(DETAILS[reason]);
+    const end = (reason: Exclude<EndReason, "Open">): void => {
+        if (endReason === "Open") {
+            endReason = reason;
+            exchange.abort(ABORT_DETAILS[reason]);
         }
     };
     const cancel = (): void => end("Cancelled");
     const onSilence = (lateMs: Milliseconds): void => {
         const now = clock.monotonic();
-        const isLost = now - heardAt >= lossMs;
-        const told: Silence = { isLost, sinceSentMs: now - sentAt, signs, lateMs };
+        const isLost = now - lastHeartbeatAt >= lossMs;
+        const silenceDetails: Silence = { isLost, sinceSentMs: now - sentAt, signs: heartbeats, lateMs };
         if (isLost) {
-            request.onLoss?.(told);
+            request.onLoss?.(silenceDetails);
             end("Silent");
         }
-        if (!wasSilent) {
-            wasSilent = true;
+        if (!isSilent) {
+            isSilent = true;
             request.renewConnections();
-            isPointless = request.onSilence?.(told) ?? false;
-            tellSilence("Silent");
+            isPointless = request.onSilence?.(silenceDetails) ?? false;
+            resolveSilence("Silent");
         }
     };
 
-    const watch: ProgressWatch = startProgressWatch({
+    const monitor: ProgressMonitor = startProgressMonitor({
         clock,
         deadline: request.deadline,
         silenceMs: request.silenceMs,
@@ -184,12 +184,12 @@
         requireId: request.requireId,
         awaitAdmission: request.awaitAdmission,
         bodySilenceMs: request.bodySilenceMs,
-        onInformation: () => {
-            watch.heard();
-            signs += 1;
-            wasSilent = false;
-            heardAt = clock.monotonic();
-            request.onSign?.();
+        onInformationalResponse: () => {
+            monitor.recordActivity();
+            heartbeats += 1;
+            isSilent = false;
+            lastHeartbeatAt = clock.monotonic();
+            request.onHeartbeat?.();
         },
     });
     signal.addEventListener("abort", cancel, { once: true });
@@ -197,11 +197,11 @@
         cancel();
     }
 
-    const outcome = exchange.outcome.then((ended) => {
+    const outcome = exchange.outcome.then((settled) => {
         hasEnded = true;
-        watch.stop();
+        monitor.stop();
         signal.removeEventListener("abort", cancel);
-        return nameReason(ended, ending);
+        return applyEndReason(settled, endReason);
     });
     return { outcome, cancel, silence, hasEnded: () => hasEnded, isPointless: () => isPointless };
 };
@@ -210,10 +210,10 @@
  * Returns the failure of an outcome. A refusal by the remote side arrives as a response. Treating it as a successful
  * response would discard an earlier attempt that may still be running.
  */
-const findFailure = (outcome: Outcome, { readFailure }: WatchedRequest): RequestFailure | undefined =>
+const findFailure = (outcome: Outcome, { readFailure }: MonitoredRequest): RequestFailure | undefined =>
     either.isLeft(outcome) ? outcome.left : readFailure(outcome.right);
 
-const discardAnswer = (outcome: Outcome): void => {
+const discardResponse = (outcome: Outcome): void => {
     if (either.isRight(outcome)) {
         discardBody(outcome.right);
     }
@@ -223,33 +223,33 @@
  * Returns a silence as the outcome, together with the open attempt. The sender may send the request to other targets
  * and then awaits or cancels the open attempt.
  */
-const leaveOpen = (open: OpenTry): WatchedOutcome => ({
-    outcome: either.left({ kind: "AnswerLost", verdict: "mayHaveRun", detail: DETAILS.Silent }),
+const toOpenOutcome = (open: PendingAttempt): MonitoredOutcome => ({
+    outcome: either.left({ kind: "AnswerLost", verdict: "mayHaveRun", detail: ABORT_DETAILS.Silent }),
     open,
 });
 
 /**
  * Returns the first successful outcome of two attempts. When both fail, returns the failure whose verdict covers both.
  */
-const takeAnswer = async (first: OpenTry, second: OpenTry, request: WatchedRequest): Promise<Outcome> => {
+const selectOutcome = async (first: PendingAttempt, second: PendingAttempt, request: MonitoredRequest): Promise<Outcome> => {
     const [earlier, other] = await Promise.race([
         first.outcome.then((outcome) => [outcome, second] as const),
         second.outcome.then((outcome) => [outcome, first] as const),
     ]);
     if (findFailure(earlier, request) === undefined) {
         other.cancel();
-        void other.outcome.then(discardAnswer);
+        void other.outcome.then(discardResponse);
         return earlier;
     }
     const later = await other.outcome;
     const hasRun = findFailure(later, request)?.verdict !== "notRun";
-    discardAnswer(hasRun ? earlier : later);
+    discardResponse(hasRun ? earlier : later);
     return hasRun ? later : earlier;
 };
 
 /** Combines two attempts into one, so that they can be awaited or cancelled together. */
-const joinTries = (first: OpenTry, second: OpenTry, request: WatchedRequest): OpenTry => ({
-    outcome: takeAnswer(first, second, request),
+const combineAttempts = (first: PendingAttempt, second: PendingAttempt, request: MonitoredRequest): PendingAttempt => ({
+    outcome: selectOutcome(first, second, request),
     cancel: () => {
         first.cancel();
         second.cancel();
@@ -257,30 +257,30 @@
 });
 
 /** Resolves when the second attempt at a target was silent, or failed while the first one is still open. */
-const waitUntilStuck = async (first: Try, second: Try, request: WatchedRequest): Promise<"Silent"> => {
+const waitUntilStalled = async (first: MonitoredAttempt, second: MonitoredAttempt, request: MonitoredRequest): Promise<"Silent"> => {
     const failed = second.outcome.then((outcome) =>
         findFailure(outcome, request) === undefined || first.hasEnded() ? new Promise<never>(() => undefined) : "Silent");
     return Promise.race([second.silence, failed]);
 };
 
 /** Sends `request`, at most twice and the second time only if it is idempotent. Never rejects. */
-export const sendWatched = async (clock: Clock, request: WatchedRequest): Promise<WatchedOutcome> => {
-    const first = startTry(clock, request);
+export const sendWatched = async (clock: Clock, request: MonitoredRequest): Promise<MonitoredOutcome> => {
+    const first = startAttempt(clock, request);
     if (!request.idempotent || request.silenceMs === undefined) {
         return { outcome: await first.outcome };
     }
-    const ended = await Promise.race([first.outcome, first.silence]);
-    if (ended !== "Silent") {
-        return { outcome: ended };
+    const settled = await Promise.race([first.outcome, first.silence]);
+    if (settled !== "Silent") {
+        return { outcome: settled };
     }
-    if (!canSendAgain(request.body)) {
+    if (!isReplayable(request.body)) {
         return { outcome: await first.outcome };
     }
     if (first.isPointless()) {
-        return leaveOpen(first);
+        return toOpenOutcome(first);
     }
-    const second = startTry(clock, request);
-    const both = joinTries(first, second, request);
-    const outcome = await Promise.race([both.outcome, waitUntilStuck(first, second, request)]);
-    return outcome === "Silent" ? leaveOpen(both) : { outcome };
+    const second = startAttempt(clock, request);
+    const both = combineAttempts(first, second, request);
+    const outcome = await Promise.race([both.outcome, waitUntilStalled(first, second, request)]);
+    return outcome === "Silent" ? toOpenOutcome(both) : { outcome };
 };
--- a/packages/oleandergap-node/src/http/writeAnswer.ts
+++ b/packages/oleandergap-node/src/http/writeAnswer.ts
@@ -1,6 +1,6 @@
 /** Writes responses to the sender of a request, either completely or visibly cut off. */
 import type { ServerResponse } from "node:http";
-import { selectAnswerHeaders } from "./headers.js";
+import { selectResponseHeaders } from "./headers.js";
 import type { Answer } from "./answer.js";
 import type { FailureAnswer } from "./refusal.js";
 
@@ -37,15 +37,15 @@
  */
 export const writeAnswer = (
     response: ServerResponse,
-    answer: Answer,
+    upstreamResponse: Answer,
     extraHeaders: Readonly<Record<string, string>>,
 ): void => {
-    const { body } = answer;
+    const { body } = upstreamResponse;
     if (response.destroyed) {
         body.cancel("the caller went away");
         return;
     }
-    const headers = selectAnswerHeaders(answer.headers);
+    const headers = selectResponseHeaders(upstreamResponse.headers);
     for (const name of Object.keys(extraHeaders)) {
         headers[name] = extraHeaders[name] ?? "";
     }
@@ -57,7 +57,7 @@
     });
     // Corking sends head and body in one write when the body is already available.
     response.cork();
-    response.writeHead(answer.statusCode, headers);
+    response.writeHead(upstreamResponse.statusCode, headers);
     body.deliver({
         write: (chunk) => response.write(chunk),
         end: () => {
