--- a/packages/oleandergap-node/src/__tests__/callerPatience.test.ts
+++ b/packages/oleandergap-node/src/__tests__/callerPatience.test.ts
@@ -19,16 +19,16 @@
     it("keeps estimating the elapsed wait when every caller retries twice", () => {
         const estimate = createElapsedWaitEstimator();
         for (let count = 0; count < 200; count++) {
-            const waited = [DEADLINE_MS, 1333, 890].map((remainingMs) => estimate("views", remainingMs));
-            expect(count < 12 ? [0, 667, 1110] : waited).to.deep.equal([0, 667, 1110]);
+            const elapsed = [DEADLINE_MS, 1333, 890].map((remainingMs) => estimate("views", remainingMs));
+            expect(count < 12 ? [0, 667, 1110] : elapsed).to.deep.equal([0, 667, 1110]);
         }
     });
 
     it("assumes no elapsed wait where callers use different timeouts", () => {
         const estimate = createElapsedWaitEstimator();
         for (let count = 0; count < 500; count++) {
-            const waited = estimate("calls", 50 + (count * 37) % 200);
-            expect(count < 100 ? 0 : waited).to.equal(0);
+            const elapsed = estimate("calls", 50 + (count * 37) % 200);
+            expect(count < 100 ? 0 : elapsed).to.equal(0);
         }
     });
 
@@ -36,8 +36,8 @@
         const estimate = createElapsedWaitEstimator();
         estimate("views", 60_000);
         for (let count = 0; count < 500; count++) {
-            const waited = estimate("views", DEADLINE_MS);
-            expect(count < 20 ? 0 : waited).to.equal(0);
+            const elapsed = estimate("views", DEADLINE_MS);
+            expect(count < 20 ? 0 : elapsed).to.equal(0);
         }
         expect(estimate("views", 1400)).to.equal(600);
     });
--- a/packages/oleandergap-node/src/__tests__/cutAnswers.test.ts
+++ b/packages/oleandergap-node/src/__tests__/cutAnswers.test.ts
@@ -78,8 +78,8 @@
             turns += 1;
         };
         const lag = createLoopLag({ clock, nextTurn: turn, onPause: (lagMs) => pauses.push(lagMs) });
-        const life = new AbortController();
-        lag.start(life.signal);
+        const abortController = new AbortController();
+        lag.start(abortController.signal);
         await clock.advance(200);
         expect(lag.catchUp()).to.equal(undefined);
         clock.freeze(400);
@@ -89,7 +89,7 @@
         expect(pauses).to.have.length(1);
         await clock.advance(600);
         expect(lag.catchUp()).to.equal(undefined);
-        life.abort();
+        abortController.abort();
     });
 
     /*
@@ -100,19 +100,19 @@
     it("schedules the next check a full interval after the last one while requests arrive", async () => {
         const clock = createManualClock(1_000_000);
         const lag = createLoopLag({ clock, nextTurn: async () => undefined, onPause: () => undefined });
-        const life = new AbortController();
-        lag.start(life.signal);
+        const abortController = new AbortController();
+        lag.start(abortController.signal);
         void lag.catchUp();
         // From the first idle check on, a check runs every 70 ms, 20 ms after it is due.
         await clock.advance(100);
-        let behind = 0;
+        let laggingChecks = 0;
         for (let turn = 0; turn < 20; turn++) {
             clock.freeze(69);
-            behind += lag.catchUp() === undefined ? 0 : 1;
+            laggingChecks += lag.catchUp() === undefined ? 0 : 1;
             await clock.advance(1);
         }
-        life.abort();
-        expect(behind).to.equal(0);
+        abortController.abort();
+        expect(laggingChecks).to.equal(0);
     });
 
     /*
@@ -127,12 +127,12 @@
             turns += 1;
         };
         const lag = createLoopLag({ clock, nextTurn: turn, onPause: () => undefined });
-        const life = new AbortController();
-        lag.start(life.signal);
+        const abortController = new AbortController();
+        lag.start(abortController.signal);
         await clock.advance(200);
         clock.freeze(400);
         await lag.catchUp();
         expect(turns).to.equal(2);
-        life.abort();
+        abortController.abort();
     });
 });
--- a/packages/oleandergap-node/src/__tests__/gatewayHandler.test.ts
+++ b/packages/oleandergap-node/src/__tests__/gatewayHandler.test.ts
@@ -33,32 +33,33 @@
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
 
         const headers = { host: HOST, "oleandergap-request-id": "file-17", "oleandergap-timeout-ms": "800" };
-        const answer = await call({ port: gateway.port, method: "PUT", headers, body: "codicil" });
+        const clientResponse = await call({ port: gateway.port, method: "PUT", headers, body: "codicil" });
 
-        expect(answer.statusCode).to.equal(200);
-        expect(answer.body.toString()).to.equal("codicil");
-        expect(answer.headers).to.include({
+        expect(clientResponse.statusCode).to.equal(200);
+        expect(clientResponse.body.toString()).to.equal("codicil");
+        expect(clientResponse.headers).to.include({
             "x-seen-host": HOST,
             "x-seen-timeout": "800",
             "oleandergap-verdict": "ran",
             "oleandergap-version": "halloway:7",
             "oleandergap-request-id": "file-17",
         });
-        expect(answer.headers["oleandergap-load"]).to.equal(undefined);
+        expect(clientResponse.headers["oleandergap-load"]).to.equal(undefined);
     });
 
     it("distinguishes unknown services, invalid hosts, invalid timeouts and missing targets", async () => {
         const gateway = await startGateway(cleanup.add, { clock: createManualClock(), targets: [] });
-        const ask = (headers: Record<string, string>): ReturnType<typeof call> => call({ port: gateway.port, headers });
+        const sendRequest = (headers: Record<string, string>): ReturnType<typeof call> =>
+            call({ port: gateway.port, headers });
 
-        const unknown = await ask({ host: "nothing.halloway" });
-        const malformed = await ask({ host: "halloway" });
-        const badTimeout = await ask({ host: HOST, "oleandergap-timeout-ms": "soon" });
-        const noTarget = await ask({ host: HOST });
+        const unknown = await sendRequest({ host: "nothing.halloway" });
+        const malformed = await sendRequest({ host: "halloway" });
+        const badTimeout = await sendRequest({ host: HOST, "oleandergap-timeout-ms": "soon" });
+        const noTarget = await sendRequest({ host: HOST });
 
-        expect([unknown, malformed, badTimeout, noTarget].map((answer) => answer.statusCode))
+        expect([unknown, malformed, badTimeout, noTarget].map((response) => response.statusCode))
             .to.deep.equal([404, 400, 400, 503]);
-        expect([unknown, malformed, badTimeout, noTarget].map((answer) => answer.headers["oleandergap-reason"]))
+        expect([unknown, malformed, badTimeout, noTarget].map((response) => response.headers["oleandergap-reason"]))
             .to.deep.equal(["UnknownService", "BadRequest", "BadRequest", "NoTarget"]);
         expect(Number(noTarget.headers["retry-after"])).to.be.greaterThan(0);
     });
@@ -74,16 +75,16 @@
         gate.keeper.announce(createAnnouncement(target));
         const row = createRow({ idempotency: "required" });
         const gateway = await startGateway(cleanup.add, { clock, row, targets: [createMember("a", gate.port)] });
-        const lodge = (method: string, headers: Record<string, string>): ReturnType<typeof call> =>
+        const sendWithKey = (method: string, headers: Record<string, string>): ReturnType<typeof call> =>
             call({ port: gateway.port, method, headers: { host: HOST, ...headers } });
 
-        const keyless = await lodge("POST", {});
+        const keyless = await sendWithKey("POST", {});
         expect(keyless.statusCode).to.equal(400);
         expect(keyless.headers["oleandergap-verdict"]).to.equal("notRun");
         expect(runs).to.equal(0);
 
-        expect((await lodge("POST", { "idempotency-key": "lodgement-0001" })).statusCode).to.equal(200);
-        expect((await lodge("GET", {})).statusCode).to.equal(200);
+        expect((await sendWithKey("POST", { "idempotency-key": "lodgement-0001" })).statusCode).to.equal(200);
+        expect((await sendWithKey("GET", {})).statusCode).to.equal(200);
     });
 
     // Guards against requests in flight that fail or reach a wrong service whenever an operator changes the table. A
@@ -92,9 +93,9 @@
     it("uses the table version in force at the start of a request until its end", async () => {
         const clock = createManualClock();
         let view: TableView = createView(createRow(), 7);
-        let arrived = 0;
+        let receivedRequests = 0;
         const target = await startTarget(cleanup.add, (_request, response) => {
-            arrived++;
+            receivedRequests++;
             view = createView(createRow({ service: "deed-vault" }), 8);
             setImmediate(() => response.end("old version"));
         });
@@ -103,60 +104,60 @@
         const targets = [createMember("a", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets, view: () => view });
 
-        const answer = await call({ port: gateway.port, headers: { host: HOST } });
+        const clientResponse = await call({ port: gateway.port, headers: { host: HOST } });
         const next = await call({ port: gateway.port, headers: { host: HOST } });
 
-        expect(answer.headers["oleandergap-version"]).to.equal("halloway:7");
+        expect(clientResponse.headers["oleandergap-version"]).to.equal("halloway:7");
         expect(next.headers["oleandergap-reason"]).to.equal("UnknownService");
-        expect(arrived).to.equal(1);
+        expect(receivedRequests).to.equal(1);
     });
 
     // Guards against a non-idempotent request that runs twice. A gate receives the request and fails before it
     // responds. If the lost response was treated like a refusal, the gateway would send the request to another gate.
     it("does not retry a non-idempotent request once its first byte has been sent", async () => {
         const clock = createManualClock();
-        let taken = 0;
-        const dying = await startRawTarget(cleanup.add, (socket) => {
+        let receivedCount = 0;
+        const failingGate = await startRawTarget(cleanup.add, (socket) => {
             socket.once("data", () => {
-                taken++;
+                receivedCount++;
                 socket.destroy();
             });
         });
-        const targets = [createMember("a", dying), createMember("b", dying)];
+        const targets = [createMember("a", failingGate), createMember("b", failingGate)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
 
-        const answer = await call({ port: gateway.port, method: "POST", headers: { host: HOST }, body: "grant" });
+        const clientResponse = await call({ port: gateway.port, method: "POST", headers: { host: HOST }, body: "grant" });
 
-        expect(taken).to.equal(1);
-        expect(answer.statusCode).to.equal(502);
-        expect(answer.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
+        expect(receivedCount).to.equal(1);
+        expect(clientResponse.statusCode).to.equal(502);
+        expect(clientResponse.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
     });
 
     it("retries an idempotent request at another target after a lost response", async () => {
         const clock = createManualClock();
-        const dying = await startRawTarget(cleanup.add, (socket) => {
+        const failingGate = await startRawTarget(cleanup.add, (socket) => {
             socket.once("data", () => socket.destroy());
         });
         const target = await startTarget(cleanup.add, (_request, response) => response.end("file"));
         const gate = await startGate(cleanup.add, { clock });
         gate.keeper.announce(createAnnouncement(target));
-        const targets = [createMember("a", dying), createMember("b", gate.port)];
+        const targets = [createMember("a", failingGate), createMember("b", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
 
-        const ask = (): ReturnType<typeof call> => call({ port: gateway.port, headers: { host: HOST } });
-        const answers = await Promise.all([ask(), ask(), ask(), ask()]);
+        const sendRequest = (): ReturnType<typeof call> => call({ port: gateway.port, headers: { host: HOST } });
+        const clientResponses = await Promise.all([sendRequest(), sendRequest(), sendRequest(), sendRequest()]);
 
-        expect(answers.map((answer) => answer.body.toString())).to.deep.equal(["file", "file", "file", "file"]);
-        expect(answers.some((answer) => answer.headers["oleandergap-retry"] === "no")).to.equal(true);
+        expect(clientResponses.map((response) => response.body.toString())).to.deep.equal(["file", "file", "file", "file"]);
+        expect(clientResponses.some((response) => response.headers["oleandergap-retry"] === "no")).to.equal(true);
     });
 
     // Guards against an upload that fails although another target has capacity for it. If the body is sent before the
     // gate has admitted the request, its first part is lost when the gate refuses it.
     it("retries a large upload at another gate when the first gate refuses it", async () => {
         const clock = createSystemClock();
-        const full = await startGate(cleanup.add, { clock, limit: { ...TEST_LIMIT, concurrency: 1, queue: 0 } });
-        const busy = await startTarget(cleanup.add, () => undefined);
-        full.keeper.announce(createAnnouncement(busy));
+        const fullGate = await startGate(cleanup.add, { clock, limit: { ...TEST_LIMIT, concurrency: 1, queue: 0 } });
+        const busyTarget = await startTarget(cleanup.add, () => undefined);
+        fullGate.keeper.announce(createAnnouncement(busyTarget));
         let received = "";
         const target = await startTarget(cleanup.add, (request, response) => {
             const hash = createHash("sha256");
@@ -166,9 +167,9 @@
                 response.end();
             });
         });
-        const free = await startGate(cleanup.add, { clock });
-        free.keeper.announce(createAnnouncement(target));
-        const occupied = full.serve({
+        const freeGate = await startGate(cleanup.add, { clock });
+        freeGate.keeper.announce(createAnnouncement(target));
+        const occupied = fullGate.serve({
             service: { partner: "halloway", service: "grant-filer" },
             caller: { partner: "halloway", service: "grant-filer" },
             method: "GET", path: "/", headers: [], host: HOST, body: { kind: "Empty" }, idempotent: true, priority: 0, kind: "",
@@ -177,14 +178,14 @@
             signal: new AbortController().signal, onAdmitted: () => undefined,
         });
         void occupied;
-        const targets = [createMember("a", full.port), createMember("b", free.port)];
+        const targets = [createMember("a", fullGate.port), createMember("b", freeGate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
         const upload = Buffer.alloc(LARGE_BODY_BYTES, "deed");
 
         for (let round = 0; round < 4; round++) {
             received = "";
-            const answer = await call({ port: gateway.port, method: "POST", headers: { host: HOST }, body: upload });
-            expect(answer.statusCode).to.equal(200);
+            const clientResponse = await call({ port: gateway.port, method: "POST", headers: { host: HOST }, body: upload });
+            expect(clientResponse.statusCode).to.equal(200);
             expect(received).to.equal(createHash("sha256").update(upload).digest("hex"));
         }
     });
@@ -203,9 +204,9 @@
         const clock = createManualClock();
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate)] });
 
-        const answer = await call({ port: gateway.port, headers: { host: HOST } }).catch(() => undefined);
+        const clientResponse = await call({ port: gateway.port, headers: { host: HOST } }).catch(() => undefined);
 
-        expect(answer?.whole ?? false).to.equal(false);
+        expect(clientResponse?.whole ?? false).to.equal(false);
     });
 
     // Guards against a caller that receives the response to another request. A response without an id, or with another
@@ -218,10 +219,10 @@
             const clock = createManualClock();
             const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate)] });
 
-            const answer = await call({ port: gateway.port, headers: { host: HOST } });
+            const clientResponse = await call({ port: gateway.port, headers: { host: HOST } });
 
-            expect(answer.statusCode).to.equal(502);
-            expect(answer.body.toString()).not.to.include("kitchen");
+            expect(clientResponse.statusCode).to.equal(502);
+            expect(clientResponse.body.toString()).not.to.include("kitchen");
         }
     });
 
@@ -232,7 +233,7 @@
         const clock = createManualClock();
         let connections = 0;
         let requests = 0;
-        const silentOnce = await startRawTarget(cleanup.add, (socket) => {
+        const silentGate = await startRawTarget(cleanup.add, (socket) => {
             const isSilent = ++connections === 1;
             socket.on("data", (data) => {
                 requests++;
@@ -242,15 +243,15 @@
                 }
             });
         });
-        const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", silentOnce)] });
+        const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", silentGate)] });
 
         const pending = call({ port: gateway.port, headers: { host: HOST } });
         await until(() => requests === 1);
         await clock.advance(GATE_SILENCE_MS);
-        const answer = await pending;
+        const clientResponse = await pending;
 
-        expect(answer.body.toString()).to.equal("ok");
-        expect(answer.headers["oleandergap-retry"]).to.equal(undefined);
+        expect(clientResponse.body.toString()).to.equal("ok");
+        expect(clientResponse.headers["oleandergap-retry"]).to.equal(undefined);
     });
 
     // Guards against requests that are still sent to a frozen node for seconds. A gate accepts requests and sends no
@@ -258,33 +259,33 @@
     // mayHaveRun, and reads wait twice the timeout.
     it("sends no further requests to a gate after one silence, and delays no second read for it", async () => {
         const clock = createManualClock();
-        let taken = 0;
-        let served = 0;
-        const frozen = await startRawTarget(cleanup.add, (socket) => {
-            socket.on("data", () => taken++);
+        let receivedCount = 0;
+        let servedCount = 0;
+        const frozenGate = await startRawTarget(cleanup.add, (socket) => {
+            socket.on("data", () => receivedCount++);
         });
         const target = await startTarget(cleanup.add, (_request, response) => {
-            served++;
+            servedCount++;
             response.end("file");
         });
         const gate = await startGate(cleanup.add, { clock });
         gate.keeper.announce(createAnnouncement(target));
-        const targets = [createMember("a", frozen), createMember("b", gate.port)];
+        const targets = [createMember("a", frozenGate), createMember("b", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
-        const ask = (count: number, method: string): ReturnType<typeof call>[] =>
+        const sendRequest = (count: number, method: string): ReturnType<typeof call>[] =>
             Array.from({ length: count }, () => call({ port: gateway.port, method, headers: { host: HOST } }));
 
-        ask(4, "POST").forEach((lodgement) => void lodgement.catch(() => undefined));
-        await until(() => taken + served === 4);
-        const reads = ask(8, "GET");
-        await until(() => taken + served === 12);
-        const takenBefore = taken;
+        sendRequest(4, "POST").forEach((lodgement) => void lodgement.catch(() => undefined));
+        await until(() => receivedCount + servedCount === 4);
+        const reads = sendRequest(8, "GET");
+        await until(() => receivedCount + servedCount === 12);
+        const receivedBefore = receivedCount;
         await clock.advance(GATE_SILENCE_MS);
-        const answers = await Promise.all([...reads, ...ask(10, "POST")]);
+        const clientResponses = await Promise.all([...reads, ...sendRequest(10, "POST")]);
 
-        expect(takenBefore).to.be.at.least(2);
-        expect(answers.map(({ statusCode }) => statusCode)).to.deep.equal(answers.map(() => 200));
-        expect(taken).to.equal(takenBefore);
+        expect(receivedBefore).to.be.at.least(2);
+        expect(clientResponses.map(({ statusCode }) => statusCode)).to.deep.equal(clientResponses.map(() => 200));
+        expect(receivedCount).to.equal(receivedBefore);
     });
 
     it("does not treat a slow target as a silent connection", async () => {
@@ -314,9 +315,9 @@
 
     it("responds at the deadline with 504, and with mayHaveRun once the request was sent", async () => {
         const clock = createManualClock();
-        let arrived = 0;
+        let receivedRequests = 0;
         const target = await startTarget(cleanup.add, () => {
-            arrived++;
+            receivedRequests++;
         });
         const gate = await startGate(cleanup.add, { clock });
         gate.keeper.announce(createAnnouncement(target));
@@ -324,12 +325,12 @@
 
         const headers = { host: HOST, "oleandergap-timeout-ms": "300" };
         const pending = call({ port: gateway.port, method: "POST", headers, body: "grant" });
-        await until(() => arrived === 1);
+        await until(() => receivedRequests === 1);
         await clock.advance(300);
-        const answer = await pending;
+        const clientResponse = await pending;
 
-        expect(answer.statusCode).to.equal(504);
-        expect(answer.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
+        expect(clientResponse.statusCode).to.equal(504);
+        expect(clientResponse.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
         await until(() => gate.keeper.current()?.gate.load().inFlight === 0);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/giveUp.test.ts
+++ b/packages/oleandergap-node/src/__tests__/giveUp.test.ts
@@ -27,9 +27,9 @@
         const request = call({ port: gateway.port, headers });
         await running;
         callerSignals.giveUpAll();
-        const answer = await request;
-        expect(answer.whole).to.equal(true);
-        expect(answer.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
-        expect(answer.statusCode).to.equal(502);
+        const clientResponse = await request;
+        expect(clientResponse.whole).to.equal(true);
+        expect(clientResponse.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
+        expect(clientResponse.statusCode).to.equal(502);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/lateSigns.test.ts
+++ b/packages/oleandergap-node/src/__tests__/lateSigns.test.ts
@@ -13,7 +13,7 @@
 /** Time after which the request of a probe reaches the gate. */
 const ARRIVAL_MS = 490;
 /** Longer than the first backoff. */
-const BACK_OFF_MS = 1000;
+const BACKOFF_MS = 1000;
 const HEADERS = { host: HOST, "oleandergap-timeout-ms": "10000" };
 
 type Handle = (response: ServerResponse) => void;
@@ -30,27 +30,27 @@
 const startRelay = async (cleanup: Cleanup, gatePort: number): Promise<Relay> => {
     let requests = 0;
     let isHeld = false;
-    const held = new Set<() => void>();
+    const heldChunks = new Set<() => void>();
     const sockets = new Set<net.Socket>();
-    const server = net.createServer((near) => {
-        const far = net.connect(gatePort, LOOPBACK);
-        for (const socket of [near, far]) {
+    const server = net.createServer((clientSocket) => {
+        const gateSocket = net.connect(gatePort, LOOPBACK);
+        for (const socket of [clientSocket, gateSocket]) {
             sockets.add(socket);
             socket.on("error", () => undefined);
         }
-        near.on("data", (chunk) => {
+        clientSocket.on("data", (chunk) => {
             requests += 1;
-            const pass = (): void => void far.write(chunk);
+            const forward = (): void => void gateSocket.write(chunk);
             if (!isHeld) {
-                pass();
+                forward();
                 return;
             }
-            held.add(pass);
-            near.once("close", () => held.delete(pass));
+            heldChunks.add(forward);
+            clientSocket.once("close", () => heldChunks.delete(forward));
         });
-        far.on("data", (chunk) => near.write(chunk));
-        near.on("close", () => far.destroy());
-        far.on("close", () => near.destroy());
+        gateSocket.on("data", (chunk) => clientSocket.write(chunk));
+        clientSocket.on("close", () => gateSocket.destroy());
+        gateSocket.on("close", () => clientSocket.destroy());
     });
     await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
     cleanup(() => {
@@ -65,8 +65,8 @@
         },
         release: () => {
             isHeld = false;
-            held.forEach((pass) => pass());
-            held.clear();
+            heldChunks.forEach((forward) => forward());
+            heldChunks.clear();
         },
     };
 };
@@ -77,30 +77,30 @@
     afterEach(() => cleanup.run());
 
     /** A gateway with two gates, one of which has been silent for a request. */
-    interface Scene {
+    interface Scenario {
         readonly clock: ManualClock;
         readonly relay: Relay;
         /** Responses of the requests that run at the target behind the silent gate. */
-        readonly runs: readonly ServerResponse[];
-        readonly cuts: () => number;
+        readonly runningResponses: readonly ServerResponse[];
+        readonly aborts: () => number;
         /** Returns the number of requests at the other gate. */
-        readonly others: () => number;
+        readonly otherRequests: () => number;
         /** Responds to a request at the other gate. */
-        answerElsewhere: Handle;
-        readonly ask: () => Promise<Received>;
+        respondElsewhere: Handle;
+        readonly sendRequest: () => Promise<Received>;
         /** Announces that the gateway's node stops. */
         readonly stop: () => void;
     }
 
-    const startScene = async (): Promise<Scene> => {
+    const startScenario = async (): Promise<Scenario> => {
         const clock = createManualClock();
-        const runs: ServerResponse[] = [];
-        let cuts = 0;
-        let others = 0;
+        const runningResponses: ServerResponse[] = [];
+        let aborts = 0;
+        let otherRequests = 0;
         const target = await startTarget(cleanup.add, (_request, response) => {
-            runs.push(response);
+            runningResponses.push(response);
             response.once("close", () => {
-                cuts += response.writableFinished ? 0 : 1;
+                aborts += response.writableFinished ? 0 : 1;
             });
         });
         // The clock of this gate does not advance, so the gate sends no heartbeats.
@@ -108,36 +108,36 @@
         gate.keeper.announce(createAnnouncement(target));
         const relay = await startRelay(cleanup.add, gate.port);
         const other = await startTarget(cleanup.add, (request, response) => {
-            others += 1;
+            otherRequests += 1;
             response.setHeader("oleandergap-request-id", String(request.headers["oleandergap-request-id"]));
-            scene.answerElsewhere(response);
+            scenario.respondElsewhere(response);
         });
         const gateway = await startGateway(cleanup.add, {
             clock,
             targets: [createMember("a", relay.port), createMember("b", other)],
             gateSilenceMs: GATE_SILENCE_MS,
         });
-        const scene: Scene = {
+        const scenario: Scenario = {
             clock,
             relay,
-            runs,
-            cuts: () => cuts,
-            others: () => others,
-            answerElsewhere: (response) => void response.end("other"),
-            ask: () => call({ port: gateway.port, headers: HEADERS }),
+            runningResponses,
+            aborts: () => aborts,
+            otherRequests: () => otherRequests,
+            respondElsewhere: (response) => void response.end("other"),
+            sendRequest: () => call({ port: gateway.port, headers: HEADERS }),
             stop: gateway.announceClose,
         };
-        return scene;
+        return scenario;
     };
 
     /** Makes the gate behind the relay silent, so that the next request probes it. */
-    const makeSilent = async ({ clock, relay, ask }: Scene): Promise<void> => {
+    const makeSilent = async ({ clock, relay, sendRequest }: Scenario): Promise<void> => {
         relay.hold();
-        let pending = ask();
+        let pending = sendRequest();
         while (relay.requests() === 0) {
             await Promise.race([pending, until(() => relay.requests() > 0)]);
             if (relay.requests() === 0) {
-                pending = ask();
+                pending = sendRequest();
             }
         }
         let isAnswered = false;
@@ -149,28 +149,28 @@
         while (!isAnswered) {
             await clock.advance(GATE_SILENCE_MS);
         }
-        await clock.advance(BACK_OFF_MS);
+        await clock.advance(BACKOFF_MS);
     };
 
     /**
      * Sends a probe that starts to run shortly before its silence timeout, and advances the clock past that timeout.
      */
     const startProbe = async (
-        scene: Scene,
-        answerElsewhere: Handle,
+        scenario: Scenario,
+        respondElsewhere: Handle,
     ): Promise<{ readonly answer: Promise<Received> }> => {
-        const { clock, relay, runs, ask, others, stop } = scene;
-        await makeSilent(scene);
-        scene.answerElsewhere = answerElsewhere;
-        const answered = others();
-        const answer = ask();
+        const { clock, relay, runningResponses, sendRequest, otherRequests, stop } = scenario;
+        await makeSilent(scenario);
+        scenario.respondElsewhere = respondElsewhere;
+        const previousRequests = otherRequests();
+        const answer = sendRequest();
         await until(() => relay.requests() === 3);
         stop();
         await clock.advance(ARRIVAL_MS);
         relay.release();
-        await until(() => runs.length === 1);
+        await until(() => runningResponses.length === 1);
         await clock.advance(PROBE_SILENCE_MS - ARRIVAL_MS);
-        await until(() => others() > answered);
+        await until(() => otherRequests() > previousRequests);
         // Some event loop iterations, in which the other gate's response is read.
         await clock.advance(1);
         await clock.advance(1);
@@ -184,20 +184,20 @@
 
     // Guards against a running request that is aborted when the silence timeout of its probe has passed.
     it("provides the response when it was started by a probe and the other gate refuses the request", async () => {
-        const scene = await startScene();
-        const { answer } = await startProbe(scene, refuse);
-        scene.runs[0]?.end("run");
+        const scenario = await startScenario();
+        const { answer } = await startProbe(scenario, refuse);
+        scenario.runningResponses[0]?.end("run");
         expect(await answer).to.include({ statusCode: 200 });
-        expect(scene.cuts()).to.equal(0);
+        expect(scenario.aborts()).to.equal(0);
     });
 
     // Guards against a running request that is aborted before its deadline although no other response can arrive.
     it("provides the response after a second silence when the other gate refuses the request", async () => {
-        const scene = await startScene();
-        const { answer } = await startProbe(scene, refuse);
-        await scene.clock.advance(PROBE_SILENCE_MS);
-        scene.runs[0]?.end("run");
+        const scenario = await startScenario();
+        const { answer } = await startProbe(scenario, refuse);
+        await scenario.clock.advance(PROBE_SILENCE_MS);
+        scenario.runningResponses[0]?.end("run");
         expect(await answer).to.include({ statusCode: 200 });
-        expect(scene.cuts()).to.equal(0);
+        expect(scenario.aborts()).to.equal(0);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/listener.test.ts
+++ b/packages/oleandergap-node/src/__tests__/listener.test.ts
@@ -51,7 +51,7 @@
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
         const head = `POST / HTTP/1.1\r\nhost: ${HOST}\r\n`;
 
-        const answers = await Promise.all([
+        const clientResponses = await Promise.all([
             callRaw(gateway.port, "nonsense\r\n\r\n"),
             callRaw(gateway.port, `${head}content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`),
             callRaw(gateway.port, `${head}content-length: 4\r\ncontent-length: 5\r\n\r\nabcd`),
@@ -59,9 +59,9 @@
             callRaw(gateway.port, `${head}host: deed-vault.halloway\r\nconnection: close\r\n\r\n`),
         ]);
 
-        const statuses = answers.map((answer) => /^HTTP\/1\.1 (\d+)/.exec(answer)?.[1]);
+        const statuses = clientResponses.map((response) => /^HTTP\/1\.1 (\d+)/.exec(response)?.[1]);
         expect(statuses).to.deep.equal(["400", "400", "400", "431", "400"]);
-        expect(answers.every((answer) => answer.includes("oleandergap-verdict: notRun"))).to.equal(true);
+        expect(clientResponses.every((response) => response.includes("oleandergap-verdict: notRun"))).to.equal(true);
         expect((await call({ port: gateway.port, headers: { host: HOST } })).body.toString()).to.equal("ok");
     });
 
@@ -105,28 +105,28 @@
     // Guards against a response that is cut off by a shutdown because the caller has not read its last part yet.
     it("delivers the rest of a response while it drains", async () => {
         const body = createReceivedBody({ pause: () => undefined, resume: () => undefined, abort: () => undefined });
-        let answer: ServerResponse | undefined;
+        let serverResponse: ServerResponse | undefined;
         const listener = await startTestListener(cleanup.add, createSystemClock(), (_request, response) => {
-            answer = response;
+            serverResponse = response;
             writeAnswer(response, { statusCode: 200, headers: {}, body }, {});
         });
-        const caller = net.connect(listener.port, LOOPBACK);
-        cleanup.add(() => caller.destroy());
-        caller.on("error", () => undefined);
-        caller.write(`GET / HTTP/1.1\r\nhost: ${HOST}\r\n\r\n`);
-        await until(() => answer !== undefined);
-        while (answer?.writableLength === 0) {
+        const client = net.connect(listener.port, LOOPBACK);
+        cleanup.add(() => client.destroy());
+        client.on("error", () => undefined);
+        client.write(`GET / HTTP/1.1\r\nhost: ${HOST}\r\n\r\n`);
+        await until(() => serverResponse !== undefined);
+        while (serverResponse?.writableLength === 0) {
             body.push(Buffer.alloc(PART_BYTES));
             await new Promise<void>((resolve) => setImmediate(resolve));
         }
         body.finish();
         void listener.drain(0, new AbortController().signal);
         await new Promise<void>((resolve) => setImmediate(resolve));
-        let end = "";
-        caller.on("data", (chunk) => {
-            end = (end + chunk.subarray(-LAST_CHUNK.length).toString("latin1")).slice(-LAST_CHUNK.length);
+        let lastBytes = "";
+        client.on("data", (chunk) => {
+            lastBytes = (lastBytes + chunk.subarray(-LAST_CHUNK.length).toString("latin1")).slice(-LAST_CHUNK.length);
         });
-        await until(() => end === LAST_CHUNK || caller.destroyed);
-        expect(end === LAST_CHUNK, "whole").to.equal(true);
+        await until(() => lastBytes === LAST_CHUNK || client.destroyed);
+        expect(lastBytes === LAST_CHUNK, "whole").to.equal(true);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/ownerRouting.test.ts
+++ b/packages/oleandergap-node/src/__tests__/ownerRouting.test.ts
@@ -26,24 +26,24 @@
         const findOwnerRouter = createOwnerRouting({ clock, partitions: 64 });
         const first = await startGateway(cleanup.add, { clock, targets: members, findOwnerRouter });
         const second = await startGateway(cleanup.add, { clock, targets: [...members].reverse(), findOwnerRouter });
-        const lodge = async (port: number, key: string): Promise<string> => {
+        const sendRequest = async (port: number, key: string): Promise<string> => {
             const headers = { host: HOST, "idempotency-key": key };
             return (await call({ port, method: "POST", headers })).body.toString();
         };
 
-        const atFirst = await Promise.all(TIMED_KEYS.map((key) => lodge(first.port, key)));
-        const atSecond = await Promise.all(TIMED_KEYS.map((key) => lodge(second.port, key)));
+        const atFirst = await Promise.all(TIMED_KEYS.map((key) => sendRequest(first.port, key)));
+        const atSecond = await Promise.all(TIMED_KEYS.map((key) => sendRequest(second.port, key)));
 
         expect(atSecond).to.deep.equal(atFirst);
         expect(new Set(atFirst)).to.deep.equal(new Set(["a", "b"]));
     });
 
     it("returns no router for keys without a timestamp and for services without a target", () => {
-        const find = createOwnerRouting({ clock: createManualClock(), partitions: 64 });
+        const findOwnerRouter = createOwnerRouting({ clock: createManualClock(), partitions: 64 });
         const service = { partner: "halloway", service: "grant-filer" };
 
-        expect(find(service, "lodgement-0001", [createMember("a", 1)])).to.equal(undefined);
-        expect(find(service, TIMED_KEYS[0] ?? "", [])).to.equal(undefined);
-        expect(find(service, TIMED_KEYS[0] ?? "", [{ ...createMember("a", 1), leaving: true }])).to.equal(undefined);
+        expect(findOwnerRouter(service, "lodgement-0001", [createMember("a", 1)])).to.equal(undefined);
+        expect(findOwnerRouter(service, TIMED_KEYS[0] ?? "", [])).to.equal(undefined);
+        expect(findOwnerRouter(service, TIMED_KEYS[0] ?? "", [{ ...createMember("a", 1), leaving: true }])).to.equal(undefined);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/requestFingerprint.test.ts
+++ b/packages/oleandergap-node/src/__tests__/requestFingerprint.test.ts
@@ -12,13 +12,13 @@
     afterEach(() => cleanup.run());
 
     it("computes the same fingerprint for a large upload regardless of its chunk sizes", async () => {
-        const names: Fingerprint[] = [];
+        const fingerprints: Fingerprint[] = [];
         const clock = createSystemClock();
         const port = await startTarget(cleanup.add, (request) => {
             const limits = { clock, maxBytes: 1e9, deadline: clock.monotonic() + 10_000 };
             void Promise.resolve(receiveBody(request, limits)).then((body) => {
                 if (either.isRight(body)) {
-                    names.push(fingerprintRequest({ method: "POST", host: "a.example", path: "/deed" }, body.right));
+                    fingerprints.push(fingerprintRequest({ method: "POST", host: "a.example", path: "/deed" }, body.right));
                 }
             });
         });
@@ -32,8 +32,8 @@
             const sendRest = (): boolean => socket.write(body.subarray(firstPiece));
             socket.write(body.subarray(0, firstPiece), () => setTimeout(sendRest, 20));
         }
-        await until(() => names.length === 3);
+        await until(() => fingerprints.length === 3);
 
-        expect(new Set(names).size).to.equal(1);
+        expect(new Set(fingerprints).size).to.equal(1);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/routeTable.test.ts
+++ b/packages/oleandergap-node/src/__tests__/routeTable.test.ts
@@ -23,7 +23,7 @@
 const hostArbitrary = fastCheck.constantFrom("one.example", "two.example");
 
 /** Reference implementation: scans all routes. */
-const findNaively = (routes: readonly Route[], host: string, path: string): string | undefined => {
+const findLinearly = (routes: readonly Route[], host: string, path: string): string | undefined => {
     let best: Route | undefined;
     for (const route of routes) {
         const matches = route.host === host && path.slice(0, route.prefix.length) === route.prefix;
@@ -45,7 +45,8 @@
             (found, host, prefix, last) => {
                 const routes = found.map((route, index) => createRoute(`r${index}`, route.host, route.prefix));
                 const path = `${prefix}${last}`;
-                expect(findRoute(createView(routes), host, path)?.route.name).to.equal(findNaively(routes, host, path));
+                expect(findRoute(createView(routes), host, path)?.route.name)
+                    .to.equal(findLinearly(routes, host, path));
             },
         ), { numRuns: 500 });
     });
--- a/packages/oleandergap-node/src/__tests__/secondTries.test.ts
+++ b/packages/oleandergap-node/src/__tests__/secondTries.test.ts
@@ -16,29 +16,29 @@
     interface Gate {
         readonly port: number;
         /** Attempts that arrived; the test sends the responses. */
-        readonly tries: readonly ServerResponse[];
+        readonly attempts: readonly ServerResponse[];
     }
 
     const startGate = async (): Promise<Gate> => {
-        const tries: ServerResponse[] = [];
+        const attempts: ServerResponse[] = [];
         const port = await startTarget(cleanup.add, (request, response) => {
             response.setHeader("oleandergap-request-id", String(request.headers["oleandergap-request-id"]));
             response.setHeader("oleandergap-verdict", "ran");
-            tries.push(response);
+            attempts.push(response);
         });
-        return { port, tries };
+        return { port, attempts };
     };
 
-    const ask = async (
+    const sendRequest = async (
         gate: Gate,
         clock: ManualClock,
         logSilence: LogSilentGate = () => undefined,
     ): Promise<{ readonly answer: Promise<Received> }> => {
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)], logSilence });
         const answer = call({ port: gateway.port, headers: HEADERS });
-        await until(() => gate.tries.length === 1);
+        await until(() => gate.attempts.length === 1);
         await clock.advance(GATE_SILENCE_MS);
-        await until(() => gate.tries.length === 2);
+        await until(() => gate.attempts.length === 2);
         return { answer };
     };
 
@@ -46,20 +46,20 @@
     it("return the response of the second attempt although its heartbeats are late", async () => {
         const clock = createManualClock();
         const gate = await startGate();
-        const { answer } = await ask(gate, clock);
+        const { answer } = await sendRequest(gate, clock);
         await clock.advance(GATE_SILENCE_MS);
-        gate.tries[1]?.end("run");
+        gate.attempts[1]?.end("run");
         expect(await answer).to.include({ statusCode: 200 });
     });
 
     it("are logged, each when it was silent and when it was aborted", async () => {
         const clock = createManualClock();
         const gate = await startGate();
-        const told: SilentGate[] = [];
-        const { answer } = await ask(gate, clock, (silent) => told.push(silent));
+        const loggedSilences: SilentGate[] = [];
+        const { answer } = await sendRequest(gate, clock, (silent) => loggedSilences.push(silent));
         await clock.advance(2 * GATE_SILENCE_MS);
         await answer;
-        expect(told.map(({ isLost, sinceSentMs }) => ({ isLost, sinceSentMs }))).to.deep.equal([
+        expect(loggedSilences.map(({ isLost, sinceSentMs }) => ({ isLost, sinceSentMs }))).to.deep.equal([
             { isLost: false, sinceSentMs: GATE_SILENCE_MS },
             { isLost: true, sinceSentMs: 2 * GATE_SILENCE_MS },
             { isLost: false, sinceSentMs: GATE_SILENCE_MS },
--- a/packages/oleandergap-node/src/__tests__/silentGates.test.ts
+++ b/packages/oleandergap-node/src/__tests__/silentGates.test.ts
@@ -20,9 +20,9 @@
     interface Gate {
         readonly port: number;
         /** Returns the number of attempts that arrived. */
-        readonly tries: () => number;
+        readonly attempts: () => number;
         /** Returns the number of running requests whose connection was closed before their response. */
-        readonly cuts: () => number;
+        readonly aborts: () => number;
     }
 
     /**
@@ -30,12 +30,12 @@
      * if that is set, and refuses all further attempts.
      */
     const startSilentGate = async (answerAfterMs: number | undefined, runs = 1): Promise<Gate> => {
-        let tries = 0;
-        let cuts = 0;
+        let attempts = 0;
+        let aborts = 0;
         const port = await startTarget(cleanup.add, (request, response) => {
-            tries += 1;
+            attempts += 1;
             const id = { "oleandergap-request-id": String(request.headers["oleandergap-request-id"]) };
-            if (tries > runs) {
+            if (attempts > runs) {
                 response.writeHead(504, {
                     ...id, "oleandergap-verdict": "notRun", "oleandergap-reason": "DeadlineTooShort",
                 });
@@ -43,7 +43,7 @@
                 return;
             }
             response.once("close", () => {
-                cuts += response.writableFinished ? 0 : 1;
+                aborts += response.writableFinished ? 0 : 1;
             });
             if (answerAfterMs !== undefined) {
                 setTimeout(() => {
@@ -52,10 +52,10 @@
                 }, answerAfterMs);
             }
         });
-        return { port, tries: () => tries, cuts: () => cuts };
+        return { port, attempts: () => attempts, aborts: () => aborts };
     };
 
-    const read = async (gate: Gate): Promise<Received> => {
+    const sendRequest = async (gate: Gate): Promise<Received> => {
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
         return call({ port: gateway.port, headers: HEADERS });
     };
@@ -63,9 +63,9 @@
     // The first attempt may still run when the second one is refused.
     it("is not reported as notRun because it refused the second attempt", async () => {
         const gate = await startSilentGate(undefined);
-        const answer = await read(gate);
-        expect(gate.tries()).to.equal(2);
-        expect(answer.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
+        const clientResponse = await sendRequest(gate);
+        expect(gate.attempts()).to.equal(2);
+        expect(clientResponse.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
     });
 
     // The same between a gate and its target, which is silent at the first attempt and sheds the second one.
@@ -85,18 +85,18 @@
         gate.keeper.announce(createAnnouncement(target));
         const headers = gateHeaders({ "oleandergap-timeout-ms": "4000" });
         await call({ port: gate.port, headers });
-        const answer = await call({ port: gate.port, headers });
+        const clientResponse = await call({ port: gate.port, headers });
         expect(requests).to.equal(3);
-        expect(answer.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
+        expect(clientResponse.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
     });
 
     // A silence only indicates that a connection may be lost; closing it would abort the running request.
     it("delivers the response of a request that is still running", async () => {
         const gate = await startSilentGate(SLOW_MS);
-        const answer = await read(gate);
-        expect(answer.statusCode).to.equal(200);
-        expect(answer.body.toString()).to.equal("answer");
-        expect(gate.cuts()).to.equal(0);
+        const clientResponse = await sendRequest(gate);
+        expect(clientResponse.statusCode).to.equal(200);
+        expect(clientResponse.body.toString()).to.equal("answer");
+        expect(gate.aborts()).to.equal(0);
     });
 
     it("does not delay the request when it refused the second attempt and another gate responds", async () => {
@@ -106,26 +106,26 @@
             response.setHeader("oleandergap-verdict", "ran");
             response.end("other");
         });
-        const manual = createManualClock();
+        const manualClock = createManualClock();
         const targets = [createMember("a", gate.port), createMember("b", other)];
-        const gateway = await startGateway(cleanup.add, { clock: manual, targets });
+        const gateway = await startGateway(cleanup.add, { clock: manualClock, targets });
         // Sends requests until the silent gate is selected first.
         let pending = call({ port: gateway.port, headers: HEADERS });
-        while (gate.tries() === 0) {
-            await Promise.race([pending, until(() => gate.tries() > 0)]);
-            if (gate.tries() === 0) {
+        while (gate.attempts() === 0) {
+            await Promise.race([pending, until(() => gate.attempts() > 0)]);
+            if (gate.attempts() === 0) {
                 pending = call({ port: gateway.port, headers: HEADERS });
             }
         }
-        await manual.advance(GATE_SILENCE_MS);
+        await manualClock.advance(GATE_SILENCE_MS);
         expect((await pending).body.toString()).to.equal("other");
     });
 
     it("delivers the responses of all running requests when it is known to be silent", async () => {
         const gate = await startSilentGate(SLOW_MS, 2);
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
-        const answers = await Promise.all([1, 2].map(() => call({ port: gateway.port, headers: HEADERS })));
-        expect(answers.map(({ statusCode }) => statusCode)).to.deep.equal([200, 200]);
-        expect(gate.cuts()).to.equal(0);
+        const clientResponses = await Promise.all([1, 2].map(() => call({ port: gateway.port, headers: HEADERS })));
+        expect(clientResponses.map(({ statusCode }) => statusCode)).to.deep.equal([200, 200]);
+        expect(gate.aborts()).to.equal(0);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/staleRequests.test.ts
+++ b/packages/oleandergap-node/src/__tests__/staleRequests.test.ts
@@ -55,9 +55,9 @@
 
     /** The whole request path of a node without a target of its own, behind a listener as a node has it. */
     const startNodeGateway = async (gatePort: number): Promise<number> => {
-        const life = new AbortController();
-        setMaxListeners(0, life.signal);
-        cleanup.add(() => life.abort());
+        const abortController = new AbortController();
+        setMaxListeners(0, abortController.signal);
+        cleanup.add(() => abortController.abort());
         const random = createSeededRandom(1);
         const row = createRow();
         const view = createView(row);
@@ -87,7 +87,7 @@
             readiness: { ...createReadinessState(), listening: true, recovered: true },
             dialects: ownDialects,
             callerService: undefined,
-            signal: life.signal,
+            signal: abortController.signal,
         });
         cleanup.add(() => path.pools.destroy());
         const listener = await startListener({
@@ -127,7 +127,7 @@
     };
 
     /** Blocks the process, as when its VM gets no processor time. */
-    const standStill = (): void => {
+    const blockProcess = (): void => {
         const end = clock.monotonic() + PAUSE_MS;
         while (clock.monotonic() < end) {
             // Busy-waits.
@@ -135,12 +135,12 @@
     };
 
     /** Each caller requests `/left` and disconnects before the process reads any input. */
-    const askAndLeave = async (sockets: readonly net.Socket[]): Promise<void> => {
+    const sendAndDisconnect = async (sockets: readonly net.Socket[]): Promise<void> => {
         for (const socket of sockets) {
             write(socket, "/left");
             socket.destroy();
         }
-        standStill();
+        blockProcess();
         await sleep(SETTLE_MS);
     };
 
@@ -154,7 +154,7 @@
             await receiveAnswer(socket);
         }));
         await sleep(SETTLE_MS);
-        await askAndLeave(sockets);
+        await sendAndDisconnect(sockets);
         expect(gate.received).not.to.include("/left");
     });
 
@@ -162,14 +162,14 @@
     // iteration.
     it("are not sent to the target by a gate with event loop lag when they leave the queue", async () => {
         const received: string[] = [];
-        let answerFirst: () => void = () => undefined;
+        let respondToFirst: () => void = () => undefined;
         const target = await startTarget(cleanup.add, (request, response) => {
             received.push(request.url ?? "");
-            answerFirst = () => response.end("answer");
+            respondToFirst = () => response.end("answer");
         });
-        const life = new AbortController();
-        cleanup.add(() => life.abort());
-        const { catchUp } = startLoopLag({ clock, onPause: () => undefined }, life.signal);
+        const abortController = new AbortController();
+        cleanup.add(() => abortController.abort());
+        const { catchUp } = startLoopLag({ clock, onPause: () => undefined }, abortController.signal);
         const limit = { ...TEST_LIMIT, concurrency: 1 };
         const gate = await startGate(cleanup.add, { clock, limit, catchUp });
         gate.keeper.announce(createAnnouncement(target));
@@ -181,9 +181,9 @@
         waitingCaller.write(`${lines.join("\r\n")}\r\n\r\n`);
         await until(() => gate.keeper.current()?.gate.load().queued === 1);
 
-        answerFirst();
+        respondToFirst();
         waitingCaller.destroy();
-        standStill();
+        blockProcess();
         await first;
         await sleep(SETTLE_MS);
         expect(received).to.deep.equal(["/first"]);
@@ -193,7 +193,7 @@
         const gate = await startOtherGate();
         const port = await startNodeGateway(gate.port);
         const sockets = await Promise.all(Array.from({ length: CALLERS }, () => openConnection(port)));
-        await askAndLeave(sockets);
+        await sendAndDisconnect(sockets);
         expect(gate.received).not.to.include("/left");
     });
 });
--- a/packages/oleandergap-node/src/__tests__/targetLookup.test.ts
+++ b/packages/oleandergap-node/src/__tests__/targetLookup.test.ts
@@ -20,21 +20,23 @@
     it("returns the same array as long as nothing has changed, and looks up only zones with a weight", () => {
         const [first, second] = [createMember("a", 1), createMember("b", 2)];
         let targets: readonly TargetMember[] = [first];
-        const asked: unknown[] = [];
+        const requestedZones: unknown[] = [];
         const directory = {
             targetsOf: (_service: unknown, zones?: readonly string[]) => {
-                asked.push(zones);
+                requestedZones.push(zones);
                 return [...targets];
             },
         };
-        const find = createTargetLookup({ clock: createManualClock(), directory, firstLookupMs: FIRST_LOOKUP_MS });
+        const findTargets = createTargetLookup({
+            clock: createManualClock(), directory, firstLookupMs: FIRST_LOOKUP_MS,
+        });
         const query = createQuery();
 
-        const before = find(query);
-        expect(find(query)).to.equal(before);
+        const before = findTargets(query);
+        expect(findTargets(query)).to.equal(before);
         targets = [first, second];
-        expect(find(query)).not.to.equal(before);
-        expect(asked[0]).to.deep.equal(["hall-b"]);
+        expect(findTargets(query)).not.to.equal(before);
+        expect(requestedZones[0]).to.deep.equal(["hall-b"]);
     });
 
     // Guards against a burst of NoTarget refusals after the restart of a node. The first request makes the node request
@@ -43,11 +45,11 @@
     it("makes the first requests wait until other zones have responded", async () => {
         const clock = createManualClock();
         let targets: readonly TargetMember[] = [];
-        const find = createTargetLookup({
+        const findTargets = createTargetLookup({
             clock, directory: { targetsOf: () => targets }, firstLookupMs: FIRST_LOOKUP_MS,
         });
 
-        const found = Promise.resolve(find(createQuery()));
+        const found = Promise.resolve(findTargets(createQuery()));
         await clock.advance(100);
         targets = [createMember("a", 1)];
         await clock.advance(100);
@@ -57,12 +59,14 @@
 
     it("returns no targets immediately after the first wait when the service has none", async () => {
         const clock = createManualClock();
-        const find = createTargetLookup({ clock, directory: { targetsOf: () => [] }, firstLookupMs: FIRST_LOOKUP_MS });
+        const findTargets = createTargetLookup({
+            clock, directory: { targetsOf: () => [] }, firstLookupMs: FIRST_LOOKUP_MS,
+        });
 
-        const first = Promise.resolve(find(createQuery()));
+        const first = Promise.resolve(findTargets(createQuery()));
         await clock.advance(FIRST_LOOKUP_MS);
 
         expect(await first).to.deep.equal([]);
-        expect(find(createQuery())).to.deep.equal([]);
+        expect(findTargets(createQuery())).to.deep.equal([]);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/turnQueue.test.ts
+++ b/packages/oleandergap-node/src/__tests__/turnQueue.test.ts
@@ -57,18 +57,18 @@
     it("keep iterations short, regardless of their number", () => {
         const turns: (() => void)[] = [];
         const queue = createTurnQueue((task) => turns.push(task));
-        let gone = 0;
+        let disconnectedTasks = 0;
         queue.run(() => true);
         Array.from({ length: 100 }).forEach(() => queue.run(() => {
-            gone += 1;
+            disconnectedTasks += 1;
             return false;
         }));
         turns.shift()?.();
-        expect(gone).to.be.within(1, 20);
+        expect(disconnectedTasks).to.be.within(1, 20);
         while (turns.length > 0) {
             turns.shift()?.();
         }
-        expect(gone).to.equal(100);
+        expect(disconnectedTasks).to.equal(100);
         expect(queue.size()).to.equal(0);
     });
 });
@@ -96,20 +96,20 @@
     // request is queued. A listener that is added after the connection has ended is never called.
     it("are detected when their connection has already ended", async () => {
         const signals = createCallerSignals();
-        let arrived: http.ServerResponse | undefined;
+        let serverResponse: http.ServerResponse | undefined;
         const server = http.createServer((_request, response) => {
-            arrived = response;
+            serverResponse = response;
         });
         await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
         cleanup.add(() => server.close());
         const client = net.connect((server.address() as net.AddressInfo).port, LOOPBACK);
         client.write("GET / HTTP/1.1\r\nhost: a.example\r\n\r\n");
-        await until(() => arrived !== undefined);
+        await until(() => serverResponse !== undefined);
         client.end();
-        await until(() => arrived?.req.socket.readableEnded === true);
-        expect(arrived !== undefined && signals.create(arrived).aborted).to.equal(true);
-        await until(() => arrived?.destroyed === true);
-        expect(arrived !== undefined && signals.create(arrived).aborted).to.equal(true);
+        await until(() => serverResponse?.req.socket.readableEnded === true);
+        expect(serverResponse !== undefined && signals.create(serverResponse).aborted).to.equal(true);
+        await until(() => serverResponse?.destroyed === true);
+        expect(serverResponse !== undefined && signals.create(serverResponse).aborted).to.equal(true);
     });
 
     // Guards against the same failure at a node that reads pending input before it forwards a request. The end of the
--- a/packages/oleandergap-node/src/__tests__/unreadSigns.test.ts
+++ b/packages/oleandergap-node/src/__tests__/unreadSigns.test.ts
@@ -14,28 +14,28 @@
 
     afterEach(() => cleanup.run());
 
-    interface Scene {
+    interface Scenario {
         readonly clock: ManualClock;
-        readonly tries: readonly ServerResponse[];
+        readonly attempts: readonly ServerResponse[];
         readonly answer: Promise<Received>;
     }
 
     /** Starts a gateway and sends a request, which has reached its gate. */
-    const startScene = async (): Promise<Scene> => {
-        const tries: ServerResponse[] = [];
+    const startScenario = async (): Promise<Scenario> => {
+        const attempts: ServerResponse[] = [];
         const port = await startTarget(cleanup.add, (request, response) => {
             response.setHeader("oleandergap-request-id", String(request.headers["oleandergap-request-id"]));
             response.setHeader("oleandergap-verdict", "ran");
-            tries.push(response);
+            attempts.push(response);
         });
         const clock = createManualClock();
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", port)] });
         const answer = call({ port: gateway.port, headers: { host: HOST, "oleandergap-timeout-ms": String(TIMEOUT_MS) } });
-        await until(() => tries.length === 1);
-        return { clock, tries, answer };
+        await until(() => attempts.length === 1);
+        return { clock, attempts, answer };
     };
 
-    const passTurns = async (): Promise<void> => {
+    const runEventLoopTurns = async (): Promise<void> => {
         for (let turn = 0; turn < TURNS; turn++) {
             await new Promise<void>((resolve) => setImmediate(resolve));
         }
@@ -43,20 +43,20 @@
 
     // Guards against a reported silence although a heartbeat has arrived and only has not been read yet.
     it("reads the heartbeats that have arrived before it treats a gate as silent", async () => {
-        const { clock, tries, answer } = await startScene();
+        const { clock, attempts, answer } = await startScenario();
         clock.block(GATE_SILENCE_MS - 100);
-        tries[0]?.writeProcessing();
+        attempts[0]?.writeProcessing();
         clock.block(200);
-        await passTurns();
-        tries[0]?.end("run");
+        await runEventLoopTurns();
+        attempts[0]?.end("run");
         expect(await answer).to.include({ statusCode: 200 });
-        expect(tries).to.have.lengthOf(1);
+        expect(attempts).to.have.lengthOf(1);
     });
 
     // Guards against a response that is discarded at the deadline although it has arrived.
     it("delivers a response that has arrived before the deadline", async () => {
-        const { clock, tries, answer } = await startScene();
-        tries[0]?.end("run");
+        const { clock, attempts, answer } = await startScenario();
+        attempts[0]?.end("run");
         clock.block(TIMEOUT_MS + 1);
         expect(await answer).to.include({ statusCode: 200 });
     });
--- a/packages/oleandergap-node/src/__tests__/uploadTries.test.ts
+++ b/packages/oleandergap-node/src/__tests__/uploadTries.test.ts
@@ -15,10 +15,10 @@
 
     // Guards against two attempts that share the rest of one body, so that a part of it arrives as if it were complete.
     it("arrives completely or not at all when both attempts are admitted", async () => {
-        const tries: ServerResponse[] = [];
+        const attempts: ServerResponse[] = [];
         const sizes: number[] = [];
         const port = await startTarget(cleanup.add, (request: IncomingMessage, response) => {
-            tries.push(response);
+            attempts.push(response);
             let size = 0;
             request.on("error", () => undefined);
             request.on("data", (chunk: Buffer) => {
@@ -49,10 +49,10 @@
         for (let part = 0; part < 2; part++) {
             upload.write(Buffer.alloc(PART_BYTES));
         }
-        await until(() => tries.length === 1);
+        await until(() => attempts.length === 1);
         await clock.advance(GATE_SILENCE_MS);
-        await until(() => tries.length === 2);
-        tries.forEach((response) => response.writeProcessing());
+        await until(() => attempts.length === 2);
+        attempts.forEach((response) => response.writeProcessing());
         for (let part = 2; part < PARTS; part++) {
             upload.write(Buffer.alloc(PART_BYTES));
             await new Promise<void>((resolve) => setTimeout(resolve, 5));
--- a/packages/oleandergap-node/src/__tests__/uploads.test.ts
+++ b/packages/oleandergap-node/src/__tests__/uploads.test.ts
@@ -61,7 +61,7 @@
         const request = http.request({
             host: LOOPBACK, port: gate.port, method: "PUT", headers: gateHeaders(), agent: false,
         });
-        const answered = new Promise<string>((resolve) => request.on("response", (response) => {
+        const responseText = new Promise<string>((resolve) => request.on("response", (response) => {
             let text = "";
             response.on("data", (chunk: Buffer) => {
                 text += chunk.toString();
@@ -73,7 +73,7 @@
         const heldBack = await waitUntilSteady(() => request.socket?.writableLength ?? 0);
         release();
 
-        expect(await answered).to.equal(String(upload.length));
+        expect(await responseText).to.equal(String(upload.length));
         expect(heldBack, "bytes that the caller could not send yet").to.be.greaterThan(LARGE_BODY_BYTES);
         expect(hash.digest("hex")).to.equal(createHash("sha256").update(upload).digest("hex"));
     });
@@ -88,11 +88,11 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock() });
         gate.keeper.announce(createAnnouncement(target));
 
-        const answer = await call({
+        const clientResponse = await call({
             port: gate.port, method: "PUT", headers: gateHeaders(), body: Buffer.alloc(LARGE_BODY_BYTES),
         }).catch(() => undefined);
 
-        expect(answer === undefined || answer.headers["oleandergap-verdict"] === "mayHaveRun").to.equal(true);
+        expect(clientResponse === undefined || clientResponse.headers["oleandergap-verdict"] === "mayHaveRun").to.equal(true);
         await until(() => gate.keeper.current()?.gate.load().inFlight === 0);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/waitingTurns.test.ts
+++ b/packages/oleandergap-node/src/__tests__/waitingTurns.test.ts
@@ -16,28 +16,28 @@
 describe("a queued request", () => {
     const cleanup = createCleanup();
     let clock: ManualClock;
-    let waiting: (() => void)[];
+    let queuedTasks: (() => void)[];
     let turns: NonNullable<ListenerOptions["turns"]>;
 
     beforeEach(() => {
         clock = createManualClock();
-        waiting = [];
+        queuedTasks = [];
         const run = (task: () => boolean): void => {
-            waiting.push(task);
+            queuedTasks.push(task);
         };
         turns = { run, runFirst: run };
     });
 
     afterEach(() => cleanup.run());
 
-    const startAfterWait = async (): Promise<void> => {
-        await until(() => waiting.length === 1);
+    const runQueuedTasksAfterWait = async (): Promise<void> => {
+        await until(() => queuedTasks.length === 1);
         await clock.advance(WAIT_MS);
-        waiting.forEach((start) => start());
+        queuedTasks.forEach((start) => start());
     };
 
     /** Starts a gate or target that responds immediately and records the timeout of each request. */
-    const startOther = async (): Promise<{ readonly port: number; readonly timeouts: number[] }> => {
+    const startReceiver = async (): Promise<{ readonly port: number; readonly timeouts: number[] }> => {
         const timeouts: number[] = [];
         const port = await startTarget(cleanup.add, (request, response) => {
             timeouts.push(Number(request.headers["oleandergap-timeout-ms"]));
@@ -48,24 +48,24 @@
     };
 
     it("has its waiting time deducted from the timeout at the gateway", async () => {
-        const other = await startOther();
-        const gateway = await startGateway(cleanup.add, { clock, turns, targets: [createMember("a", other.port)] });
+        const receiver = await startReceiver();
+        const gateway = await startGateway(cleanup.add, { clock, turns, targets: [createMember("a", receiver.port)] });
         const headers = { host: HOST, "oleandergap-timeout-ms": String(TIMEOUT_MS) };
-        const answer = call({ port: gateway.port, headers });
-        await startAfterWait();
-        await answer;
-        expect(other.timeouts).to.deep.equal([TIMEOUT_MS - WAIT_MS]);
+        const clientResponse = call({ port: gateway.port, headers });
+        await runQueuedTasksAfterWait();
+        await clientResponse;
+        expect(receiver.timeouts).to.deep.equal([TIMEOUT_MS - WAIT_MS]);
     });
 
     it("has its waiting time deducted from the timeout at the gate", async () => {
-        const other = await startOther();
+        const receiver = await startReceiver();
         const gate = await startGate(cleanup.add, { clock, turns });
-        gate.keeper.announce(createAnnouncement(other.port));
-        const answer = call({
+        gate.keeper.announce(createAnnouncement(receiver.port));
+        const clientResponse = call({
             port: gate.port, headers: gateHeaders({ "oleandergap-timeout-ms": String(TIMEOUT_MS) }),
         });
-        await startAfterWait();
-        await answer;
-        expect(other.timeouts).to.deep.equal([TIMEOUT_MS - WAIT_MS]);
+        await runQueuedTasksAfterWait();
+        await clientResponse;
+        expect(receiver.timeouts).to.deep.equal([TIMEOUT_MS - WAIT_MS]);
     });
 });
--- a/packages/oleandergap-node/src/http/receivedBody.ts
+++ b/packages/oleandergap-node/src/http/receivedBody.ts
@@ -99,7 +99,7 @@
 
     return {
         push,
-        cutOff: cutOff,
+        cutOff,
         finish: () => {
             if (bodyEnd === undefined) {
                 bodyEnd = { kind: "Whole" };
--- a/packages/oleandergap-node/src/http/requestBody.ts
+++ b/packages/oleandergap-node/src/http/requestBody.ts
@@ -153,7 +153,7 @@
         return either.left({ kind: "TooLarge" });
     }
     const prefix = Buffer.concat(collected);
-    return either.right(createStreamingBody(prefix, length, { chunks, receivedBytes: receivedBytes, maxBytes }));
+    return either.right(createStreamingBody(prefix, length, { chunks, receivedBytes, maxBytes }));
 };
 
 /**
