--- a/packages/oleandergap-node/src/__tests__/callerPatience.test.ts
+++ b/packages/oleandergap-node/src/__tests__/callerPatience.test.ts
@@ -4,7 +4,7 @@
 
 const DEADLINE_MS = 2000;
 
-describe("createCallerPatience", () => {
+describe("createElapsedWaitEstimator", () => {
     it("estimates the elapsed wait of a retry from the remainder of its deadline", () => {
         const estimate = createElapsedWaitEstimator();
         for (let count = 0; count < 40; count++) {
--- a/packages/oleandergap-node/src/__tests__/gatewayHandler.test.ts
+++ b/packages/oleandergap-node/src/__tests__/gatewayHandler.test.ts
@@ -255,8 +255,8 @@
     });
 
     // Guards against requests that are still sent to a frozen node for seconds. A gate accepts requests and sends no
-    // heartbeat, and one request reaches the silence timeout. If only that request uses this result, writes end with
-    // mayHaveRun, and reads wait twice the timeout.
+    // heartbeat, and one request reaches the silence timeout. If only that request reacted to the silence, writes would
+    // end with mayHaveRun, and reads would wait twice the timeout.
     it("sends no further requests to a gate after one silence, and delays no second read for it", async () => {
         const clock = createManualClock();
         let receivedCount = 0;
--- a/packages/oleandergap-node/src/__tests__/gatewaySupport.ts
+++ b/packages/oleandergap-node/src/__tests__/gatewaySupport.ts
@@ -66,7 +66,7 @@
     readonly turns?: ListenerOptions["turns"];
 }
 
-/** Starts the gateway of a node. None of the targets is local. */
+/** Starts the gateway of a node. None of the targets belongs to that node. */
 export const startGateway = (cleanup: Cleanup, options: GatewayOptions): Promise<Listener> => {
     const { clock, targets, row = createRow(), closed = () => undefined } = options;
     const view = createView(row);
@@ -89,7 +89,7 @@
             clock,
             pools,
             ownNodeId: "gateway",
-            serveLocally: () => Promise.reject(new Error("there is no own target")),
+            serveLocally: () => Promise.reject(new Error("there is no local target")),
             localLoad: () => undefined,
             nextAttemptId: () => `attempt-${++attempts}`,
             connectionsPerNode: 8,
--- a/packages/oleandergap-node/src/__tests__/staleRequests.test.ts
+++ b/packages/oleandergap-node/src/__tests__/staleRequests.test.ts
@@ -28,7 +28,7 @@
     until,
 } from "./support.js";
 
-/** Longer than a pause may last without counting as event loop lag. */
+/** Longer than the longest pause that does not count as event loop lag. */
 const PAUSE_MS = 150;
 /** Number of callers that disconnect while the process is blocked. */
 const CALLERS = 6;
@@ -53,7 +53,10 @@
         return { port, received };
     };
 
-    /** The whole request path of a node without a target of its own, behind a listener as a node has it. */
+    /**
+     * Starts the complete request path of a node without a local target, behind a listener that is configured as in a
+     * node.
+     */
     const startNodeGateway = async (gatePort: number): Promise<number> => {
         const abortController = new AbortController();
         setMaxListeners(0, abortController.signal);
--- a/packages/oleandergap-node/src/http/answer.ts
+++ b/packages/oleandergap-node/src/http/answer.ts
@@ -56,8 +56,8 @@
 }
 
 /**
- * Wraps a body so that `observer` sees its chunks and its end. Used to free a slot or to store a copy once the response
- * has been forwarded.
+ * Wraps a body so that `observer` is notified of its chunks and its end. Used to free a slot or to store a copy once
+ * the response has been forwarded.
  */
 export const observeBody = (body: ResponseBody, observer: BodyObserver): ResponseBody => {
     let isFinished = false;
--- a/packages/oleandergap-node/src/http/callerSignal.ts
+++ b/packages/oleandergap-node/src/http/callerSignal.ts
@@ -25,8 +25,8 @@
             }
             controllers.add(controller);
             // The `close` event of the response fires several event loop iterations after the end of the connection was
-            // read. A node that lags behind checks for that end before it forwards a request and would miss it in these
-            // iterations.
+            // read. A node with event loop lag checks for that end before it forwards a request and would miss it in
+            // these iterations.
             const abortIfUnfinished = (): void => {
                 if (!response.writableFinished) {
                     controller.abort();
--- a/packages/oleandergap-node/src/http/headers.ts
+++ b/packages/oleandergap-node/src/http/headers.ts
@@ -39,8 +39,8 @@
 export const OBJECTIVE_HEADER = "oleandergap-objective-ms";
 
 /**
- * Request between nodes: present if targets have crashed while they ran the request. The gate does not run two such
- * requests at the same time.
+ * Request between nodes: present if targets have crashed while they were running the request. The gate does not run two
+ * such requests at the same time.
  */
 export const SUSPECT_HEADER = "oleandergap-suspect";
 
--- a/packages/oleandergap-node/src/http/listener.ts
+++ b/packages/oleandergap-node/src/http/listener.ts
@@ -66,9 +66,9 @@
     /** Sets `connection: close` on all responses from now on. */
     readonly announceClose: () => void;
     /**
-     * Shuts down gracefully. Sets `connection: close` on all responses, keeps accepting connections for `linger`, then
-     * stops accepting. Idle connections are closed, and the promise resolves, once all requests have complete responses
-     * or `signal` aborts.
+     * Shuts down gracefully. Sets `connection: close` on all responses, keeps accepting connections for `lingerMs`,
+     * then stops accepting. Idle connections are closed, and the promise resolves, once all responses are complete or
+     * `signal` aborts.
      */
     readonly drain: (lingerMs: Milliseconds, signal: AbortSignal) => Promise<void>;
     /** Stops listening and destroys all remaining connections. */
--- a/packages/oleandergap-node/src/http/receivedBody.ts
+++ b/packages/oleandergap-node/src/http/receivedBody.ts
@@ -22,7 +22,7 @@
     readonly cutOff: (failure: RequestFailure) => void;
 }
 
-type BodyEnd = { readonly kind: "Whole" } | { readonly kind: "Broken"; readonly failure: RequestFailure };
+type BodyEnd = { readonly kind: "Complete" } | { readonly kind: "CutOff"; readonly failure: RequestFailure };
 
 export const createReceivedBody = (source: BodySource): ReceivedBody => {
     let bufferedChunks: Buffer[] = [];
@@ -45,7 +45,7 @@
             return;
         }
         isEndDelivered = true;
-        if (bodyEnd.kind === "Whole") {
+        if (bodyEnd.kind === "Complete") {
             sink.end();
         }
         else {
@@ -90,7 +90,7 @@
 
     const cutOff = (failure: RequestFailure): void => {
         if (bodyEnd === undefined) {
-            bodyEnd = { kind: "Broken", failure };
+            bodyEnd = { kind: "CutOff", failure };
             // The buffered chunks belong to a response that will never be complete, so they are dropped.
             bufferedChunks = [];
             deliverEnd();
@@ -102,7 +102,7 @@
         cutOff,
         finish: () => {
             if (bodyEnd === undefined) {
-                bodyEnd = { kind: "Whole" };
+                bodyEnd = { kind: "Complete" };
                 deliverEnd();
             }
         },
--- a/packages/oleandergap-node/src/http/requestBody.ts
+++ b/packages/oleandergap-node/src/http/requestBody.ts
@@ -27,9 +27,9 @@
     /** Size of the complete body, when the caller declared it. */
     readonly length: number | undefined;
     /**
-     * Returns the data after the prefix. The iteration throws when the caller disconnects or sends too much. It also
-     * throws for every caller of `rest` but the first: two attempts that shared the data would each send a part of the
-     * body as if it were complete.
+     * Returns the data after the prefix. The iteration throws when the caller disconnects or sends too much. Only the
+     * first call of `rest` returns the data, and the iteration of every later one throws: two attempts that shared the
+     * data would each send a part of the body as if it were complete.
      */
     readonly rest: () => AsyncIterable<Buffer>;
     /** Returns whether `rest` has been called. */
@@ -43,7 +43,7 @@
     /** The body exceeds the configured limit. */
     | { readonly kind: "TooLarge" }
     /** The caller disconnected before the request was complete. */
-    | { readonly kind: "BrokenOff" }
+    | { readonly kind: "Disconnected" }
     /** The deadline passed before the request had arrived. */
     | { readonly kind: "TooSlow" };
 
@@ -54,7 +54,7 @@
     switch (error.kind) {
         case "TooLarge":
             return { kind: "BadRequest", verdict: "notRun", detail: "the body is larger than allowed" };
-        case "BrokenOff":
+        case "Disconnected":
             return { kind: "Refused", verdict: "notRun", reason: "Cancelled", retryAfterMs: 0 };
         case "TooSlow":
             return { kind: "Refused", verdict: "notRun", reason: "DeadlinePassed", retryAfterMs: 0 };
@@ -147,7 +147,7 @@
         }
     }
     catch {
-        return either.left({ kind: "BrokenOff" });
+        return either.left({ kind: "Disconnected" });
     }
     if (receivedBytes > maxBytes) {
         return either.left({ kind: "TooLarge" });
--- a/packages/oleandergap-node/src/http/socketEnd.ts
+++ b/packages/oleandergap-node/src/http/socketEnd.ts
@@ -1,5 +1,5 @@
 /**
- * Provides how a connection ended while its end is being handled.
+ * Records how a connection ended, for the code that handles its end.
  *
  * The HTTP client treats a response with `connection: close` as complete as soon as its connection ends, even if the
  * connection was reset or the last chunk is missing. A caller would receive a part of a document that is framed as the
@@ -48,9 +48,9 @@
 /**
  * Returns whether a connection that seems to have finished was reset.
  *
- * When the last data and a reset arrive together, the runtime reports the data and then an end, but not the reset. The
- * operating system still reveals it: a write fails immediately after a reset, and succeeds if only the other direction
- * has ended.
+ * When the last data and a reset arrive together, the runtime reports the data and then an end, but not the reset. A
+ * write detects it: the operating system fails a write immediately after a reset, and accepts it if only the other
+ * direction has ended.
  */
 export const wasReset = ({ kind, socket }: SocketEnd): boolean => {
     if (kind === "Reset") {
--- a/packages/oleandergap-node/src/http/watchedExchange.ts
+++ b/packages/oleandergap-node/src/http/watchedExchange.ts
@@ -207,8 +207,8 @@
 };
 
 /**
- * Returns the failure of an outcome. A refusal by the remote side arrives as a response. Treating it as a successful
- * response would discard an earlier attempt that may still be running.
+ * Returns the failure of an outcome. A refusal by the remote side arrives as a response. If it was treated as the
+ * response to the request, its verdict `notRun` would be reported although an earlier attempt may have run.
  */
 const findFailure = (outcome: Outcome, { readFailure }: MonitoredRequest): RequestFailure | undefined =>
     either.isLeft(outcome) ? outcome.left : readFailure(outcome.right);
@@ -261,7 +261,11 @@
 });
 
 /** Resolves when the second attempt at a target was silent, or failed while the first one is still open. */
-const waitUntilStalled = async (first: MonitoredAttempt, second: MonitoredAttempt, request: MonitoredRequest): Promise<"Silent"> => {
+const waitUntilStalled = async (
+    first: MonitoredAttempt,
+    second: MonitoredAttempt,
+    request: MonitoredRequest,
+): Promise<"Silent"> => {
     const failed = second.outcome.then((outcome) =>
         findFailure(outcome, request) === undefined || first.hasEnded() ? new Promise<never>(() => undefined) : "Silent");
     return Promise.race([second.silence, failed]);
