--- a/packages/oleandergap-node/src/gateway/callerPatience.ts
+++ b/packages/oleandergap-node/src/gateway/callerPatience.ts
@@ -29,7 +29,7 @@
 
 interface KindState {
     longestMs: Milliseconds;
-    /** Number of requests with about the longest deadline, and of all requests. */
+    /** Number of requests with about the longest deadline; `total` counts all requests. */
     longestCount: number;
     total: number;
 }
--- a/packages/oleandergap-node/src/gateway/ownerRouting.ts
+++ b/packages/oleandergap-node/src/gateway/ownerRouting.ts
@@ -28,7 +28,7 @@
 export const listOwners = (targets: readonly TargetMember[]): readonly NodeId[] =>
     targets.filter((target) => !target.leaving).map((target) => target.nodeId);
 
-/** Creates the selection of the owner. The owner is selected regardless of earlier results, so results are ignored. */
+/** Returns a pick of the owner. The owner is picked regardless of earlier results, so results are ignored. */
 const createOwnerPick = (owner: TargetMember): TargetPick<TargetMember> => ({
     target: owner,
     progress: {
--- a/packages/oleandergap-node/src/gateway/silenceLog.ts
+++ b/packages/oleandergap-node/src/gateway/silenceLog.ts
@@ -1,6 +1,7 @@
 /**
- * Logs gates that sent no heartbeat for too long. After a silence, a request is sent once more. The log line shows
- * whether the connection, the other node or this node was at fault: a large `lateMs` is the delay of this node itself.
+ * Logs gates that sent no heartbeat for too long. After a silence, a request is sent once more, and without the log
+ * line it would be unknown whether the connection, the other node or this node was at fault. A large `lateMs` is the
+ * delay of this node itself.
  */
 import type { Logger } from "oleandergap-logger";
 import type { Clock, NodeId } from "oleandergap-types";
--- a/packages/oleandergap-node/src/http/watchedExchange.ts
+++ b/packages/oleandergap-node/src/http/watchedExchange.ts
@@ -45,7 +45,7 @@
      * Returns the failure that a response represents, such as a refusal; undefined when it is the response to the
      * request.
      */
-    readonly readFailure: (answer: Answer) => RequestFailure | undefined;
+    readonly readFailure: (response: Answer) => RequestFailure | undefined;
     /** Monotonic time at which the request is aborted unless a response has begun. */
     readonly deadline: Milliseconds;
     readonly signal: AbortSignal;
@@ -70,7 +70,7 @@
     readonly sinceSentMs: Milliseconds;
     /** Number of heartbeats received in this attempt. */
     readonly signs: number;
-    /** See `ProgressWatchOptions.onSilence`. */
+    /** See `ProgressMonitorOptions.onSilence`. */
     readonly lateMs: Milliseconds;
 }
 
