--- a/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
@@ -14,7 +14,7 @@
 const PERIOD_MS: Milliseconds = 500;
 
 interface Harness {
-    readonly book: ContactBook;
+    readonly contactBook: ContactBook;
     readonly countProbes: () => number;
     /** Ticks for `duration`, and calls `eachTick` with the time since the start. */
     readonly run: (duration: Milliseconds, eachTick?: (passed: Milliseconds) => void) => Promise<void>;
@@ -30,27 +30,27 @@
         },
         sendRecords: () => undefined,
     };
-    const book = createContactBook({
+    const contactBook = createContactBook({
         selfId: "node-a",
-        ownZone: OWN_ZONE,
+        localZone: OWN_ZONE,
         clock: clock satisfies Clock,
         random: createSeededRandom(7),
         options: membershipOptionsSchema.parse({ contactProbePeriodMs: PERIOD_MS }),
         messenger,
         sources: { find: () => undefined, resetBackoff: () => undefined },
     });
-    const hearAll = (): void => OTHER_ZONES.forEach((zone, index) =>
-        book.hear({ id: `node-${zone}`, zone, address: `10.0.${index}.1`, controlPort: 7000 }));
+    const markAllLive = (): void => OTHER_ZONES.forEach((zone, index) =>
+        contactBook.markLive({ id: `node-${zone}`, zone, address: `10.0.${index}.1`, controlPort: 7000 }));
     const { signal } = new AbortController();
     const run: Harness["run"] = async (duration, eachTick = () => undefined) => {
         for (let passed = 0; passed < duration; passed += TICK_MS) {
-            hearAll();
+            markAllLive();
             eachTick(passed);
-            book.poll(signal);
+            contactBook.poll(signal);
             await clock.advance(TICK_MS);
         }
     };
-    return { book, countProbes: () => probes, run };
+    return { contactBook, countProbes: () => probes, run };
 };
 
 describe("createContactBook", () => {
@@ -61,15 +61,15 @@
     });
 
     it("does not probe a zone in its turn that was probed just before", async () => {
-        const { book, countProbes, run } = createHarness();
-        let asked = 0;
+        const { contactBook, countProbes, run } = createHarness();
+        let probesOutsideRounds = 0;
         await run(10_000, (passed) => {
             if (passed % 800 === 0) {
-                OTHER_ZONES.forEach((zone) => book.probeZone(zone));
-                asked += OTHER_ZONES.length;
+                OTHER_ZONES.forEach((zone) => contactBook.probeZone(zone));
+                probesOutsideRounds += OTHER_ZONES.length;
             }
         });
         // Without that, 20 more.
-        expect(countProbes() - asked).to.be.at.most(4);
+        expect(countProbes() - probesOutsideRounds).to.be.at.most(4);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/datagramCodec.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/datagramCodec.test.ts
@@ -8,7 +8,7 @@
 import { createDatagramCodec, MAX_DATAGRAM_BYTES, type DatagramParts } from "../datagramCodec.js";
 import type { Datagram } from "../messages.js";
 import { isSafePayload } from "../payloadGuard.js";
-import { headOf, targetOf } from "./testZone.js";
+import { createHead, createTarget } from "./testZone.js";
 
 const codec = createDatagramCodec("test");
 const codecModule = new URL("../datagramCodec.js", import.meta.url).href;
@@ -22,7 +22,7 @@
     incarnation: 1_700_000_000_000,
     state: "suspect",
     revision: 3,
-    target: targetOf("grant-filer", true),
+    target: createTarget("grant-filer", true),
 };
 
 const withoutTarget = ({ target: _target, ...rest }: Member): Member => ({ ...rest, id: "node-3", linkClass: 6 });
@@ -33,7 +33,7 @@
     incarnation: 1_700_000_000_001,
     headsHash: 4_000_000_000,
     body: { kind: "Ping", sequence: 17, targetId: "node-1" },
-    heads: [headOf(12), headOf(13)],
+    heads: [createHead(12), createHead(13)],
 };
 
 const bodies: readonly Datagram["body"][] = [
@@ -44,8 +44,8 @@
     { kind: "Gossip" },
     { kind: "SyncStart", digest: 4_294_967_295 },
     { kind: "SyncBuckets", digests: Array.from({ length: 64 }, (_, index) => index * 60_000_000) },
-    { kind: "SyncRecords", wanted: [0, 63] },
-    { kind: "ContactProbe", sequence: 4, wanted: true },
+    { kind: "SyncRecords", requestedBuckets: [0, 63] },
+    { kind: "ContactProbe", sequence: 4, needsContacts: true },
     { kind: "ContactReply", sequence: 5 },
     { kind: "ContactReply", sequence: 5, targetsDigest: 2 ** 52 - 1 },
     { kind: "Heads" },
@@ -53,7 +53,7 @@
 
 const encode = (body: Datagram["body"], records: readonly Member[]): Uint8Array => {
     const open = codec.open({ ...parts, body });
-    records.forEach(open.tryAdd);
+    records.forEach(open.tryAddRecord);
     return open.finish();
 };
 
--- a/packages/oleandergap-membership/src/__tests__/fleetKey.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/fleetKey.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import * as either from "fp-ts/lib/Either.js";
 import { createPeerAuthorization, isPeerAuthorized, parseFleetKeys } from "../index.js";
-import { keysOf, NEW_KEY, OLD_KEY } from "./testKeys.js";
+import { parseKeys, NEW_KEY, OLD_KEY } from "./testKeys.js";
 
 const here = { address: "10.0.0.1", port: 17_082 };
 
@@ -18,27 +18,27 @@
 
 describe("isPeerAuthorized", () => {
     it("accepts what each accepted key makes for this node", () => {
-        const keys = keysOf(NEW_KEY, OLD_KEY);
+        const keys = parseKeys(NEW_KEY, OLD_KEY);
 
-        expect(isPeerAuthorized(keys, here, createPeerAuthorization(keysOf(NEW_KEY), here))).to.equal(true);
-        expect(isPeerAuthorized(keys, here, createPeerAuthorization(keysOf(OLD_KEY), here))).to.equal(true);
-        expect(isPeerAuthorized(keysOf(NEW_KEY), here, createPeerAuthorization(keysOf(OLD_KEY), here))).to.equal(false);
+        expect(isPeerAuthorized(keys, here, createPeerAuthorization(parseKeys(NEW_KEY), here))).to.equal(true);
+        expect(isPeerAuthorized(keys, here, createPeerAuthorization(parseKeys(OLD_KEY), here))).to.equal(true);
+        expect(isPeerAuthorized(parseKeys(NEW_KEY), here, createPeerAuthorization(parseKeys(OLD_KEY), here))).to.equal(false);
     });
 
     it("takes an IPv6 address for the same in each spelling", () => {
-        const authorization = createPeerAuthorization(keysOf(NEW_KEY), { address: "fd00:0:0:0:0:0:0:1", port: 1 });
+        const authorization = createPeerAuthorization(parseKeys(NEW_KEY), { address: "fd00:0:0:0:0:0:0:1", port: 1 });
 
-        expect(isPeerAuthorized(keysOf(NEW_KEY), { address: "fd00::1", port: 1 }, authorization)).to.equal(true);
+        expect(isPeerAuthorized(parseKeys(NEW_KEY), { address: "fd00::1", port: 1 }, authorization)).to.equal(true);
     });
 
     it("refuses everything else, the key itself and what holds for another node included", () => {
         // Symptom: a stranger drains a target.
         // Sequence: a node is lured into a call to the stranger's address, who passes the received header on.
         // Cause: what proves a node to one address proves it to all.
-        const elsewhere = createPeerAuthorization(keysOf(NEW_KEY), { ...here, port: 9 });
-        const right = createPeerAuthorization(keysOf(NEW_KEY), here);
+        const elsewhere = createPeerAuthorization(parseKeys(NEW_KEY), { ...here, port: 9 });
+        const right = createPeerAuthorization(parseKeys(NEW_KEY), here);
         for (const wrong of [undefined, "", "Bearer ", `Bearer ${NEW_KEY}`, elsewhere, right.slice(0, -2), `${right}AA`]) {
-            expect(isPeerAuthorized(keysOf(NEW_KEY), here, wrong), String(wrong)).to.equal(false);
+            expect(isPeerAuthorized(parseKeys(NEW_KEY), here, wrong), String(wrong)).to.equal(false);
         }
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/memberRecord.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/memberRecord.test.ts
@@ -9,7 +9,7 @@
 import { createStatistics } from "../statistics.js";
 import { createSuspicions } from "../suspicions.js";
 import { createUpdateQueue } from "../updateQueue.js";
-import { targetOf } from "./testZone.js";
+import { createTarget } from "./testZone.js";
 
 const states: readonly MemberState[] = ["alive", "suspect", "dead", "left"];
 
@@ -35,7 +35,7 @@
     .map(({ service, ...record }) => ({
         ...aliveRecord,
         ...record,
-        ...(service === undefined ? {} : { target: targetOf(service) }),
+        ...(service === undefined ? {} : { target: createTarget(service) }),
     }));
 
 const withoutState = ({ state: _state, ...rest }: Member): string => formatCanonicalJson(rest);
@@ -83,8 +83,8 @@
         const suspicions = createSuspicions({
             clock,
             random: createSeededRandom(1),
-            window: () => 1000,
-            checkSpacing: () => 100,
+            suspicionTimeout: () => 1000,
+            checkInterval: () => 100,
         });
         const updates = createMemberUpdates({
             selfId: "self",
--- a/packages/oleandergap-membership/src/__tests__/membership.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membership.test.ts
@@ -2,44 +2,44 @@
 import type { Head } from "oleandergap-types";
 import type { Contact, HeadPiggyback, MembershipStats } from "../index.js";
 import { perfectLink } from "../testing/index.js";
-import { createTestWorld, endpointOfIndex, headOf, idsOf, knownIds, seedOfIndex, targetOf } from "./testZone.js";
+import { createTestCluster, createEndpoint, createHead, listNodeIds, listMemberIds, createSeed, createTarget } from "./testZone.js";
 
 const countSentBytes = (stats: MembershipStats): number =>
     Object.values(stats.traffic).reduce((sum, traffic) => sum + traffic.sentBytes + traffic.receivedBytes, 0);
 
 describe("createMembership", () => {
     it("tells every member of a change of a target within two seconds", async () => {
-        const world = createTestWorld(1);
-        const nodes = await world.startZone(40);
-        nodes[3]?.membership.setTarget(targetOf("grant-filer"));
-        await world.clock.advance(2000);
-        nodes[3]?.membership.setTarget(targetOf("grant-filer", true));
-        await world.clock.advance(2000);
+        const cluster = createTestCluster(1);
+        const nodes = await cluster.startZone(40);
+        nodes[3]?.membership.setTarget(createTarget("grant-filer"));
+        await cluster.clock.advance(2000);
+        nodes[3]?.membership.setTarget(createTarget("grant-filer", true));
+        await cluster.clock.advance(2000);
         for (const node of nodes) {
             expect(node.membership.member("node-3")?.target?.leaving).to.equal(true);
         }
     });
 
     it("removes a member that leaves from every list at once, not after a suspicion", async () => {
-        const world = createTestWorld(2);
-        const nodes = await world.startZone(20);
+        const cluster = createTestCluster(2);
+        const nodes = await cluster.startZone(20);
         const left = nodes[3]?.membership.leave();
-        await world.clock.advance(2000);
+        await cluster.clock.advance(2000);
         await left;
         nodes[3]?.kill();
-        expect(nodes.filter((node) => node.id !== "node-3" && knownIds(node).includes("node-3"))).to.deep.equal([]);
-        await world.clock.advance(20_000);
+        expect(nodes.filter((node) => node.id !== "node-3" && listMemberIds(node).includes("node-3"))).to.deep.equal([]);
+        await cluster.clock.advance(20_000);
         expect(nodes[0]?.membership.member("node-3")?.state).to.equal("left");
     });
 
     it("costs the same per node at rest in a small and a larger zone", async () => {
         const rates: number[] = [];
         for (const size of [10, 40]) {
-            const world = createTestWorld(3);
-            const nodes = await world.startZone(size);
-            await world.clock.advance(20_000);
+            const cluster = createTestCluster(3);
+            const nodes = await cluster.startZone(size);
+            await cluster.clock.advance(20_000);
             const before = nodes.map((node) => countSentBytes(node.membership.stats()));
-            await world.clock.advance(60_000);
+            await cluster.clock.advance(60_000);
             const bytes = nodes.map((node, index) => countSentBytes(node.membership.stats()) - (before[index] ?? 0));
             rates.push(bytes.reduce((sum, one) => sum + one, 0) / size / 60);
         }
@@ -48,23 +48,23 @@
     });
 
     it("does not pass on what a joining member learns of the others", async () => {
-        const world = createTestWorld(10);
-        await world.startZone(40);
-        const joiner = world.startNode(40);
-        await world.clock.advance(10_000);
-        expect(knownIds(joiner).length).to.equal(41);
+        const cluster = createTestCluster(10);
+        await cluster.startZone(40);
+        const joiner = cluster.startNode(40);
+        await cluster.clock.advance(10_000);
+        expect(listMemberIds(joiner).length).to.equal(41);
         expect(joiner.membership.stats().traffic.Gossip.sentBytes).to.be.below(3000);
     });
 
     it("carries heads to members and to contacts in other zones, both ways, whoever is ahead", async () => {
-        const world = createTestWorld(4);
+        const cluster = createTestCluster(4);
         const heads = new Map<number, Head>();
-        const startNode = (index: number, zone: string): ReturnType<typeof world.startNode> =>
-            world.startNode(index, {
+        const startNode = (index: number, zone: string): ReturnType<typeof cluster.startNode> =>
+            cluster.startNode(index, {
                 zone,
-                seeds: [seedOfIndex(0, "zone-a"), seedOfIndex(10, "zone-b")],
+                seeds: [createSeed(0, "zone-a"), createSeed(10, "zone-b")],
                 piggyback: {
-                    heads: () => [heads.get(index) ?? headOf(1)],
+                    heads: () => [heads.get(index) ?? createHead(1)],
                     receiveHeads: (_from, received) => {
                         const ahead = received.find((head) => head.sequence > (heads.get(index)?.sequence ?? 1));
                         if (ahead !== undefined) {
@@ -75,52 +75,52 @@
             });
         [0, 1, 2, 3].forEach((index) => startNode(index, "zone-a"));
         [10, 11, 12, 13].forEach((index) => startNode(index, "zone-b"));
-        await world.clock.advance(30_000);
+        await cluster.clock.advance(30_000);
         for (const [index, sequence] of [[2, 5], [12, 6]] as const) {
-            heads.set(index, headOf(sequence));
-            await world.clock.advance(15_000);
-            const held = [0, 1, 2, 3, 10, 11, 12, 13].map((other) => heads.get(other)?.sequence);
-            expect(held).to.deep.equal(held.map(() => sequence));
+            heads.set(index, createHead(sequence));
+            await cluster.clock.advance(15_000);
+            const heldSequences = [0, 1, 2, 3, 10, 11, 12, 13].map((other) => heads.get(other)?.sequence);
+            expect(heldSequences).to.deep.equal(heldSequences.map(() => sequence));
         }
     });
 
     it("exchanges heads with the answer to a probe, whoever of the two is ahead", async () => {
         for (const [proberHead, answererHead] of [[7, 1], [1, 7]] as const) {
-            const world = createTestWorld(8);
-            const learnt: number[] = [];
+            const cluster = createTestCluster(8);
+            const receivedSequences: number[] = [];
             const piggybackOf = (sequence: number): HeadPiggyback => ({
-                heads: () => [headOf(sequence)],
+                heads: () => [createHead(sequence)],
                 receiveHeads: (_from, heads) => {
-                    learnt.push(...heads.map((head) => head.sequence));
+                    receivedSequences.push(...heads.map((head) => head.sequence));
                 },
             });
             const silent = { probePeriodMs: 3_600_000 };
-            world.startNode(0, { piggyback: piggybackOf(answererHead), options: silent });
-            world.startNode(1, { piggyback: piggybackOf(proberHead) });
-            await world.clock.advance(3000);
-            expect(learnt).to.include(7);
+            cluster.startNode(0, { piggyback: piggybackOf(answererHead), options: silent });
+            cluster.startNode(1, { piggyback: piggybackOf(proberHead) });
+            await cluster.clock.advance(3000);
+            expect(receivedSequences).to.include(7);
         }
     });
 
     it("pushes heads to one member, who learns whom they are from", async () => {
-        const world = createTestWorld(5);
-        const nodes = await world.startZone(2);
+        const cluster = createTestCluster(5);
+        const nodes = await cluster.startZone(2);
         const received: [Contact, readonly Head[]][] = [];
         nodes[1]?.membership.subscribeHeads((from, heads) => {
             received.push([from, heads]);
         });
-        nodes[0]?.membership.send(endpointOfIndex(1).address, endpointOfIndex(1).port, { kind: "Heads", heads: [headOf(9)] });
-        await world.clock.advance(10);
-        const { address, port: controlPort } = endpointOfIndex(0);
-        expect(received).to.deep.equal([[{ id: "node-0", zone: "zone-a", address, controlPort }, [headOf(9)]]]);
+        nodes[0]?.membership.send(createEndpoint(1).address, createEndpoint(1).port, { kind: "Heads", heads: [createHead(9)] });
+        await cluster.clock.advance(10);
+        const { address, port: controlPort } = createEndpoint(0);
+        expect(received).to.deep.equal([[{ id: "node-0", zone: "zone-a", address, controlPort }, [createHead(9)]]]);
     });
 
     it("finds contacts in another zone and replaces those that die", async () => {
-        const world = createTestWorld(6);
-        const seeds = [seedOfIndex(0, "zone-a"), seedOfIndex(10, "zone-b")];
-        const inA = [0, 1, 2].map((index) => world.startNode(index, { zone: "zone-a", seeds }));
-        const inB = [10, 11, 12, 13, 14, 15].map((index) => world.startNode(index, { zone: "zone-b", seeds }));
-        await world.clock.advance(60_000);
+        const cluster = createTestCluster(6);
+        const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
+        const inA = [0, 1, 2].map((index) => cluster.startNode(index, { zone: "zone-a", seeds }));
+        const inB = [10, 11, 12, 13, 14, 15].map((index) => cluster.startNode(index, { zone: "zone-b", seeds }));
+        await cluster.clock.advance(60_000);
         const contactsOf = (): readonly Contact[] => inA[1]?.membership.contactsOf("zone-b") ?? [];
         expect(contactsOf().length).to.equal(3);
         const killedIds = contactsOf().slice(0, 2).map((contact) => contact.id);
@@ -128,22 +128,22 @@
         killed.forEach((node) => {
             node.kill();
         });
-        await world.clock.advance(90_000);
-        const living = idsOf(inB.filter((node) => !killed.includes(node)));
+        await cluster.clock.advance(90_000);
+        const living = listNodeIds(inB.filter((node) => !killed.includes(node)));
         for (let call = 0; call < 20; call++) {
             expect(contactsOf().length).to.equal(3);
             expect(living).to.include.members(contactsOf().map((contact) => contact.id));
         }
         expect(inA[1]?.membership.zones()).to.deep.equal(["zone-b"]);
-        expect(knownIds(inA[1] ?? world.startNode(99))).to.deep.equal(idsOf(inA));
+        expect(listMemberIds(inA[1] ?? cluster.startNode(99))).to.deep.equal(listNodeIds(inA));
     });
 
     it("names a contact last that did not answer another part, and no other one first each time", async () => {
-        const world = createTestWorld(9);
-        const seeds = [seedOfIndex(0, "zone-a"), seedOfIndex(10, "zone-b")];
-        const asker = world.startNode(0, { zone: "zone-a", seeds });
-        [10, 11, 12].forEach((index) => world.startNode(index, { zone: "zone-b", seeds }));
-        await world.clock.advance(30_000);
+        const cluster = createTestCluster(9);
+        const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
+        const asker = cluster.startNode(0, { zone: "zone-a", seeds });
+        [10, 11, 12].forEach((index) => cluster.startNode(index, { zone: "zone-b", seeds }));
+        await cluster.clock.advance(30_000);
         const [silent] = asker.membership.contactsOf("zone-b");
         if (silent !== undefined) {
             asker.membership.reportSilent(silent);
@@ -154,13 +154,13 @@
     });
 
     it("keeps the known contacts of a zone that is cut off, and uses them when it returns", async () => {
-        const world = createTestWorld(7);
-        const seeds = [seedOfIndex(0, "zone-a"), seedOfIndex(10, "zone-b")];
-        const [asker] = [0, 1].map((index) => world.startNode(index, { zone: "zone-a", seeds }));
-        [10, 11, 12].forEach((index) => world.startNode(index, { zone: "zone-b", seeds }));
-        await world.clock.advance(30_000);
-        world.network.setLinks(() => ({ ...perfectLink, loss: 1 }));
-        await world.clock.advance(120_000);
+        const cluster = createTestCluster(7);
+        const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
+        const [asker] = [0, 1].map((index) => cluster.startNode(index, { zone: "zone-a", seeds }));
+        [10, 11, 12].forEach((index) => cluster.startNode(index, { zone: "zone-b", seeds }));
+        await cluster.clock.advance(30_000);
+        cluster.network.setLinks(() => ({ ...perfectLink, loss: 1 }));
+        await cluster.clock.advance(120_000);
         expect(asker?.membership.contactsOf("zone-b").length).to.equal(3);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
@@ -3,14 +3,14 @@
 import type { Endpoint } from "../index.js";
 import { perfectLink } from "../testing/index.js";
 import {
-    allAgree,
-    createTestWorld,
-    deathsSeen,
-    endpointOfIndex,
-    knownIds,
-    lossy,
+    haveSameMembers,
+    createTestCluster,
+    listObservedDeaths,
+    createEndpoint,
+    listMemberIds,
+    createLossyLink,
     measureUntil,
-    targetOf,
+    createTarget,
 } from "./testZone.js";
 
 const ZONE_SIZE = 24;
@@ -22,23 +22,23 @@
         // the suspect would come too late.
         // Cause: a suspicion ends by time alone.
         for (const seed of [12, 13, 14]) {
-            const world = createTestWorld(seed);
-            const nodes = await world.startZone(16, { options: { maxHealthScore: 0 } });
+            const cluster = createTestCluster(seed);
+            const nodes = await cluster.startZone(16, { options: { maxHealthScore: 0 } });
             const isolated = nodes[9];
-            const isIsolated = (endpoint: Endpoint): boolean => endpoint.address === endpointOfIndex(9).address;
-            world.network.setLinks((from, to) => isIsolated(from) || isIsolated(to) ? lossy(1) : perfectLink);
+            const isIsolated = (endpoint: Endpoint): boolean => endpoint.address === createEndpoint(9).address;
+            cluster.network.setLinks((from, to) => isIsolated(from) || isIsolated(to) ? createLossyLink(1) : perfectLink);
             const findSuspect = (): Member | undefined =>
                 isolated?.membership.members().find((member) => member.state === "suspect");
-            await measureUntil(world, 10_000, () => findSuspect() !== undefined);
+            await measureUntil(cluster, 10_000, () => findSuspect() !== undefined);
             const suspect = findSuspect();
-            const reachable = [suspect?.address, endpointOfIndex(9).address];
+            const reachable = [suspect?.address, createEndpoint(9).address];
             const isOpen = (from: Endpoint, to: Endpoint): boolean =>
                 reachable.includes(from.address) && reachable.includes(to.address) ||
                 !isIsolated(from) && !isIsolated(to);
-            world.network.setLinks((from, to) => isOpen(from, to) ? perfectLink : lossy(1));
-            await world.clock.advance(4000);
+            cluster.network.setLinks((from, to) => isOpen(from, to) ? perfectLink : createLossyLink(1));
+            await cluster.clock.advance(4000);
             expect(suspect).to.not.equal(undefined);
-            expect(isolated?.deathsSeen.map((member) => member.id)).to.not.include(suspect?.id);
+            expect(isolated?.observedDeaths.map((member) => member.id)).to.not.include(suspect?.id);
         }
     });
 
@@ -46,16 +46,16 @@
         // Symptom: one node keeps routing to a target that left long ago.
         // Sequence: a node misses every copy of an update, because it could not be reached for a second and a half.
         // Cause: updates are pushed a bounded number of times and never again.
-        const world = createTestWorld(13);
-        const nodes = await world.startZone(12);
-        const deaf = endpointOfIndex(6).address;
-        world.network.setLinks((_from, to) => to.address === deaf ? lossy(1) : perfectLink);
-        nodes[3]?.membership.setTarget(targetOf("grant-filer", true));
-        await world.clock.advance(1500);
-        world.network.setLinks(() => perfectLink);
-        await world.clock.advance(1000);
+        const cluster = createTestCluster(13);
+        const nodes = await cluster.startZone(12);
+        const deaf = createEndpoint(6).address;
+        cluster.network.setLinks((_from, to) => to.address === deaf ? createLossyLink(1) : perfectLink);
+        nodes[3]?.membership.setTarget(createTarget("grant-filer", true));
+        await cluster.clock.advance(1500);
+        cluster.network.setLinks(() => perfectLink);
+        await cluster.clock.advance(1000);
         expect(nodes[6]?.membership.member("node-3")?.target).to.equal(undefined);
-        await world.clock.advance(40_000);
+        await cluster.clock.advance(40_000);
         expect(nodes[6]?.membership.member("node-3")?.target?.leaving).to.equal(true);
     });
 
@@ -63,44 +63,44 @@
         // Symptom: healthy members vanish and return on a bad network.
         // Sequence: probes, their answers and refutations are lost at random, for minutes.
         // Cause: one lost refutation is enough for a node to declare its sender dead.
-        const world = createTestWorld(3);
-        const nodes = await world.startZone(ZONE_SIZE);
-        world.network.setLinks(() => lossy(0.3));
-        await world.clock.advance(200_000);
-        expect(deathsSeen(nodes)).to.deep.equal([]);
-        expect(nodes.every((node) => knownIds(node).length === ZONE_SIZE)).to.equal(true);
-        world.network.setLinks(() => perfectLink);
-        expect(await measureUntil(world, 40_000, () => allAgree(nodes))).to.be.below(40_000);
+        const cluster = createTestCluster(3);
+        const nodes = await cluster.startZone(ZONE_SIZE);
+        cluster.network.setLinks(() => createLossyLink(0.3));
+        await cluster.clock.advance(200_000);
+        expect(listObservedDeaths(nodes)).to.deep.equal([]);
+        expect(nodes.every((node) => listMemberIds(node).length === ZONE_SIZE)).to.equal(true);
+        cluster.network.setLinks(() => perfectLink);
+        expect(await measureUntil(cluster, 40_000, () => haveSameMembers(nodes))).to.be.below(40_000);
     }).timeout(60_000);
 
     it("bears a member that hears badly but is heard well, and a pair that cannot speak", async () => {
         // Symptom: one member with a faulty receiver makes the zone doubt everybody.
         // Sequence: 60% of what is sent to node 7 is lost, and nodes 1 and 2 do not reach each other at all.
         // Cause: direct probes alone decide, or the faulty member's own judgement is believed.
-        const world = createTestWorld(4);
-        const nodes = await world.startZone(ZONE_SIZE);
+        const cluster = createTestCluster(4);
+        const nodes = await cluster.startZone(ZONE_SIZE);
         const [, one, two] = nodes;
         const isPair = (from: Endpoint, to: Endpoint): boolean => [one, two].every((node) =>
             node !== undefined && [from.address, to.address].includes(node.endpoint.address));
-        world.network.setLinks((from, to) => isPair(from, to) ? lossy(1) : perfectLink);
-        await world.clock.advance(120_000);
+        cluster.network.setLinks((from, to) => isPair(from, to) ? createLossyLink(1) : perfectLink);
+        await cluster.clock.advance(120_000);
         expect(nodes.map((node) => node.membership.stats().events.suspicionStarted)).to.deep.equal(nodes.map(() => 0));
-        world.network.setLinks((from, to) => {
+        cluster.network.setLinks((from, to) => {
             if (isPair(from, to)) {
-                return lossy(1);
+                return createLossyLink(1);
             }
-            return to.address === nodes[7]?.endpoint.address ? lossy(0.6) : perfectLink;
+            return to.address === nodes[7]?.endpoint.address ? createLossyLink(0.6) : perfectLink;
         });
-        await world.clock.advance(120_000);
-        expect(deathsSeen(nodes)).to.deep.equal([]);
+        await cluster.clock.advance(120_000);
+        expect(listObservedDeaths(nodes)).to.deep.equal([]);
     });
 
     it("never goes back to a lower incarnation while datagrams are late, doubled and crossed", async () => {
         // Symptom: a restarted member flickers between its old and its new record.
         // Sequence: members restart and leave while datagrams take up to three seconds and arrive twice.
         // Cause: the record that came last is kept.
-        const world = createTestWorld(7);
-        const nodes = await world.startZone(12);
+        const cluster = createTestCluster(7);
+        const nodes = await cluster.startZone(12);
         const highest = new Map<string, number>();
         let steps = 0;
         nodes[1]?.membership.subscribe(({ member, previous }) => {
@@ -108,19 +108,19 @@
             expect(member.incarnation).to.be.at.least(highest.get(member.id) ?? previous?.incarnation ?? 0);
             highest.set(member.id, member.incarnation);
         });
-        world.network.setLinks(() => ({ loss: 0.05, duplication: 0.5, minimumDelayMs: 1, maximumDelayMs: 3000 }));
+        cluster.network.setLinks(() => ({ loss: 0.05, duplication: 0.5, minimumDelayMs: 1, maximumDelayMs: 3000 }));
         for (const index of [3, 4, 5, 3, 4, 5]) {
             nodes[index]?.kill();
-            nodes[index] = world.startNode(index);
-            await world.clock.advance(4000);
+            nodes[index] = cluster.startNode(index);
+            await cluster.clock.advance(4000);
         }
         const leaver = nodes[6];
         void leaver?.membership.leave();
-        await world.clock.advance(1000);
+        await cluster.clock.advance(1000);
         leaver?.kill();
-        world.network.setLinks(() => perfectLink);
+        cluster.network.setLinks(() => perfectLink);
         const remaining = nodes.filter((node) => node !== leaver);
-        expect(await measureUntil(world, 60_000, () => allAgree(remaining))).to.be.below(60_000);
+        expect(await measureUntil(cluster, 60_000, () => haveSameMembers(remaining))).to.be.below(60_000);
         expect(steps).to.be.greaterThan(6);
         expect(nodes[1]?.membership.stats().dropped.HandlerFailed).to.equal(0);
     });
--- a/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
@@ -5,12 +5,12 @@
 import { createRemoteTargets, type RemoteTargets } from "../remoteTargets.js";
 
 const service = { partner: "halloway", service: "grant-filer" };
-const other = { partner: "halloway", service: "deed-vault" };
+const otherService = { partner: "halloway", service: "deed-vault" };
 const targets: TargetMember[] = [{
     nodeId: "b-1", zone: "zone-b", address: "10.0.0.1", gatePort: 17_081, slots: 12, leaving: false, since: 1,
 }];
-const OLD = 7;
-const NEW = 8;
+const OLD_DIGEST = 7;
+const NEW_DIGEST = 8;
 
 /** A zone whose one contact is played by the test. */
 interface FakeZone {
@@ -19,9 +19,9 @@
     readonly requests: ZoneTargetsRequest[];
     readonly questions: number[];
     /** Digest that fetches bring; undefined makes them fail. */
-    fetched: number | undefined;
+    fetchedDigest: number | undefined;
     /** Digest that the contact gives; undefined keeps it silent. */
-    heard: number | undefined;
+    contactDigest: number | undefined;
     fetchDelayMs: number;
 }
 
@@ -30,9 +30,9 @@
     const signal = new AbortController().signal;
     const requests: ZoneTargetsRequest[] = [];
     const questions: number[] = [];
-    const answerQuestion = (): void => {
-        if (zone.heard !== undefined) {
-            remote.hearDigest({ sequence: questions.length, digest: zone.heard });
+    const answerProbe = (): void => {
+        if (zone.contactDigest !== undefined) {
+            remote.hearDigest({ sequence: questions.length, digest: zone.contactDigest });
         }
     };
     const remote = createRemoteTargets({
@@ -42,12 +42,12 @@
         options: targetDirectoryOptionsSchema.parse({}),
         probeZone: () => {
             questions.push(clock.monotonic());
-            clock.after(1, answerQuestion);
+            clock.after(1, answerProbe);
             return questions.length;
         },
         fetchZone: (_zone, request) => async () => {
             requests.push(request);
-            const zoneDigest = zone.fetched;
+            const zoneDigest = zone.fetchedDigest;
             await clock.sleep(zone.fetchDelayMs, signal);
             return zoneDigest === undefined ?
                 taskEither.left({ kind: "ZoneUnreachable" as const, detail: "cut" })() :
@@ -63,13 +63,13 @@
         remote.poll(signal);
         clock.after(100, poll);
     };
-    const zone: FakeZone = { clock, remote, requests, questions, fetched: OLD, heard: OLD, fetchDelayMs: 5 };
+    const zone: FakeZone = { clock, remote, requests, questions, fetchedDigest: OLD_DIGEST, contactDigest: OLD_DIGEST, fetchDelayMs: 5 };
     poll();
     return zone;
 };
 
 /** Uses the service throughout the time, as requests do. */
-const useFor = async (zone: FakeZone, duration: number): Promise<void> => {
+const useServiceFor = async (zone: FakeZone, duration: number): Promise<void> => {
     for (let passed = 0; passed < duration; passed += 1000) {
         zone.remote.targetsOf(service, "grant-filer");
         await zone.clock.advance(Math.min(1000, duration - passed));
@@ -79,7 +79,7 @@
 describe("createRemoteTargets", () => {
     it("fetches once and then only asks a contact while the digest stays the same", async () => {
         const zone = createFakeZone();
-        await useFor(zone, 25_000);
+        await useServiceFor(zone, 25_000);
         expect(zone.requests).to.have.length(1);
         expect(zone.questions.length).to.be.within(12, 15);
         expect(zone.remote.targetsOf(service, "grant-filer")).to.equal(targets);
@@ -89,7 +89,7 @@
         // Symptom: a zone's change is never seen. Sequence: the list after the change has the digest of the one before.
         // Cause: a digest of 52 bits is taken for the list itself.
         const zone = createFakeZone();
-        await useFor(zone, 70_000);
+        await useServiceFor(zone, 70_000);
         expect(zone.requests).to.have.length(3);
     });
 
@@ -98,20 +98,20 @@
         // Sequence: the asked contact is dead, cut off or not ready, or the datagram is lost; a target leaves.
         // Cause: no news is taken for no change.
         const zone = createFakeZone();
-        await useFor(zone, 3000);
-        zone.heard = undefined;
-        await useFor(zone, 10_000);
+        await useServiceFor(zone, 3000);
+        zone.contactDigest = undefined;
+        await useServiceFor(zone, 10_000);
         expect(zone.requests.length).to.be.within(5, 7);
     });
 
     it("fetches at once when a contact tells of another digest, and not in a storm", async () => {
         const zone = createFakeZone();
-        await useFor(zone, 3000);
-        zone.remote.hearDigest({ sequence: 0, digest: NEW });
+        await useServiceFor(zone, 3000);
+        zone.remote.hearDigest({ sequence: 0, digest: NEW_DIGEST });
         await zone.clock.advance(100);
         expect(zone.requests).to.have.length(2);
         for (let round = 0; round < 20; round++) {
-            zone.remote.hearDigest({ sequence: 0, digest: NEW });
+            zone.remote.hearDigest({ sequence: 0, digest: NEW_DIGEST });
             await zone.clock.advance(100);
         }
         expect(zone.requests.length).to.be.within(5, 7);
@@ -122,13 +122,13 @@
         // Sequence: a contact's answer is sent before a change and arrives after the next question was asked.
         // Cause: any equal digest confirms, whenever it was sent.
         const zone = createFakeZone();
-        await useFor(zone, 1000);
-        zone.heard = undefined;
+        await useServiceFor(zone, 1000);
+        zone.contactDigest = undefined;
         while (zone.questions.length === 0) {
-            await useFor(zone, 100);
+            await useServiceFor(zone, 100);
         }
-        zone.remote.hearDigest({ sequence: zone.questions.length - 1, digest: OLD });
-        await useFor(zone, 400);
+        zone.remote.hearDigest({ sequence: zone.questions.length - 1, digest: OLD_DIGEST });
+        await useServiceFor(zone, 400);
         expect(zone.requests).to.have.length(2);
     });
 
@@ -140,13 +140,13 @@
         zone.fetchDelayMs = 250;
         zone.remote.targetsOf(service, "grant-filer");
         await zone.clock.advance(150);
-        zone.remote.targetsOf(other, "deed-vault");
-        await useFor(zone, 2000);
-        expect(zone.remote.targetsOf(other, "deed-vault")).to.equal(targets);
-        await useFor(zone, 40_000);
+        zone.remote.targetsOf(otherService, "deed-vault");
+        await useServiceFor(zone, 2000);
+        expect(zone.remote.targetsOf(otherService, "deed-vault")).to.equal(targets);
+        await useServiceFor(zone, 40_000);
         const before = zone.requests.length;
-        zone.remote.targetsOf(other, "deed-vault");
-        await useFor(zone, 1000);
+        zone.remote.targetsOf(otherService, "deed-vault");
+        await useServiceFor(zone, 1000);
         expect(zone.requests.slice(before).map((request) => request.services.length)).to.deep.equal([2]);
     });
 
@@ -155,13 +155,13 @@
         // Sequence: a contact tells of a change; the fetch fails; another contact, which is behind, confirms the old.
         // Cause: the failed fetch is taken for done.
         const zone = createFakeZone();
-        await useFor(zone, 3000);
-        zone.fetched = undefined;
-        zone.remote.hearDigest({ sequence: 0, digest: NEW });
-        await useFor(zone, 1000);
+        await useServiceFor(zone, 3000);
+        zone.fetchedDigest = undefined;
+        zone.remote.hearDigest({ sequence: 0, digest: NEW_DIGEST });
+        await useServiceFor(zone, 1000);
         expect(zone.requests).to.have.length(2);
-        zone.fetched = NEW;
-        await useFor(zone, 2000);
+        zone.fetchedDigest = NEW_DIGEST;
+        await useServiceFor(zone, 2000);
         expect(zone.requests).to.have.length(3);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/roster.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/roster.test.ts
@@ -4,7 +4,7 @@
 import { formatRosterKey, type FetchContacts } from "../index.js";
 import { composeRoster } from "../roster.js";
 import { perfectLink } from "../testing/index.js";
-import { createTestWorld, idsOf, knownIds, seedOfIndex, type TestNode, type TestWorld } from "./testZone.js";
+import { createTestCluster, listNodeIds, listMemberIds, createSeed, type TestNode, type TestCluster } from "./testZone.js";
 
 interface RosterStore {
     readonly store: ObjectStore;
@@ -69,7 +69,7 @@
 interface RestoredStore {
     readonly roster: RosterStore;
     /** `readNews` tells whether the node has heard of the present era by another call. */
-    readonly openAt: (now: () => number, readNews: () => boolean) => ObjectStore;
+    readonly openAt: (now: () => number, hasSeenEra: () => boolean) => ObjectStore;
     /** When calls were made since the last restore. */
     readonly callTimes: () => readonly number[];
     readonly restore: (copy: RosterCopy) => void;
@@ -79,7 +79,7 @@
     const roster = createRosterStore();
     let era = 1;
     let callTimes: number[] = [];
-    const openAt: RestoredStore["openAt"] = (now, readNews) => {
+    const openAt: RestoredStore["openAt"] = (now, hasSeenEra) => {
         let seen = era;
         const noteCall = (): void => {
             seen = era;
@@ -96,7 +96,7 @@
             },
             list: roster.store.list,
             era: () => {
-                seen = readNews() ? era : seen;
+                seen = hasSeenEra() ? era : seen;
                 return seen;
             },
         };
@@ -114,88 +114,88 @@
     };
 };
 
-const mostWithin = (times: readonly number[], spanMs: number): number =>
+const countMaxWithin = (times: readonly number[], spanMs: number): number =>
     Math.max(0, ...times.map((start) => times.filter((time) => time >= start && time < start + spanMs).length));
 
 describe("createRosterKeeper after a restore of the store", () => {
     const ZONES = 3;
     const READERS_PER_ZONE = 4;
     /** When a node that follows the store hears of the restore: its feed was under way for up to this long. */
-    const FEED_MS = 1000;
+    const FEED_INTERVAL_MS = 1000;
 
     interface RosterFleet {
-        readonly world: TestWorld;
+        readonly cluster: TestCluster;
         readonly store: RestoredStore;
         readonly restore: (copy: RosterCopy) => void;
     }
 
     const startFleet = async (size: number, zoneCount = ZONES): Promise<RosterFleet> => {
         const zones = Array.from({ length: zoneCount }, (_, index) => `zone-${String(index)}`);
-        const world = createTestWorld(11);
+        const cluster = createTestCluster(11);
         const store = createRestoredStore();
         let restoredAt = Number.POSITIVE_INFINITY;
         const start = (index: number): TestNode => {
             const zone = zones[index % zoneCount] ?? "";
             const rank = Math.floor(index / zoneCount);
-            const hearsAfter = FEED_MS * (rank + 1) / READERS_PER_ZONE;
-            const readNews = (): boolean =>
-                rank < READERS_PER_ZONE && world.clock.monotonic() >= restoredAt + hearsAfter;
-            return world.startNode(index, {
+            const seenAfterMs = FEED_INTERVAL_MS * (rank + 1) / READERS_PER_ZONE;
+            const hasSeenEra = (): boolean =>
+                rank < READERS_PER_ZONE && cluster.clock.monotonic() >= restoredAt + seenAfterMs;
+            return cluster.startNode(index, {
                 zone,
-                seeds: zones.map((name, first) => seedOfIndex(first, name)),
-                objectStore: store.openAt(() => world.clock.monotonic(), readNews),
+                seeds: zones.map((name, first) => createSeed(first, name)),
+                objectStore: store.openAt(() => cluster.clock.monotonic(), hasSeenEra),
                 options: { rosterPeriodMs: 1000 },
             });
         };
         Array.from({ length: size }, (_, index) => start(index));
-        await world.clock.advance(20_000);
+        await cluster.clock.advance(20_000);
         const restore = (copy: RosterCopy): void => {
             store.restore(copy);
-            restoredAt = world.clock.monotonic();
+            restoredAt = cluster.clock.monotonic();
         };
-        return { world, store, restore };
+        return { cluster, store, restore };
     };
 
     for (const [size, zoneCount] of [[60, 3], [195, 13]] as const) {
         it(`holds all of ${size} nodes again within two seconds, by few calls that do not come at once`, async () => {
-            const { world, store, restore } = await startFleet(size, zoneCount);
-            const whole = new Map(store.roster.objects);
-            expect(whole.size).to.equal(zoneCount);
+            const { cluster, store, restore } = await startFleet(size, zoneCount);
+            const completeObjects = new Map(store.roster.objects);
+            expect(completeObjects.size).to.equal(zoneCount);
             restore(new Map());
-            await world.clock.advance(2000);
-            expect(store.roster.objects).to.deep.equal(whole);
+            await cluster.clock.advance(2000);
+            expect(store.roster.objects).to.deep.equal(completeObjects);
             expect(store.callTimes().length).to.be.at.most(2 * READERS_PER_ZONE * zoneCount);
-            expect(mostWithin(store.callTimes(), 100)).to.be.at.most(READERS_PER_ZONE * zoneCount);
+            expect(countMaxWithin(store.callTimes(), 100)).to.be.at.most(READERS_PER_ZONE * zoneCount);
         });
     }
 
     it("is written again by a node that is no writer by rank, and after a second restore as well", async () => {
-        const { world, store, restore } = await startFleet(60);
-        const whole = new Map(store.roster.objects);
+        const { cluster, store, restore } = await startFleet(60);
+        const completeObjects = new Map(store.roster.objects);
         restore(new Map());
-        await world.clock.advance(300);
+        await cluster.clock.advance(300);
         restore(new Map());
-        await world.clock.advance(2000);
-        expect(store.roster.objects).to.deep.equal(whole);
+        await cluster.clock.advance(2000);
+        expect(store.roster.objects).to.deep.equal(completeObjects);
     });
 
     it("is tried again when the store is away just then", async () => {
-        const { world, store, restore } = await startFleet(12);
-        const whole = new Map(store.roster.objects);
+        const { cluster, store, restore } = await startFleet(12);
+        const completeObjects = new Map(store.roster.objects);
         restore(new Map());
         store.roster.isDown = true;
-        await world.clock.advance(1500);
+        await cluster.clock.advance(1500);
         store.roster.isDown = false;
         store.roster.objects.clear();
-        await world.clock.advance(2000);
-        expect(store.roster.objects).to.deep.equal(whole);
+        await cluster.clock.advance(2000);
+        expect(store.roster.objects).to.deep.equal(completeObjects);
     });
 
     it("is left alone when the copy holds it whole", async () => {
-        const { world, store, restore } = await startFleet(12);
+        const { cluster, store, restore } = await startFleet(12);
         const writes = store.roster.counts.writes;
         restore(new Map(store.roster.objects));
-        await world.clock.advance(2000);
+        await cluster.clock.advance(2000);
         expect(store.roster.counts.writes).to.equal(writes);
     });
 });
@@ -205,28 +205,28 @@
         // Symptom: the substitutes of two released targets receive no request for eight seconds.
         // Sequence: the platform's store goes down; new VMs start, without seeds and without a roster.
         // Cause: a node that nobody names and that can read no roster had no address to ask.
-        const world = createTestWorld(1);
+        const cluster = createTestCluster(1);
         const roster = createRosterStore();
         const overrides = { seeds: [], objectStore: roster.store, options: { neighbourSpan: 16 } };
-        const nodes = [0, 1, 2].map((index) => world.startNode(index, overrides));
-        await world.clock.advance(15_000);
+        const nodes = [0, 1, 2].map((index) => cluster.startNode(index, overrides));
+        await cluster.clock.advance(15_000);
         roster.isDown = true;
-        const newcomer = world.startNode(9, overrides);
-        await world.clock.advance(2500);
-        expect(knownIds(newcomer)).to.deep.equal(idsOf([...nodes, newcomer]));
-        expect(nodes.map(knownIds)).to.deep.equal(nodes.map(() => idsOf([...nodes, newcomer])));
+        const newcomer = cluster.startNode(9, overrides);
+        await cluster.clock.advance(2500);
+        expect(listMemberIds(newcomer)).to.deep.equal(listNodeIds([...nodes, newcomer]));
+        expect(nodes.map(listMemberIds)).to.deep.equal(nodes.map(() => listNodeIds([...nodes, newcomer])));
     });
 
     it("lets nodes without any seed find each other, and writes only on change", async () => {
-        const world = createTestWorld(1);
+        const cluster = createTestCluster(1);
         const roster = createRosterStore();
         const nodes = Array.from({ length: 8 }, (_, index) =>
-            world.startNode(index, { seeds: [], objectStore: roster.store, options: { rosterPeriodMs: 5000 } }));
-        await world.clock.advance(60_000);
-        expect(nodes.map(knownIds)).to.deep.equal(nodes.map(() => idsOf(nodes)));
-        expect(readIds(roster)).to.deep.equal(idsOf(nodes));
+            cluster.startNode(index, { seeds: [], objectStore: roster.store, options: { rosterPeriodMs: 5000 } }));
+        await cluster.clock.advance(60_000);
+        expect(nodes.map(listMemberIds)).to.deep.equal(nodes.map(() => listNodeIds(nodes)));
+        expect(readIds(roster)).to.deep.equal(listNodeIds(nodes));
         const { reads, writes } = { ...roster.counts };
-        await world.clock.advance(300_000);
+        await cluster.clock.advance(300_000);
         expect(roster.counts.writes).to.equal(writes);
         expect(roster.counts.reads - reads).to.be.within(2, 8);
     });
@@ -235,17 +235,17 @@
         // Symptom: the platform is read all the time by every node of a region that is cut off from another one.
         // Sequence: no seed of the other zone is known; its roster names nodes that do not answer for an hour.
         // Cause: the roster is read at a fixed period as long as the zone is silent.
-        const world = createTestWorld(3);
+        const cluster = createTestCluster(3);
         const roster = createRosterStore();
-        const other = world.startNode(10, { zone: "zone-b", seeds: [], objectStore: roster.store });
-        await world.clock.advance(60_000);
-        world.network.setLinks(() => ({ ...perfectLink, loss: 1 }));
-        const asker = world.startNode(0, { objectStore: roster.store });
+        const other = cluster.startNode(10, { zone: "zone-b", seeds: [], objectStore: roster.store });
+        await cluster.clock.advance(60_000);
+        cluster.network.setLinks(() => ({ ...perfectLink, loss: 1 }));
+        const asker = cluster.startNode(0, { objectStore: roster.store });
         asker.membership.addZones(["zone-b"]);
-        await world.clock.advance(3_600_000);
+        await cluster.clock.advance(3_600_000);
         expect(asker.membership.stats().events.rosterRead).to.be.within(6, 30);
-        world.network.setLinks(() => perfectLink);
-        await world.clock.advance(10_000);
+        cluster.network.setLinks(() => perfectLink);
+        await cluster.clock.advance(10_000);
         expect(asker.membership.contactsOf("zone-b").map((contact) => contact.id)).to.deep.equal([other.id]);
     });
 
@@ -254,15 +254,15 @@
         // Sequence: all nodes start without seeds; each learns the other zones' names from the table and reads the
         //   roster of each.
         // Cause: what one node of a zone had read was not passed on.
-        const world = createTestWorld(5);
+        const cluster = createTestCluster(5);
         const roster = createRosterStore();
         const nodes: TestNode[] = [];
         const fetchContacts: FetchContacts = async (member) => {
-            const asked = nodes.find(({ id }) => id === member.id);
-            return asked?.membership.zones().flatMap((zone) => asked.membership.contactsOf(zone)) ?? [];
+            const contacted = nodes.find(({ id }) => id === member.id);
+            return contacted?.membership.zones().flatMap((zone) => contacted.membership.contactsOf(zone)) ?? [];
         };
         const zones = ["zone-a", "zone-b", "zone-c"];
-        const start = (index: number): TestNode => world.startNode(index, {
+        const start = (index: number): TestNode => cluster.startNode(index, {
             zone: zones[index % 3] ?? "",
             seeds: [],
             objectStore: roster.store,
@@ -271,14 +271,14 @@
         });
         nodes.push(...Array.from({ length: 36 }, (_, index) => start(index)));
         nodes.forEach(({ membership }) => membership.addZones(zones));
-        await world.clock.advance(8_000);
+        await cluster.clock.advance(8_000);
         for (const { id, membership } of nodes) {
             expect(membership.zones().filter((zone) => membership.contactsOf(zone).length === 0), id).to.deep.equal([]);
         }
         const { reads, writes } = roster.counts;
         // Each node reads its own zone's roster once or twice to find its zone, and each writer before it writes.
         expect(reads).to.be.at.most(2 * nodes.length + writes + 24);
-        await world.clock.advance(20_000);
+        await cluster.clock.advance(20_000);
         expect(roster.counts.reads - reads).to.be.at.most(12);
     });
 
@@ -286,18 +286,18 @@
         // Symptom: each start of a node costs the platform a read or two, hundreds when a fleet starts.
         // Sequence: nodes without seeds start; each reads the roster of its zone before it asks anybody.
         // Cause: the neighbours' addresses, which cost nothing, were asked only after the roster had been in vain.
-        const world = createTestWorld(6);
+        const cluster = createTestCluster(6);
         const roster = createRosterStore();
         const options = { neighbourSpan: 16, rosterPeriodMs: 1000 };
         const overrides = { seeds: [], objectStore: roster.store, options };
-        const nodes = Array.from({ length: 20 }, (_, index) => world.startNode(index, overrides));
-        await world.clock.advance(3000);
+        const nodes = Array.from({ length: 20 }, (_, index) => cluster.startNode(index, overrides));
+        await cluster.clock.advance(3000);
         nodes.forEach(({ membership }) => expect(membership.members()).to.have.length(20));
         // What is left are the writers' looks before they write.
         expect(roster.counts.reads).to.be.at.most(8);
-        const alone = world.startNode(150, overrides);
-        await world.clock.advance(2000);
-        expect(knownIds(alone)).to.have.length(21);
+        const alone = cluster.startNode(150, overrides);
+        await cluster.clock.advance(2000);
+        expect(listMemberIds(alone)).to.have.length(21);
     });
 
     it("joins the parts of a zone that find each other by no neighbour", async () => {
@@ -305,32 +305,32 @@
         // Sequence: a fleet starts; the addresses of a zone have a gap; each part finds itself by its neighbours.
         // Cause: a node that knows one member does not read the roster any more, and who writes it did not look who
         //   else stood in it.
-        const world = createTestWorld(8);
+        const cluster = createTestCluster(8);
         const roster = createRosterStore();
         const options = { neighbourSpan: 16, rosterPeriodMs: 1000 };
         const overrides = { seeds: [], objectStore: roster.store, options };
-        const nodes = [0, 1, 2, 3, 4, 5, 60, 61, 62, 63, 64, 65].map((index) => world.startNode(index, overrides));
-        await world.clock.advance(12_000);
-        nodes.forEach((node) => expect(knownIds(node), node.id).to.have.length(nodes.length));
+        const nodes = [0, 1, 2, 3, 4, 5, 60, 61, 62, 63, 64, 65].map((index) => cluster.startNode(index, overrides));
+        await cluster.clock.advance(12_000);
+        nodes.forEach((node) => expect(listMemberIds(node), node.id).to.have.length(nodes.length));
     });
 
     it("does no harm when it is stale, broken or out of reach", async () => {
         // Symptom: nodes that know each other by seeds fail, or stand alone, because of the platform.
         // Sequence: the roster names only dead addresses, then is no JSON, then the object store is down.
         // Cause: the roster is believed, or waited for.
-        const world = createTestWorld(2);
+        const cluster = createTestCluster(2);
         const roster = createRosterStore();
         const stale = { zone: "zone-a", members: [{ id: "old", address: "10.9.9.9", controlPort: 17_082 }] };
         roster.objects.set(formatRosterKey("zone-a"), Buffer.from(JSON.stringify(stale)));
-        const nodes = [0, 1, 2, 3].map((index) => world.startNode(index, { objectStore: roster.store }));
-        await world.clock.advance(60_000);
+        const nodes = [0, 1, 2, 3].map((index) => cluster.startNode(index, { objectStore: roster.store }));
+        await cluster.clock.advance(60_000);
         roster.objects.set(formatRosterKey("zone-a"), Buffer.from("{"));
-        nodes.push(world.startNode(4, { objectStore: roster.store }));
-        await world.clock.advance(60_000);
+        nodes.push(cluster.startNode(4, { objectStore: roster.store }));
+        await cluster.clock.advance(60_000);
         roster.isDown = true;
-        nodes.push(world.startNode(5, { objectStore: roster.store }));
-        await world.clock.advance(60_000);
-        expect(nodes.map(knownIds)).to.deep.equal(nodes.map(() => idsOf(nodes)));
+        nodes.push(cluster.startNode(5, { objectStore: roster.store }));
+        await cluster.clock.advance(60_000);
+        expect(nodes.map(listMemberIds)).to.deep.equal(nodes.map(() => listNodeIds(nodes)));
         expect(nodes.map((node) => node.membership.stats().dropped.HandlerFailed)).to.deep.equal(nodes.map(() => 0));
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/sealedTransport.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/sealedTransport.test.ts
@@ -8,12 +8,12 @@
     type FleetKeys,
     type SealedTransport,
 } from "../index.js";
-import { createTestWorld, endpointOfIndex, seedOfIndex, type TestWorld } from "./testZone.js";
-import { keysOf, NEW_KEY, OLD_KEY } from "./testKeys.js";
+import { createTestCluster, createEndpoint, createSeed, type TestCluster } from "./testZone.js";
+import { parseKeys, NEW_KEY, OLD_KEY } from "./testKeys.js";
 
 const never = new AbortController().signal;
 const payload = Uint8Array.from([1, 2, 3, 4, 5]);
-const [here, there, elsewhere] = [1, 2, 3].map(endpointOfIndex) as [Endpoint, Endpoint, Endpoint];
+const [here, there, elsewhere] = [1, 2, 3].map(createEndpoint) as [Endpoint, Endpoint, Endpoint];
 
 interface Peer {
     readonly transport: SealedTransport;
@@ -21,9 +21,9 @@
     keys: FleetKeys;
 }
 
-const startPeer = async (world: TestWorld, endpoint: Endpoint, keys: FleetKeys): Promise<Peer> => {
+const startPeer = async (cluster: TestCluster, endpoint: Endpoint, keys: FleetKeys): Promise<Peer> => {
     const transport = createSealedTransport({
-        transport: world.network.createTransport(endpoint),
+        transport: cluster.network.createTransport(endpoint),
         readKeys: () => peer.keys,
     });
     const peer: Peer = { transport, received: [], keys };
@@ -44,7 +44,7 @@
 const sealFrom = async (from: Endpoint, keys: FleetKeys): Promise<Uint8Array> => {
     const copies: Uint8Array[] = [];
     const transport = createSealedTransport({
-        transport: tap(createTestWorld(1).network.createTransport(from), copies),
+        transport: tap(createTestCluster(1).network.createTransport(from), copies),
         readKeys: () => keys,
     });
     await transport.open(() => undefined, never)();
@@ -57,15 +57,15 @@
 
 describe("createSealedTransport", () => {
     it("carries payloads between holders of the key, within the size of a datagram", async () => {
-        const world = createTestWorld(1);
-        const sender = await startPeer(world, here, keysOf(NEW_KEY));
-        const receiver = await startPeer(world, there, keysOf(NEW_KEY));
+        const cluster = createTestCluster(1);
+        const sender = await startPeer(cluster, here, parseKeys(NEW_KEY));
+        const receiver = await startPeer(cluster, there, parseKeys(NEW_KEY));
         sender.transport.send(there, payload);
-        await world.clock.advance(10);
+        await cluster.clock.advance(10);
 
         expect(receiver.received).to.deep.equal([payload]);
         expect(receiver.transport.stats()).to.include({ sealBytesReceived: SEAL_BYTES, rejected: 0 });
-        expect((await sealFrom(here, keysOf(NEW_KEY))).length).to.equal(payload.length + SEAL_BYTES);
+        expect((await sealFrom(here, parseKeys(NEW_KEY))).length).to.equal(payload.length + SEAL_BYTES);
         expect(MAX_DATAGRAM_BYTES + SEAL_BYTES).to.be.at.most(1200);
     });
 
@@ -73,24 +73,24 @@
         // Symptom: a stranger's datagrams declare members dead, or make the stranger a contact.
         // Sequence: they come unsealed, forged, cut short, sealed with another key, or copied and sent from elsewhere.
         // Cause: what reaches the control port is believed.
-        const world = createTestWorld(1);
-        const receiver = await startPeer(world, there, keysOf(NEW_KEY));
-        const sealed = await sealFrom(here, keysOf(NEW_KEY));
+        const cluster = createTestCluster(1);
+        const receiver = await startPeer(cluster, there, parseKeys(NEW_KEY));
+        const sealed = await sealFrom(here, parseKeys(NEW_KEY));
         const wrong = [
             new Uint8Array(),
             sealed.subarray(0, SEAL_BYTES - 1),
             payload,
             sealed.subarray(0, sealed.length - 1),
             sealed.subarray(1),
-            await sealFrom(here, keysOf(OLD_KEY)),
+            await sealFrom(here, parseKeys(OLD_KEY)),
             ...[...sealed.keys()].map((index) => flipBit(sealed, index)),
         ];
-        wrong.forEach((datagram) => world.network.inject(here, there, datagram));
-        world.network.inject(elsewhere, there, sealed);
+        wrong.forEach((datagram) => cluster.network.inject(here, there, datagram));
+        cluster.network.inject(elsewhere, there, sealed);
 
         expect(receiver.received).to.deep.equal([]);
         expect(receiver.transport.stats()).to.include({ rejected: wrong.length + 1, sealBytesReceived: 0 });
-        world.network.inject(here, there, sealed);
+        cluster.network.inject(here, there, sealed);
         expect(receiver.received).to.deep.equal([payload]);
     });
 
@@ -98,15 +98,15 @@
         // Symptom: during a rotation a part of the fleet is declared dead.
         // Sequence: nodes take the new key one after the other.
         // Cause: a node seals with a key before the others accept it, or refuses the old one while it is in use.
-        const world = createTestWorld(1);
-        const first = await startPeer(world, here, keysOf(OLD_KEY));
-        const second = await startPeer(world, there, keysOf(OLD_KEY));
+        const cluster = createTestCluster(1);
+        const first = await startPeer(cluster, here, parseKeys(OLD_KEY));
+        const second = await startPeer(cluster, there, parseKeys(OLD_KEY));
         const exchange = async (): Promise<void> => {
             first.transport.send(there, payload);
             second.transport.send(here, payload);
-            await world.clock.advance(10);
+            await cluster.clock.advance(10);
         };
-        for (const keys of [keysOf(OLD_KEY, NEW_KEY), keysOf(NEW_KEY, OLD_KEY), keysOf(NEW_KEY)]) {
+        for (const keys of [parseKeys(OLD_KEY, NEW_KEY), parseKeys(NEW_KEY, OLD_KEY), parseKeys(NEW_KEY)]) {
             first.keys = keys;
             await exchange();
             second.keys = keys;
@@ -114,7 +114,7 @@
         }
         expect([first.received.length, second.received.length]).to.deep.equal([6, 6]);
 
-        world.network.inject(here, there, await sealFrom(here, keysOf(OLD_KEY)));
+        cluster.network.inject(here, there, await sealFrom(here, parseKeys(OLD_KEY)));
         expect(second.received.length).to.equal(6);
     });
 
@@ -123,28 +123,28 @@
         // Sequence: a member's datagrams are copied, its farewell too; it restarts; the copies are sent again under its
         // own address, with seals that are right.
         // Cause: an old record replaces a newer one.
-        const world = createTestWorld(3);
+        const cluster = createTestCluster(3);
         const copies: Uint8Array[] = [];
         const wrapTransport = (transport: DatagramTransport): DatagramTransport =>
-            createSealedTransport({ transport, readKeys: () => keysOf(NEW_KEY) });
-        const [observer] = [0, 2].map((index) => world.startNode(index, { wrapTransport }));
-        const member = world.startNode(1, { wrapTransport: (transport) => wrapTransport(tap(transport, copies)) });
-        await world.clock.advance(10_000);
+            createSealedTransport({ transport, readKeys: () => parseKeys(NEW_KEY) });
+        const [observer] = [0, 2].map((index) => cluster.startNode(index, { wrapTransport }));
+        const member = cluster.startNode(1, { wrapTransport: (transport) => wrapTransport(tap(transport, copies)) });
+        await cluster.clock.advance(10_000);
         const left = member.membership.leave();
-        await world.clock.advance(5000);
+        await cluster.clock.advance(5000);
         await left;
         member.kill();
         expect(observer?.membership.member(member.id)?.state).to.equal("left");
 
-        const restarted = world.startNode(1, { wrapTransport, seeds: [seedOfIndex(0)] });
-        await world.clock.advance(10_000);
+        const restarted = cluster.startNode(1, { wrapTransport, seeds: [createSeed(0)] });
+        await cluster.clock.advance(10_000);
         const before = observer?.membership.member(member.id);
         expect(before).to.include({ state: "alive", incarnation: restarted.membership.self().incarnation });
-        copies.forEach((copy) => world.network.inject(endpointOfIndex(1), endpointOfIndex(0), copy));
+        copies.forEach((copy) => cluster.network.inject(createEndpoint(1), createEndpoint(0), copy));
 
         expect(copies.length).to.be.greaterThan(10);
         expect(observer?.membership.member(member.id)).to.deep.equal(before);
-        await world.clock.advance(20_000);
+        await cluster.clock.advance(20_000);
         expect(observer?.membership.member(member.id)?.state).to.equal("alive");
         expect(restarted.membership.member("node-0")?.state).to.equal("alive");
     });
--- a/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
@@ -8,12 +8,12 @@
     type TargetDirectory,
     type ZoneTargetsAnswer,
 } from "../index.js";
-import { createTestWorld, seedOfIndex, targetOf, type TestNode, type TestWorld } from "./testZone.js";
+import { createTestCluster, createSeed, createTarget, type TestNode, type TestCluster } from "./testZone.js";
 
 const service = { partner: "halloway", service: "grant-filer" };
 
 interface TwoZones {
-    readonly world: TestWorld;
+    readonly cluster: TestCluster;
     readonly nodesA: readonly TestNode[];
     readonly nodesB: readonly TestNode[];
     /** Directory of the first node of zone A. */
@@ -23,11 +23,11 @@
 }
 
 const startTwoZones = async (seed: number): Promise<TwoZones> => {
-    const world = createTestWorld(seed);
+    const cluster = createTestCluster(seed);
     const random = createSeededRandom(seed);
-    const seeds = [seedOfIndex(0, "zone-a"), seedOfIndex(40, "zone-b")];
+    const seeds = [createSeed(0, "zone-a"), createSeed(40, "zone-b")];
     const start = (first: number, zone: string): TestNode[] =>
-        Array.from({ length: 16 }, (_, index) => world.startNode(first + index, { zone, seeds }));
+        Array.from({ length: 16 }, (_, index) => cluster.startNode(first + index, { zone, seeds }));
     const nodesA = start(0, "zone-a");
     const nodesB = start(40, "zone-b");
     const answers: ZoneTargetsAnswer[] = [];
@@ -37,14 +37,14 @@
             membership: node.membership,
             fetchZone,
             zones: () => ["zone-a", "zone-b"],
-            clock: world.clock,
+            clock: cluster.clock,
             random,
             options: targetDirectoryOptionsSchema.parse({}),
         });
     const servers = nodesB.map((node) =>
         createDirectory(node, () => taskEither.left({ kind: "ZoneUnreachable", detail: "not asked" })));
     const fetchZone: FetchZone = (_zone, request) => async () => {
-        await world.clock.sleep(5, new AbortController().signal);
+        await cluster.clock.sleep(5, new AbortController().signal);
         const answer = link.isCut ? undefined : pickOne(random, servers)?.answerZoneTargets(request);
         if (answer === undefined) {
             return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "cut" })();
@@ -58,11 +58,11 @@
     }
     const directory = createDirectory(first, fetchZone);
     directory.start(new AbortController().signal);
-    nodesA[3]?.membership.setTarget(targetOf("grant-filer"));
-    nodesB[3]?.membership.setTarget(targetOf("grant-filer"));
-    nodesB[4]?.membership.setTarget(targetOf("wills-desk"));
-    await world.clock.advance(15_000);
-    return { world, nodesA, nodesB, directory, answers, link };
+    nodesA[3]?.membership.setTarget(createTarget("grant-filer"));
+    nodesB[3]?.membership.setTarget(createTarget("grant-filer"));
+    nodesB[4]?.membership.setTarget(createTarget("wills-desk"));
+    await cluster.clock.advance(15_000);
+    return { cluster, nodesA, nodesB, directory, answers, link };
 };
 
 const listTargets = (directory: TargetDirectory): readonly string[] =>
@@ -70,25 +70,25 @@
 
 describe("createTargetDirectory", () => {
     it("gives the own zone's targets at once, and another zone's once it was asked", async () => {
-        const { world, directory, answers } = await startTwoZones(1);
+        const { cluster, directory, answers } = await startTwoZones(1);
         expect(answers).to.deep.equal([]);
         expect(listTargets(directory)).to.deep.equal(["node-3"]);
-        await world.clock.advance(200);
+        await cluster.clock.advance(200);
         expect(listTargets(directory)).to.deep.equal(["node-3", "node-43"]);
         expect(directory.targetsOf(service, ["zone-b"]).map((target) => target.nodeId)).to.deep.equal(["node-43"]);
         expect(directory.targetsOf({ ...service, partner: "kushiro" })).to.deep.equal([]);
     });
 
     it("transfers an unchanged list once, and stops asking when the service is out of use", async () => {
-        const { world, directory, answers } = await startTwoZones(2);
+        const { cluster, directory, answers } = await startTwoZones(2);
         listTargets(directory);
-        await world.clock.advance(20_000);
+        await cluster.clock.advance(20_000);
         expect(answers.length).to.be.within(10, 14);
         expect(answers.slice(1).every(({ services }) => services[0]?.kind === "Unchanged")).to.equal(true);
-        await world.clock.advance(15_000);
-        const asked = answers.length;
-        await world.clock.advance(60_000);
-        expect(answers.length).to.equal(asked);
+        await cluster.clock.advance(15_000);
+        const answerCount = answers.length;
+        await cluster.clock.advance(60_000);
+        expect(answers.length).to.equal(answerCount);
     });
 
     it("shows a leaving target as such in both zones within five seconds", async () => {
@@ -96,12 +96,12 @@
         // Sequence: it announces its leaving to its node; nodes of both zones go on routing.
         // Cause: the news waits for a slow round of probes, or the other zone's list is kept too long.
         for (const seed of [3, 4, 5]) {
-            const { world, nodesA, nodesB, directory } = await startTwoZones(seed);
+            const { cluster, nodesA, nodesB, directory } = await startTwoZones(seed);
             listTargets(directory);
-            await world.clock.advance(3000);
-            nodesA[3]?.membership.setTarget(targetOf("grant-filer", true));
-            nodesB[3]?.membership.setTarget(targetOf("grant-filer", true));
-            await world.clock.advance(5000);
+            await cluster.clock.advance(3000);
+            nodesA[3]?.membership.setTarget(createTarget("grant-filer", true));
+            nodesB[3]?.membership.setTarget(createTarget("grant-filer", true));
+            await cluster.clock.advance(5000);
             expect(listTargets(directory)).to.deep.equal(["node-3 leaving", "node-43 leaving"]);
         }
     });
@@ -110,15 +110,15 @@
         // Symptom: requests are refused for want of targets although those of the other zone go on serving.
         // Sequence: the zones are cut apart, or the asked node hangs; the cut heals after a target has left.
         // Cause: a failed fetch empties the list, or stops the fetching.
-        const { world, nodesB, directory, link } = await startTwoZones(6);
+        const { cluster, nodesB, directory, link } = await startTwoZones(6);
         listTargets(directory);
-        await world.clock.advance(3000);
+        await cluster.clock.advance(3000);
         link.isCut = true;
-        await world.clock.advance(60_000);
+        await cluster.clock.advance(60_000);
         expect(listTargets(directory)).to.deep.equal(["node-3", "node-43"]);
         nodesB[3]?.membership.setTarget(undefined);
         link.isCut = false;
-        await world.clock.advance(5000);
+        await cluster.clock.advance(5000);
         expect(listTargets(directory)).to.deep.equal(["node-3"]);
         expect(directory.stats().failedFetches).to.be.greaterThan(0);
     });
--- a/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
@@ -12,14 +12,14 @@
 import { digestZoneTargets } from "../targetsDigest.js";
 import { perfectLink } from "../testing/index.js";
 import {
-    createTestWorld,
-    endpointOfIndex,
-    lossy,
+    createTestCluster,
+    createEndpoint,
+    createLossyLink,
     measureUntil,
-    seedOfIndex,
-    targetOf,
+    createSeed,
+    createTarget,
     type TestNode,
-    type TestWorld,
+    type TestCluster,
 } from "./testZone.js";
 
 const service = { partner: "halloway", service: "grant-filer" };
@@ -27,7 +27,7 @@
 const ZONE_SIZE = 16;
 
 interface Zones {
-    readonly world: TestWorld;
+    readonly cluster: TestCluster;
     readonly nodeA: TestNode;
     readonly nodesB: readonly TestNode[];
     /** Directory of that node of zone A. */
@@ -38,9 +38,9 @@
 
 /** Two zones whose nodes tell digests; fetches go to the contacts as the membership names them. */
 const startZones = async (seed: number): Promise<Zones> => {
-    const world = createTestWorld(seed);
+    const cluster = createTestCluster(seed);
     const random = createSeededRandom(seed);
-    const seeds = [seedOfIndex(0, "zone-a"), seedOfIndex(FIRST_B, "zone-b")];
+    const seeds = [createSeed(0, "zone-a"), createSeed(FIRST_B, "zone-b")];
     const directories = new Map<string, TargetDirectory>();
     const killed = new Set<string>();
     const ready = { isReady: true };
@@ -49,7 +49,7 @@
             const id = `node-${String(first + index)}`;
             const targetsDigest = (): number | undefined =>
                 ready.isReady ? directories.get(id)?.zoneDigest() : undefined;
-            const node = world.startNode(first + index, { id, zone, seeds, targetsDigest });
+            const node = cluster.startNode(first + index, { id, zone, seeds, targetsDigest });
             return { ...node, kill: () => {
                 killed.add(id);
                 node.kill();
@@ -58,7 +58,7 @@
     const nodesA = start(0, "zone-a");
     const nodesB = start(FIRST_B, "zone-b");
     const fetchFor = (node: TestNode): FetchZone => (zone, request) => async () => {
-        await world.clock.sleep(5, new AbortController().signal);
+        await cluster.clock.sleep(5, new AbortController().signal);
         const contact = pickOne(random, node.membership.contactsOf(zone).filter(({ id }) => !killed.has(id)));
         const answer = directories.get(contact?.id ?? "")?.answerZoneTargets(request);
         return answer === undefined ?
@@ -70,7 +70,7 @@
             membership: node.membership,
             fetchZone: fetchFor(node),
             zones: () => ["zone-a", "zone-b"],
-            clock: world.clock,
+            clock: cluster.clock,
             random,
             options: targetDirectoryOptionsSchema.parse({}),
         }));
@@ -81,20 +81,20 @@
         throw new Error("no nodes");
     }
     directory.start(new AbortController().signal);
-    nodesA[3]?.membership.setTarget(targetOf("grant-filer"));
-    nodesB[3]?.membership.setTarget(targetOf("grant-filer"));
-    await world.clock.advance(15_000);
+    nodesA[3]?.membership.setTarget(createTarget("grant-filer"));
+    nodesB[3]?.membership.setTarget(createTarget("grant-filer"));
+    await cluster.clock.advance(15_000);
     directory.targetsOf(service);
-    await world.clock.advance(3000);
-    return { world, nodeA, nodesB, directory, ready };
+    await cluster.clock.advance(3000);
+    return { cluster, nodeA, nodesB, directory, ready };
 };
 
 const isLeavingKnown = (directory: TargetDirectory): boolean =>
     directory.targetsOf(service, ["zone-b"]).some(({ leaving }) => leaving);
 
-const measureLeaving = async ({ world, nodesB, directory }: Zones): Promise<number> => {
-    nodesB[3]?.membership.setTarget(targetOf("grant-filer", true));
-    return measureUntil(world, 20_000, () => isLeavingKnown(directory));
+const measureLeaving = async ({ cluster, nodesB, directory }: Zones): Promise<number> => {
+    nodesB[3]?.membership.setTarget(createTarget("grant-filer", true));
+    return measureUntil(cluster, 20_000, () => isLeavingKnown(directory));
 };
 
 describe("digestZoneTargets", () => {
@@ -104,7 +104,7 @@
         leaving: fastCheck.boolean(),
     }), { selector: ({ id }) => id, maxLength: 8 }).map((drawn) => drawn.map(({ id, slots, leaving }): Member => ({
         id, zone: "zone-a", address: "10.0.0.1", controlPort: 1, gatePort: 2, incarnation: slots, state: "alive",
-        revision: 0, target: { ...targetOf("grant-filer", leaving), slots },
+        revision: 0, target: { ...createTarget("grant-filer", leaving), slots },
     })));
     const naive = (list: readonly Member[]): string =>
         list.map(({ id, target }) => JSON.stringify([id, target])).sort().join();
@@ -121,10 +121,10 @@
 
 describe("createTargetDirectory with digests of contacts", () => {
     it("fetches nothing while nothing changes, and gives the same array", async () => {
-        const { world, directory } = await startZones(1);
+        const { cluster, directory } = await startZones(1);
         const { fetches } = directory.stats();
         const before = directory.targetsOf(service);
-        await world.clock.advance(20_000);
+        await cluster.clock.advance(20_000);
         expect(directory.stats().fetches - fetches).to.be.at.most(1);
         expect(directory.targetsOf(service)).to.equal(before);
         expect(before.map(({ nodeId }) => nodeId)).to.deep.equal(["node-3", "node-43"]);
@@ -146,7 +146,7 @@
             const zones = await startZones(9);
             const isB = ({ address }: { readonly address: string }): boolean =>
                 Number(address.split(".").at(-1)) > FIRST_B;
-            zones.world.network.setLinks((from, to) => isB(from) === isB(to) ? perfectLink : lossy(loss));
+            zones.cluster.network.setLinks((from, to) => isB(from) === isB(to) ? perfectLink : createLossyLink(loss));
             expect(await measureLeaving(zones)).to.be.at.most(5000);
         }
     });
@@ -168,27 +168,27 @@
         // Symptom: a zone's change is not seen although nodes that know it can be reached.
         // Sequence: one contact hears nothing of its zone any more, and goes on confirming the old digest.
         // Cause: always the same contact is asked.
-        const { world, nodeA, nodesB } = await startZones(13);
-        const countAsked = (): number[] =>
+        const { cluster, nodeA, nodesB } = await startZones(13);
+        const countProbesReceived = (): number[] =>
             nodesB.map(({ membership }) => membership.stats().traffic.ContactProbe.receivedDatagrams);
-        const before = countAsked();
+        const before = countProbesReceived();
         for (let turn = 0; turn < 30; turn++) {
             nodeA.membership.probeZone("zone-b");
-            await world.clock.advance(10);
+            await cluster.clock.advance(10);
         }
-        const asked = countAsked().map((count, index) => count - (before[index] ?? 0));
-        expect(asked.filter((count) => count >= 2)).to.have.length.at.least(3);
+        const probesReceived = countProbesReceived().map((count, index) => count - (before[index] ?? 0));
+        expect(probesReceived.filter((count) => count >= 2)).to.have.length.at.least(3);
     });
 
     it("catches up after a contact was cut off from its own zone", async () => {
         // Symptom and cause as above.
         const zones = await startZones(12);
         const isLost = ({ address }: { readonly address: string }): boolean =>
-            address === endpointOfIndex(FIRST_B).address;
+            address === createEndpoint(FIRST_B).address;
         const isA = ({ address }: { readonly address: string }): boolean =>
             Number(address.split(".").at(-1)) <= FIRST_B;
-        zones.world.network.setLinks((from, to) =>
-            (isLost(from) || isLost(to)) && !isA(from) && !isA(to) ? lossy(1) : perfectLink);
+        zones.cluster.network.setLinks((from, to) =>
+            (isLost(from) || isLost(to)) && !isA(from) && !isA(to) ? createLossyLink(1) : perfectLink);
         expect(await measureLeaving(zones)).to.be.at.most(8000);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/testZone.ts
+++ b/packages/oleandergap-membership/src/__tests__/testZone.ts
@@ -27,10 +27,10 @@
     readonly membership: Membership;
     readonly kill: () => void;
     /** Members seen as dead while they were not killed, in the order seen. */
-    readonly deathsSeen: Member[];
+    readonly observedDeaths: Member[];
 }
 
-export interface TestWorld {
+export interface TestCluster {
     readonly clock: ManualClock;
     readonly network: MemoryNetwork;
     readonly startNode: (index: number, overrides?: NodeOverrides) => TestNode;
@@ -57,17 +57,17 @@
 const SETTLE_MS = 15_000;
 const STEP_MS = 100;
 
-export const endpointOfIndex = (index: number): Endpoint => ({
+export const createEndpoint = (index: number): Endpoint => ({
     address: `10.0.${String(Math.floor(index / 200))}.${String(index % 200 + 1)}`,
     port: CONTROL_PORT,
 });
 
-export const seedOfIndex = (index: number, zone = "zone-a"): MembershipOptions["seeds"][number] => ({
+export const createSeed = (index: number, zone = "zone-a"): MembershipOptions["seeds"][number] => ({
     zone,
-    ...endpointOfIndex(index),
+    ...createEndpoint(index),
 });
 
-export const targetOf = (service: string, leaving = false): MemberTarget => ({
+export const createTarget = (service: string, leaving = false): MemberTarget => ({
     partner: "halloway",
     service,
     slots: 12,
@@ -75,21 +75,21 @@
     since: 1,
 });
 
-export const headOf = (sequence: number): Head => ({
+export const createHead = (sequence: number): Head => ({
     partner: "halloway",
     sequence,
     digest: sequence.toString(16).padStart(64, "0"),
 });
 
-export const createTestWorld = (seed: number): TestWorld => {
+export const createTestCluster = (seed: number): TestCluster => {
     const clock = createManualClock(1_700_000_000_000);
     const random = createSeededRandom(seed);
     const network = createMemoryNetwork(clock, random);
 
     const startNode = (index: number, overrides: NodeOverrides = {}): TestNode => {
-        const { id = `node-${String(index)}`, zone = "zone-a", seeds = [seedOfIndex(0)], objectStore } = overrides;
+        const { id = `node-${String(index)}`, zone = "zone-a", seeds = [createSeed(0)], objectStore } = overrides;
         const { clockOffsetMs = 0, wrapTransport = (transport) => transport } = overrides;
-        const endpoint = endpointOfIndex(index);
+        const endpoint = createEndpoint(index);
         const nodeClock = createFreezableClock(clock);
         const end = new AbortController();
         const membership = createMembership({
@@ -99,22 +99,22 @@
             transport: wrapTransport(network.createTransport(endpoint)),
             logger: createLogger("membership"),
             options: { ...membershipOptionsSchema.parse({ seeds }), ...overrides.options },
-            piggyback: overrides.piggyback ?? { heads: () => [headOf(1)] },
+            piggyback: overrides.piggyback ?? { heads: () => [createHead(1)] },
             ...(objectStore === undefined ? {} : { objectStore }),
             ...(overrides.fetchContacts === undefined ? {} : { fetchContacts: overrides.fetchContacts }),
             ...(overrides.targetsDigest === undefined ? {} : { targetsDigest: overrides.targetsDigest }),
         });
-        const deathsSeen: Member[] = [];
+        const observedDeaths: Member[] = [];
         membership.subscribe(({ member, previous }) => {
             if (member.state === "dead" && previous?.state !== "dead") {
-                deathsSeen.push(member);
+                observedDeaths.push(member);
             }
         });
         void membership.start(end.signal);
         const kill = (): void => {
             end.abort();
         };
-        return { id, endpoint, clock: nodeClock, membership, kill, deathsSeen };
+        return { id, endpoint, clock: nodeClock, membership, kill, observedDeaths };
     };
 
     const startZone = async (count: number, overrides: NodeOverrides = {}): Promise<TestNode[]> => {
@@ -127,16 +127,16 @@
 };
 
 /** Ids that a node takes for alive or suspect, sorted. */
-export const knownIds = (node: TestNode): readonly string[] =>
+export const listMemberIds = (node: TestNode): readonly string[] =>
     node.membership.members().map((member) => member.id).sort();
 
-export const idsOf = (nodes: readonly TestNode[]): readonly string[] => nodes.map((node) => node.id).sort();
+export const listNodeIds = (nodes: readonly TestNode[]): readonly string[] => nodes.map((node) => node.id).sort();
 
 /** Ids that a node holds alive, sorted. */
-export const aliveIds = (node: TestNode): readonly string[] =>
+export const listAliveIds = (node: TestNode): readonly string[] =>
     node.membership.members().filter((member) => member.state === "alive").map((member) => member.id).sort();
 
-export const lossy = (loss: number): LinkBehaviour => ({
+export const createLossyLink = (loss: number): LinkBehaviour => ({
     loss,
     duplication: 0.05,
     minimumDelayMs: 1,
@@ -144,20 +144,20 @@
 });
 
 /** Time until `condition` holds, in steps; `limit` when it does not. */
-export const measureUntil = async (world: TestWorld, limit: number, condition: () => boolean): Promise<number> => {
+export const measureUntil = async (cluster: TestCluster, limit: number, condition: () => boolean): Promise<number> => {
     for (let passed = 0; passed < limit; passed += STEP_MS) {
         if (condition()) {
             return passed;
         }
-        await world.clock.advance(STEP_MS);
+        await cluster.clock.advance(STEP_MS);
     }
     return limit;
 };
 
-export const deathsSeen = (nodes: readonly TestNode[]): readonly string[] =>
-    nodes.flatMap((node) => node.deathsSeen.map((member) => member.id));
+export const listObservedDeaths = (nodes: readonly TestNode[]): readonly string[] =>
+    nodes.flatMap((node) => node.observedDeaths.map((member) => member.id));
 
-export const allAgree = (nodes: readonly TestNode[]): boolean => {
-    const expected = idsOf(nodes).join();
-    return nodes.every((node) => aliveIds(node).join() === expected);
+export const haveSameMembers = (nodes: readonly TestNode[]): boolean => {
+    const expected = listNodeIds(nodes).join();
+    return nodes.every((node) => listAliveIds(node).join() === expected);
 };
--- a/packages/oleandergap-membership/src/bodyCodec.ts
+++ b/packages/oleandergap-membership/src/bodyCodec.ts
@@ -47,9 +47,9 @@
         case "SyncBuckets":
             return [kind, body.digests];
         case "SyncRecords":
-            return [kind, body.wanted];
+            return [kind, body.requestedBuckets];
         case "ContactProbe":
-            return [kind, body.sequence, body.wanted];
+            return [kind, body.sequence, body.needsContacts];
         case "Gossip":
         case "Heads":
             return [kind];
@@ -98,11 +98,11 @@
 
 const syncRecordsSchema = z
     .tuple([z.literal(kindNumbers.SyncRecords), z.array(bucketSchema).max(BUCKET_COUNT)])
-    .transform(([, wanted]): MessageBody => ({ kind: "SyncRecords", wanted }));
+    .transform(([, requestedBuckets]): MessageBody => ({ kind: "SyncRecords", requestedBuckets }));
 
 const contactProbeSchema = z
     .tuple([z.literal(kindNumbers.ContactProbe), uint32Schema, z.boolean()])
-    .transform(([, sequence, wanted]): MessageBody => ({ kind: "ContactProbe", sequence, wanted }));
+    .transform(([, sequence, needsContacts]): MessageBody => ({ kind: "ContactProbe", sequence, needsContacts }));
 
 const contactReplySchema = z
     .tuple([z.literal(kindNumbers.ContactReply), uint32Schema, targetsDigestSchema.nullable()])
--- a/packages/oleandergap-membership/src/byteBudget.ts
+++ b/packages/oleandergap-membership/src/byteBudget.ts
@@ -4,7 +4,7 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 export interface ByteBudget {
-    readonly isOpen: () => boolean;
+    readonly canSpend: () => boolean;
     readonly spend: (bytes: number) => void;
 }
 
@@ -27,7 +27,7 @@
     };
 
     return {
-        isOpen: () => {
+        canSpend: () => {
             refill();
             return balance > 0;
         },
--- a/packages/oleandergap-membership/src/contactMessages.ts
+++ b/packages/oleandergap-membership/src/contactMessages.ts
@@ -4,19 +4,19 @@
 import type { ContactBook } from "./contactBook.js";
 import type { MemberTable } from "./memberTable.js";
 import type { Datagram, MessageBody } from "./messages.js";
-import type { Cargo, Messenger } from "./messenger.js";
+import type { PiggybackedData, Messenger } from "./messenger.js";
 import type { Endpoint } from "./transport.js";
 import type { ZoneDigests } from "./zoneDigests.js";
 
 /** Members of the own zone that are named to a node of another zone. */
-const SUGGESTED_CONTACTS = 3;
+const MAX_SUGGESTED_CONTACTS = 3;
 
 type ContactProbe = Extract<MessageBody, { kind: "ContactProbe" }>;
 type ContactReply = Extract<MessageBody, { kind: "ContactReply" }>;
 
 /** `from` is the endpoint that the transport saw. */
 export interface ContactMessages {
-    readonly answerProbe: (probe: ContactProbe, datagram: Datagram, from: Endpoint) => void;
+    readonly replyToProbe: (probe: ContactProbe, datagram: Datagram, from: Endpoint) => void;
     readonly receiveReply: (reply: ContactReply, datagram: Datagram, from: Endpoint) => void;
 }
 
@@ -27,27 +27,27 @@
     readonly messenger: Messenger;
     readonly contacts: ContactBook;
     readonly zoneDigests: ZoneDigests;
-    readonly headsForReply: (datagram: Datagram) => Pick<Cargo, "heads">;
-    readonly pushHeadsIfAhead: (datagram: Datagram, from: Endpoint) => void;
+    readonly selectReplyHeads: (datagram: Datagram) => Pick<PiggybackedData, "heads">;
+    readonly sendNewerHeads: (datagram: Datagram, from: Endpoint) => void;
 }
 
 export const createContactMessages = (dependencies: ContactMessagesDependencies): ContactMessages => {
-    const { self, random, table, messenger, contacts, zoneDigests, headsForReply, pushHeadsIfAhead } = dependencies;
+    const { self, random, table, messenger, contacts, zoneDigests, selectReplyHeads, sendNewerHeads } = dependencies;
     return {
-        answerProbe: ({ sequence, wanted }, datagram, from) => {
-            const candidates = table.present().filter((member) => member.state === "alive");
-            const records = wanted ? pickSeveral(random, candidates, SUGGESTED_CONTACTS) : [];
-            const targetsDigest = zoneDigests.own();
+        replyToProbe: ({ sequence, needsContacts }, datagram, from) => {
+            const candidates = table.listActive().filter((member) => member.state === "alive");
+            const records = needsContacts ? pickSeveral(random, candidates, MAX_SUGGESTED_CONTACTS) : [];
+            const targetsDigest = zoneDigests.getLocal();
             const body = { kind: "ContactReply", sequence } as const;
             messenger.send(
                 from,
                 targetsDigest === undefined ? body : { ...body, targetsDigest },
-                { records, ...headsForReply(datagram) },
+                { records, ...selectReplyHeads(datagram) },
             );
         },
         receiveReply: ({ sequence, targetsDigest }, datagram, from) => {
-            contacts.suggest(datagram.records);
-            pushHeadsIfAhead(datagram, from);
+            contacts.addCandidates(datagram.records);
+            sendNewerHeads(datagram, from);
             if (targetsDigest !== undefined && datagram.zone !== self().zone) {
                 zoneDigests.receive({ zone: datagram.zone, sequence, digest: targetsDigest });
             }
--- a/packages/oleandergap-membership/src/contactSources.ts
+++ b/packages/oleandergap-membership/src/contactSources.ts
@@ -13,15 +13,15 @@
 import type { RosterKeeper } from "./roster.js";
 
 /** Members of a zone that read other zones' rosters. Two, so that one of them may be dead or cut off. */
-const ROSTER_READERS = 2;
+const ROSTER_READER_COUNT = 2;
 /** Turns without any contact after which a node reads the roster itself, as nobody that it asked could help. */
-const TURNS_BEFORE_ROSTER = 4;
+const ROUNDS_BEFORE_ROSTER_READ = 4;
 /** Turns in which the members of a zone that starts meet, so that they agree on the readers. */
-const TURNS_TO_MEET = 2;
+const ROUNDS_TO_CONVERGE = 2;
 /** Distance of two questions; each asks for all zones. */
-const ASK_SPACING_MS: Milliseconds = 500;
+const MIN_REQUEST_INTERVAL_MS: Milliseconds = 500;
 /** The same at every node, so that all take the same members for the readers. */
-const READERS_KEY = "contacts";
+const RENDEZVOUS_KEY = "contacts";
 
 /** Where contacts of a silent zone come from. */
 export interface ContactSources {
@@ -35,7 +35,7 @@
 export interface ContactSearch {
     readonly zone: ZoneName;
     /** Turns in a row in which no contact of the zone was live, this one included. */
-    readonly silentTurns: number;
+    readonly roundsWithoutLiveContact: number;
     readonly receive: (contacts: readonly Contact[]) => void;
 }
 
@@ -52,27 +52,27 @@
 /** A failed question is not repeated at once: the next turn asks again, perhaps somebody else. */
 export const createContactSources = (dependencies: ContactSourcesDependencies): ContactSources => {
     const { selfId, clock, random, table, roster, fetchContacts } = dependencies;
-    let nextAskAt = clock.monotonic();
+    let nextRequestAt = clock.monotonic();
 
     /** None while this node knows nobody of its own zone: every node would take itself for a reader then. */
     const listReaders = (): readonly Member[] => {
-        const alive = table.present().filter(({ state }) => state === "alive");
-        return alive.length < ROSTER_READERS ?
+        const alive = table.listActive().filter(({ state }) => state === "alive");
+        return alive.length < ROSTER_READER_COUNT ?
             [] :
-            rankByRendezvous(READERS_KEY, alive, ({ id }) => id).slice(0, ROSTER_READERS);
+            rankByRendezvous(RENDEZVOUS_KEY, alive, ({ id }) => id).slice(0, ROSTER_READER_COUNT);
     };
 
-    const ask = (
+    const requestContacts = (
         reader: Member | undefined,
         fetch: FetchContacts,
         { receive }: ContactSearch,
         signal: AbortSignal,
     ): void => {
         const now = clock.monotonic();
-        if (reader === undefined || now < nextAskAt) {
+        if (reader === undefined || now < nextRequestAt) {
             return;
         }
-        nextAskAt = now + ASK_SPACING_MS;
+        nextRequestAt = now + MIN_REQUEST_INTERVAL_MS;
         void fetch(reader, signal).then(receive);
     };
 
@@ -80,12 +80,12 @@
         find: (search, signal) => {
             const readers = listReaders();
             const isReader = readers.some(({ id }) => id === selfId);
-            const mustRead = fetchContacts === undefined || search.silentTurns >= TURNS_BEFORE_ROSTER;
-            if (mustRead || isReader && search.silentTurns >= TURNS_TO_MEET) {
+            const mustReadRoster = fetchContacts === undefined || search.roundsWithoutLiveContact >= ROUNDS_BEFORE_ROSTER_READ;
+            if (mustReadRoster || isReader && search.roundsWithoutLiveContact >= ROUNDS_TO_CONVERGE) {
                 roster?.read(search.zone, search.receive, signal);
             }
             if (!isReader && fetchContacts !== undefined) {
-                ask(pickOne(random, readers), fetchContacts, search, signal);
+                requestContacts(pickOne(random, readers), fetchContacts, search, signal);
             }
         },
         resetBackoff: (zone) => roster?.resetBackoff(zone),
--- a/packages/oleandergap-membership/src/datagramCodec.ts
+++ b/packages/oleandergap-membership/src/datagramCodec.ts
@@ -58,22 +58,22 @@
 export type DatagramParts = Omit<Datagram, "records">;
 
 /** A datagram with room for records. */
-export interface OpenDatagram {
+export interface DatagramBuilder {
     /** Bytes of encoded records that still fit. */
-    readonly room: () => number;
+    readonly remainingBytes: () => number;
     /** Adds a record if it fits. */
-    readonly tryAdd: (member: Member) => boolean;
+    readonly tryAddRecord: (member: Member) => boolean;
     readonly finish: () => Uint8Array;
 }
 
 /** `open` starts a datagram; `decode` gives what arrived, or why it is dropped. Neither throws on any payload. */
 export interface DatagramCodec {
-    readonly open: (parts: DatagramParts) => OpenDatagram;
+    readonly open: (parts: DatagramParts) => DatagramBuilder;
     readonly decode: (payload: Uint8Array) => Either<DropReason, Datagram>;
 }
 
 /** Bytes that a record takes in a datagram. */
-export const measureRecord = (member: Member): number => encodeRecord(member).length + RECORD_FRAME_BYTES;
+export const measureRecordBytes = (member: Member): number => encodeRecord(member).length + RECORD_FRAME_BYTES;
 
 const encodeHead = (head: Head): readonly unknown[] => [
     head.partner,
@@ -119,7 +119,7 @@
 export const createDatagramCodec = (clusterName: string): DatagramCodec => {
     const clusterHash = hashText(`${clusterName}/${String(FORMAT_VERSION)}`);
 
-    const open = (parts: DatagramParts): OpenDatagram => {
+    const open = (parts: DatagramParts): DatagramBuilder => {
         const records: Uint8Array[] = [];
         const pack = (): Uint8Array => Uint8Array.from(packer.pack([
             clusterHash,
@@ -132,16 +132,16 @@
             encodeHeads(parts.heads),
         ]));
         const empty = pack();
-        let room = MAX_DATAGRAM_BYTES - LIST_FRAME_BYTES - empty.length;
+        let remainingBytes = MAX_DATAGRAM_BYTES - LIST_FRAME_BYTES - empty.length;
         return {
-            room: () => room,
-            tryAdd: (member) => {
-                const size = measureRecord(member);
-                if (size > room || records.length >= MAX_RECORDS) {
+            remainingBytes: () => remainingBytes,
+            tryAddRecord: (member) => {
+                const size = measureRecordBytes(member);
+                if (size > remainingBytes || records.length >= MAX_RECORDS) {
                     return false;
                 }
                 records.push(encodeRecord(member));
-                room -= size;
+                remainingBytes -= size;
                 return true;
             },
             finish: () => records.length === 0 ? empty : pack(),
--- a/packages/oleandergap-membership/src/datagramHandler.ts
+++ b/packages/oleandergap-membership/src/datagramHandler.ts
@@ -9,7 +9,7 @@
 import type { MemberUpdates } from "./memberUpdates.js";
 import type { Datagram, MessageBody, MessageKind } from "./messages.js";
 import type { Contact } from "./membershipTypes.js";
-import type { Cargo, Messenger } from "./messenger.js";
+import type { PiggybackedData, Messenger } from "./messenger.js";
 import type { Prober } from "./prober.js";
 import type { Statistics } from "./statistics.js";
 import type { Synchronizer } from "./synchronizer.js";
@@ -17,7 +17,7 @@
 import type { ZoneDigests } from "./zoneDigests.js";
 
 /** Bytes of a ping that tells a member what is said of it, for the budget. */
-const NOTICE_BYTES = 200;
+const NOTIFICATION_PING_BYTES = 200;
 
 /** Kinds that may come from another availability zone. */
 const crossZoneKinds: ReadonlySet<MessageKind> = new Set(["ContactProbe", "ContactReply", "Heads"]);
@@ -40,9 +40,9 @@
     readonly statistics: Statistics;
 }
 
-const isAheadOf = (own: readonly Head[], theirs: readonly Head[]): boolean =>
-    own.some((head) => {
-        const other = theirs.find((candidate) => candidate.partner === head.partner);
+const hasNewerHeads = (local: readonly Head[], remote: readonly Head[]): boolean =>
+    local.some((head) => {
+        const other = remote.find((candidate) => candidate.partner === head.partner);
         return other === undefined || other.sequence < head.sequence;
     });
 
@@ -56,65 +56,65 @@
      * before: the sender may have lost the refutation, and would go on to declare this node dead.
      */
     const applyRecords = (datagram: Datagram): boolean => {
-        let isMistaken = false;
+        let isSenderOutdated = false;
         for (const record of datagram.records) {
             const isFirstHand = record.id === datagram.id;
             const source = datagram.body.kind === "SyncRecords" && !isFirstHand ? "Sync" : "Gossip";
             const outcome = updates.apply(record, source);
-            isMistaken ||= record.id === self().id && record.incarnation < self().incarnation;
-            if (outcome === "Contested" && budget.isOpen()) {
-                budget.spend(NOTICE_BYTES);
+            isSenderOutdated ||= record.id === self().id && record.incarnation < self().incarnation;
+            if (outcome === "Contested" && budget.canSpend()) {
+                budget.spend(NOTIFICATION_PING_BYTES);
                 prober.ping(record);
             }
         }
-        return isMistaken;
+        return isSenderOutdated;
     };
 
     /** What the sender should hear: that it is thought gone or doubted, and that this node is alive after all. */
-    const recordsForReply = (datagram: Datagram, isMistaken: boolean): readonly Member[] => {
-        const held = table.get(datagram.id);
-        const isDoubted = held !== undefined && (held.state !== "alive" || held.incarnation > datagram.incarnation);
-        return [...(isDoubted ? [held] : []), ...(isMistaken ? [self()] : [])];
+    const selectReplyRecords = (datagram: Datagram, isSenderOutdated: boolean): readonly Member[] => {
+        const stored = table.get(datagram.id);
+        const mustNotifySender = stored !== undefined && (stored.state !== "alive" || stored.incarnation > datagram.incarnation);
+        return [...(mustNotifySender ? [stored] : []), ...(isSenderOutdated ? [self()] : [])];
     };
 
-    const headsForReply = (datagram: Datagram): Pick<Cargo, "heads"> =>
+    const selectReplyHeads = (datagram: Datagram): Pick<PiggybackedData, "heads"> =>
         datagram.headsHash === heads.hash() ? {} : { heads: heads.current() };
 
     /** An answer shows that the asked node lacks heads that this one holds. */
-    const pushHeadsIfAhead = (datagram: Datagram, from: Endpoint): void => {
-        if (datagram.headsHash !== heads.hash() && isAheadOf(heads.current(), datagram.heads ?? [])) {
+    const sendNewerHeads = (datagram: Datagram, from: Endpoint): void => {
+        if (datagram.headsHash !== heads.hash() && hasNewerHeads(heads.current(), datagram.heads ?? [])) {
             messenger.send(from, { kind: "Heads" }, { heads: heads.current() });
         }
     };
 
-    const answerPing = (
+    const replyToPing = (
         ping: Extract<MessageBody, { kind: "Ping" }>,
         datagram: Datagram,
         from: Endpoint,
-        isMistaken: boolean,
+        isSenderOutdated: boolean,
     ): void => {
-        const records = recordsForReply(datagram, isMistaken);
-        const cargo = { records, ...headsForReply(datagram) };
+        const records = selectReplyRecords(datagram, isSenderOutdated);
+        const piggybacked = { records, ...selectReplyHeads(datagram) };
         if (ping.targetId === self().id) {
-            messenger.send(from, { kind: "Ack", sequence: ping.sequence }, cargo);
+            messenger.send(from, { kind: "Ack", sequence: ping.sequence }, piggybacked);
             return;
         }
         // The ping was meant for a former node at this address. Without an answer, the sender would suspect that node
         // for seconds before it learnt of this one.
-        messenger.send(from, { kind: "Gossip" }, { ...cargo, records: [self(), ...records] });
+        messenger.send(from, { kind: "Gossip" }, { ...piggybacked, records: [self(), ...records] });
     };
 
-    const contactMessages = createContactMessages({ ...dependencies, headsForReply, pushHeadsIfAhead });
+    const contactMessages = createContactMessages({ ...dependencies, selectReplyHeads, sendNewerHeads });
 
-    const handleBody = (datagram: Datagram, from: Endpoint, isMistaken: boolean): void => {
+    const handleBody = (datagram: Datagram, from: Endpoint, isSenderOutdated: boolean): void => {
         const { body } = datagram;
         switch (body.kind) {
             case "Ping":
-                answerPing(body, datagram, from, isMistaken);
+                replyToPing(body, datagram, from, isSenderOutdated);
                 return;
             case "Ack":
                 prober.receiveAck(body.sequence);
-                pushHeadsIfAhead(datagram, from);
+                sendNewerHeads(datagram, from);
                 return;
             case "PingRequest":
                 prober.relay(body, from);
@@ -129,10 +129,10 @@
                 synchronizer.receiveBuckets(from, body.digests);
                 return;
             case "SyncRecords":
-                synchronizer.receiveRecords(from, body.wanted, datagram.records);
+                synchronizer.receiveRecords(from, body.requestedBuckets, datagram.records);
                 return;
             case "ContactProbe":
-                contactMessages.answerProbe(body, datagram, from);
+                contactMessages.replyToProbe(body, datagram, from);
                 return;
             case "ContactReply":
                 contactMessages.receiveReply(body, datagram, from);
@@ -144,36 +144,36 @@
     };
 
     /** A member of which this node knows nothing, or only an earlier incarnation, is asked for what is missing. */
-    const compareWithUnknown = (datagram: Datagram, from: Endpoint): void => {
-        const held = table.get(datagram.id);
-        const isUnknown = held === undefined || held.incarnation < datagram.incarnation;
-        if (isUnknown && !datagram.body.kind.startsWith("Sync")) {
+    const syncWithUnknownSender = (datagram: Datagram, from: Endpoint): void => {
+        const stored = table.get(datagram.id);
+        const isUnknownOrNewer = stored === undefined || stored.incarnation < datagram.incarnation;
+        if (isUnknownOrNewer && !datagram.body.kind.startsWith("Sync")) {
             synchronizer.compareWith(from);
         }
     };
 
     return (datagram, from) => {
-        const own = self();
-        if (datagram.id === own.id && datagram.zone === own.zone) {
+        const local = self();
+        if (datagram.id === local.id && datagram.zone === local.zone) {
             statistics.countDropped("OwnEcho");
             return;
         }
-        const isOwnZone = datagram.zone === own.zone;
-        if (!isOwnZone && !crossZoneKinds.has(datagram.body.kind)) {
+        const isLocalZone = datagram.zone === local.zone;
+        if (!isLocalZone && !crossZoneKinds.has(datagram.body.kind)) {
             statistics.countDropped("OtherZone");
             return;
         }
         const sender: Contact = { id: datagram.id, zone: datagram.zone, address: from.address, controlPort: from.port };
-        const isMistaken = isOwnZone && applyRecords(datagram);
-        if (!isOwnZone) {
-            contacts.hear(sender);
+        const isSenderOutdated = isLocalZone && applyRecords(datagram);
+        if (!isLocalZone) {
+            contacts.markLive(sender);
         }
         if (datagram.heads !== undefined) {
             heads.receive(sender, datagram.heads);
         }
-        handleBody(datagram, from, isMistaken);
-        if (isOwnZone) {
-            compareWithUnknown(datagram, from);
+        handleBody(datagram, from, isSenderOutdated);
+        if (isLocalZone) {
+            syncWithUnknownSender(datagram, from);
         }
     };
 };
--- a/packages/oleandergap-membership/src/datagramText.ts
+++ b/packages/oleandergap-membership/src/datagramText.ts
@@ -8,23 +8,23 @@
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 
 /** Shorter texts are sent as they are: there is little to save. */
-const MINIMUM_COMPRESSED_BYTES = 400;
+const MIN_COMPRESSION_BYTES = 400;
 /** Longest text that is unpacked; a datagram that claims more is damaged or made up. */
 const MAX_TEXT_BYTES = 64 * 1024;
 /** First byte of compressed text. All texts are JSON objects, which begin with a brace. */
-const COMPRESSED_MARK = 1;
+const COMPRESSED_MARKER = 1;
 
 /** The bytes that stand for `text`. */
 export const packText = (text: string): Uint8Array => {
     const plain = Buffer.from(text, "utf8");
-    return plain.length < MINIMUM_COMPRESSED_BYTES ?
+    return plain.length < MIN_COMPRESSION_BYTES ?
         plain :
-        Buffer.concat([Buffer.of(COMPRESSED_MARK), deflateRawSync(plain)]);
+        Buffer.concat([Buffer.of(COMPRESSED_MARKER), deflateRawSync(plain)]);
 };
 
 /** The text that `bytes` stand for; undefined when they are damaged. */
 export const unpackText = (bytes: Uint8Array): string | undefined => {
-    if (bytes[0] !== COMPRESSED_MARK) {
+    if (bytes[0] !== COMPRESSED_MARKER) {
         return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength).toString("utf8");
     }
     try {
--- a/packages/oleandergap-membership/src/fleetKey.ts
+++ b/packages/oleandergap-membership/src/fleetKey.ts
@@ -14,7 +14,7 @@
 const MAX_KEYS = 2;
 const HASH = "sha256";
 /** Longer ones would cost bytes at every call between nodes; guesses can only be tried against a node. */
-const BEARER_BYTES = 16;
+const BEARER_TOKEN_BYTES = 16;
 
 /** What one key stands for. Holds the key itself nowhere. */
 export interface FleetKey {
@@ -44,17 +44,17 @@
     requestKey: deriveKey(key, "request"),
 });
 
-const fail = (problem: string): Either<FleetKeyError, never> => either.left({ kind: "BadFleetKey", problem });
+const createKeyError = (problem: string): Either<FleetKeyError, never> => either.left({ kind: "BadFleetKey", problem });
 
 /** Reads one key per line, the one in use first. */
 export const parseFleetKeys = (text: string): Either<FleetKeyError, FleetKeys> => {
     const lines = text.split("\n").map((line) => line.trim()).filter((line) => line !== "");
     const [first, ...others] = lines;
     if (first === undefined || others.length >= MAX_KEYS) {
-        return fail(`It must hold one or two keys, one per line; found ${lines.length}.`);
+        return createKeyError(`It must hold one or two keys, one per line; found ${lines.length}.`);
     }
     if (lines.some((line) => Buffer.byteLength(line) < MIN_FLEET_KEY_BYTES)) {
-        return fail(`A key must have at least ${MIN_FLEET_KEY_BYTES} bytes.`);
+        return createKeyError(`A key must have at least ${MIN_FLEET_KEY_BYTES} bytes.`);
     }
     return either.right([createFleetKey(first), ...others.map(createFleetKey)]);
 };
@@ -63,11 +63,11 @@
 const normalizeAddress = (address: string): string =>
     isIPv6(address) ? new URL(`http://[${address}]`).hostname : address;
 
-const computeBearer = ({ requestKey }: FleetKey, to: Endpoint): Buffer =>
+const computeBearerToken = ({ requestKey }: FleetKey, to: Endpoint): Buffer =>
     createHmac(HASH, requestKey)
         .update(formatEndpoint({ address: normalizeAddress(to.address), port: to.port }))
         .digest()
-        .subarray(0, BEARER_BYTES);
+        .subarray(0, BEARER_TOKEN_BYTES);
 
 const BEARER_PATTERN = /^Bearer ([\w-]+)$/;
 
@@ -76,13 +76,13 @@
  * calling a foreign address learns nothing that others accept.
  */
 export const createPeerAuthorization = ([current]: FleetKeys, to: Endpoint): string =>
-    `Bearer ${computeBearer(current, to).toString("base64url")}`;
+    `Bearer ${computeBearerToken(current, to).toString("base64url")}`;
 
 /** Whether a request that arrived at `self` comes from a node of the fleet. Compares in constant time. */
 export const isPeerAuthorized = (keys: FleetKeys, self: Endpoint, authorization: string | undefined): boolean => {
-    const given = Buffer.from(BEARER_PATTERN.exec(authorization ?? "")?.[1] ?? "", "base64url");
-    if (given.length !== BEARER_BYTES) {
+    const receivedToken = Buffer.from(BEARER_PATTERN.exec(authorization ?? "")?.[1] ?? "", "base64url");
+    if (receivedToken.length !== BEARER_TOKEN_BYTES) {
         return false;
     }
-    return keys.some((key) => timingSafeEqual(given, computeBearer(key, self)));
+    return keys.some((key) => timingSafeEqual(receivedToken, computeBearerToken(key, self)));
 };
--- a/packages/oleandergap-membership/src/gossiper.ts
+++ b/packages/oleandergap-membership/src/gossiper.ts
@@ -2,11 +2,11 @@
 import type { Clock, Member, NodeId } from "oleandergap-types";
 import { pickSeveral, type Random } from "oleandergap-utils";
 import type { ByteBudget } from "./byteBudget.js";
-import { createMemberRound, listOthers } from "./memberRound.js";
+import { createMemberRound, listOtherMembers } from "./memberRound.js";
 import type { MemberTable } from "./memberTable.js";
 import type { Messenger } from "./messenger.js";
 import type { MembershipOptions } from "./options.js";
-import { endpointOf } from "./prober.js";
+import { getControlEndpoint } from "./prober.js";
 import type { UpdateQueue } from "./updateQueue.js";
 
 /** Members told at once of this node's leaving, as a multiple of the usual fan-out. */
@@ -42,20 +42,20 @@
             return;
         }
         nextPushAt = now + options.gossipPeriodMs;
-        for (let copy = 0; copy < options.gossipFanout && queue.size() > 0 && budget.isOpen(); copy++) {
+        for (let copy = 0; copy < options.gossipFanout && queue.size() > 0 && budget.canSpend(); copy++) {
             const target = round.next();
             if (target === undefined) {
                 return;
             }
-            budget.spend(messenger.send(endpointOf(target), { kind: "Gossip" }));
+            budget.spend(messenger.send(getControlEndpoint(target), { kind: "Gossip" }));
         }
     };
 
     const announceLeave = async (self: Member): Promise<void> => {
         const count = options.gossipFanout * LEAVE_FANOUT_FACTOR;
         for (let leaveRound = 0; leaveRound < LEAVE_ROUNDS; leaveRound++) {
-            for (const target of pickSeveral(random, listOthers(table, selfId), count)) {
-                messenger.send(endpointOf(target), { kind: "Gossip" }, { records: [self] });
+            for (const target of pickSeveral(random, listOtherMembers(table, selfId), count)) {
+                messenger.send(getControlEndpoint(target), { kind: "Gossip" }, { records: [self] });
             }
             await clock.sleep(options.gossipPeriodMs, new AbortController().signal);
         }
--- a/packages/oleandergap-membership/src/measure/measureMembers.ts
+++ b/packages/oleandergap-membership/src/measure/measureMembers.ts
@@ -23,7 +23,7 @@
 
 const clock = createSystemClock();
 const random = createSeededRandom(Date.now());
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 const startMember = async (index: number, seedPort: number | undefined): Promise<RunningMember> => {
     const logger = createLogger("membership");
@@ -59,10 +59,10 @@
         .flatMap(({ membership }) => Object.values(membership.stats().traffic))
         .reduce((sum, kind) => sum + kind.sentBytes + kind.sentDatagrams * HEADER_BYTES, 0);
 
-const watch = async (condition: () => boolean): Promise<number> => {
+const waitFor = async (condition: () => boolean): Promise<number> => {
     const start = clock.monotonic();
     while (!condition() && clock.monotonic() - start < WATCH_LIMIT_MS) {
-        await clock.sleep(WATCH_STEP_MS, never);
+        await clock.sleep(WATCH_STEP_MS, neverAborted);
     }
     return Math.round(clock.monotonic() - start);
 };
@@ -70,11 +70,11 @@
 const countSuspicions = (members: readonly RunningMember[]): number =>
     members.reduce((sum, { membership }) => sum + membership.stats().events.suspicionStarted, 0);
 
-const measureRest = async (members: readonly RunningMember[], seconds: number): Promise<object> => {
+const measureIdle = async (members: readonly RunningMember[], seconds: number): Promise<object> => {
     const bytesBefore = countSentBytes(members);
     const suspicionsBefore = countSuspicions(members);
     const processorBefore = process.cpuUsage();
-    await clock.sleep(seconds * MILLISECONDS_PER_SECOND, never);
+    await clock.sleep(seconds * MILLISECONDS_PER_SECOND, neverAborted);
     const { user, system } = process.cpuUsage(processorBefore);
     const perNodeAndSecond = members.length * seconds;
     return {
@@ -89,10 +89,10 @@
     const [first, second, ...rest] = members;
     const target = { partner: "halloway", service: "grant-filer", slots: 12, leaving: true, since: 0 };
     first?.membership.setTarget(target);
-    const leavingKnownToAllMs = await watch(() =>
+    const leavingKnownToAllMs = await waitFor(() =>
         members.every(({ membership }) => membership.member("vm-0")?.target?.leaving === true));
     second?.end.abort();
-    const deathKnownToAllMs = await watch(() =>
+    const deathKnownToAllMs = await waitFor(() =>
         rest.every(({ membership }) => membership.member("vm-1")?.state === "dead"));
     const nodesWithOtherLists = rest.filter(({ membership }) => membership.members().length !== members.length - 1);
     return { leavingKnownToAllMs, deathKnownToAllMs, nodesWithOtherLists: nodesWithOtherLists.length };
@@ -101,9 +101,9 @@
 const count = Number(process.argv[2] ?? "22");
 const seconds = Number(process.argv[3] ?? "20");
 const members = await startMembers(count);
-await clock.sleep(SETTLE_MS, never);
+await clock.sleep(SETTLE_MS, neverAborted);
 const joined = members.filter(({ membership }) => membership.members().length === count).length;
-const rest = await measureRest(members, seconds);
+const rest = await measureIdle(members, seconds);
 const events = await measureEvents(members);
 members.forEach(({ end }) => {
     end.abort();
--- a/packages/oleandergap-membership/src/measure/measureRefresh.ts
+++ b/packages/oleandergap-membership/src/measure/measureRefresh.ts
@@ -51,9 +51,9 @@
 const nodes: RunningNode[] = [];
 const traffic = { calls: 0, callBytes: 0 };
 
-const addressOf = (zoneIndex: number, index: number): string => `10.0.${String(zoneIndex)}.${String(index + 1)}`;
+const formatAddress = (zoneIndex: number, index: number): string => `10.0.${String(zoneIndex)}.${String(index + 1)}`;
 
-const targetOf = (index: number, leaving: boolean): MemberTarget => ({
+const createTarget = (index: number, leaving: boolean): MemberTarget => ({
     partner: "halloway",
     service: `service-${String(index % serviceCount)}`,
     slots: 12,
@@ -61,14 +61,14 @@
     since: clock.now(),
 });
 
-const fetchFor = (membership: () => Membership): FetchZone => (zone, request) => async () => {
+const createFetchZone = (membership: () => Membership): FetchZone => (zone, request) => async () => {
     await clock.sleep(2, new AbortController().signal);
     const contact = pickOne(random, membership().contactsOf(zone));
-    const asked = nodes.find((node) => node.membership.self().id === contact?.id);
-    if (asked === undefined) {
+    const contacted = nodes.find((node) => node.membership.self().id === contact?.id);
+    if (contacted === undefined) {
         return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "nobody" })();
     }
-    const answer = asked.directory.answerZoneTargets(request);
+    const answer = contacted.directory.answerZoneTargets(request);
     traffic.calls += 1;
     traffic.callBytes += CALL_HEADER_BYTES + JSON.stringify(request).length + JSON.stringify(answer).length;
     return taskEither.right(answer)();
@@ -76,7 +76,7 @@
 
 const startNode = (zoneIndex: number, index: number): RunningNode => {
     const zone = zoneNames[zoneIndex] ?? "";
-    const address = addressOf(zoneIndex, index);
+    const address = formatAddress(zoneIndex, index);
     const membership: Membership = createMembership({
         self: {
             id: `vm-${String(zoneIndex)}-${String(index)}`, zone, address, controlPort: CONTROL_PORT, gatePort: 17_081,
@@ -86,7 +86,7 @@
         transport: network.createTransport({ address, port: CONTROL_PORT }),
         logger: createLogger("membership"),
         options: membershipOptionsSchema.parse({
-            seeds: zoneNames.map((name, other) => ({ zone: name, address: addressOf(other, 0), port: CONTROL_PORT })),
+            seeds: zoneNames.map((name, other) => ({ zone: name, address: formatAddress(other, 0), port: CONTROL_PORT })),
         }),
         piggyback: {
             heads: () => ["halloway", "kushiro"].map((partner) => ({ partner, sequence: 1, digest: "0".repeat(64) })),
@@ -95,7 +95,7 @@
     });
     const directory = createTargetDirectory({
         membership: asksContacts ? membership : { ...membership, probeZone: () => undefined },
-        fetchZone: fetchFor(() => membership),
+        fetchZone: createFetchZone(() => membership),
         zones: () => zoneNames,
         clock,
         random,
@@ -103,15 +103,15 @@
     });
     void membership.start(new AbortController().signal);
     directory.start(new AbortController().signal);
-    membership.setTarget(targetOf(zoneIndex + index, false));
+    membership.setTarget(createTarget(zoneIndex + index, false));
     return { zone, membership, directory };
 };
 
-const useServices = (): void => {
+const keepServicesInUse = (): void => {
     nodes.forEach(({ directory }) => {
         services.forEach((service) => directory.targetsOf(service));
     });
-    clock.after(MILLISECONDS_PER_SECOND, useServices);
+    clock.after(MILLISECONDS_PER_SECOND, keepServicesInUse);
 };
 
 const countDatagramBytes = (): number =>
@@ -119,7 +119,7 @@
         .flatMap(({ membership }) => Object.values(membership.stats().traffic))
         .reduce((sum, kind) => sum + kind.sentBytes + kind.sentDatagrams * DATAGRAM_HEADER_BYTES, 0);
 
-const measureRest = async (): Promise<object> => {
+const measureIdle = async (): Promise<object> => {
     const before = { ...traffic, datagramBytes: countDatagramBytes() };
     await clock.advance(REST_MS);
     const share = nodes.length * REST_MS / MILLISECONDS_PER_SECOND;
@@ -144,9 +144,9 @@
         directory.targetsOf(target).some(({ nodeId, leaving }) => nodeId === id && leaving);
     let half = WATCH_LIMIT_MS;
     for (let passed = 0; passed < WATCH_LIMIT_MS; passed += WATCH_STEP_MS) {
-        const known = others.filter(isKnown).length;
-        half = known * 2 >= others.length ? Math.min(half, passed) : half;
-        if (known === others.length) {
+        const knownCount = others.filter(isKnown).length;
+        half = knownCount * 2 >= others.length ? Math.min(half, passed) : half;
+        if (knownCount === others.length) {
             return { half, all: passed };
         }
         await clock.advance(WATCH_STEP_MS);
@@ -159,9 +159,9 @@
         nodes.push(startNode(zoneIndex, index));
     }
 });
-useServices();
+keepServicesInUse();
 await clock.advance(SETTLE_MS);
-const rest = await measureRest();
+const rest = await measureIdle();
 const leaving: { readonly half: number; readonly all: number }[] = [];
 for (let round = 0; round < LEAVING_ROUNDS; round++) {
     leaving.push(await measureLeaving(round));
--- a/packages/oleandergap-membership/src/memberRecord.ts
+++ b/packages/oleandergap-membership/src/memberRecord.ts
@@ -5,10 +5,10 @@
 import type { Member, MemberState } from "oleandergap-types";
 import { formatCanonicalJson } from "oleandergap-utils";
 
-const stateRanks: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, dead: 2, left: 3 };
+const statePrecedence: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
 /** The member receives no work and is not counted among the members. */
-export const isGone = (member: Pick<Member, "state">): boolean => member.state === "left" || member.state === "dead";
+export const isDeadOrLeft = (member: Pick<Member, "state">): boolean => member.state === "left" || member.state === "dead";
 
 /** Parts that only the member itself sets; its revision orders them within one incarnation. */
 const formatDescription = ({ state: _state, ...description }: Member): string => formatCanonicalJson(description);
@@ -30,11 +30,11 @@
  * dead, left) win independently: a suspicion and a change of the target may cross. Returns `held` itself when the
  * other record adds nothing.
  */
-export const mergeRecords = (held: Member, incoming: Member): Member => {
-    if (held.incarnation !== incoming.incarnation) {
-        return held.incarnation > incoming.incarnation ? held : incoming;
+export const mergeRecords = (existing: Member, incoming: Member): Member => {
+    if (existing.incarnation !== incoming.incarnation) {
+        return existing.incarnation > incoming.incarnation ? existing : incoming;
     }
-    const description = isLaterDescription(incoming, held) ? incoming : held;
-    const state = stateRanks[incoming.state] > stateRanks[held.state] ? incoming.state : held.state;
+    const description = isLaterDescription(incoming, existing) ? incoming : existing;
+    const state = statePrecedence[incoming.state] > statePrecedence[existing.state] ? incoming.state : existing.state;
     return description.state === state ? description : { ...description, state };
 };
--- a/packages/oleandergap-membership/src/memberRound.ts
+++ b/packages/oleandergap-membership/src/memberRound.ts
@@ -1,7 +1,7 @@
 /** Hands out the other members in turn, in an order that is shuffled anew each round. */
 import type { Member, NodeId } from "oleandergap-types";
 import { pickSeveral, type Random } from "oleandergap-utils";
-import { isGone } from "./memberRecord.js";
+import { isDeadOrLeft } from "./memberRecord.js";
 import type { MemberTable } from "./memberTable.js";
 
 export interface MemberRound {
@@ -10,16 +10,16 @@
 }
 
 /** All members but the one named; the candidates of probes, pushes and comparisons. */
-export const listOthers = (table: MemberTable, selfId: NodeId): readonly Member[] =>
-    table.present().filter((member) => member.id !== selfId);
+export const listOtherMembers = (table: MemberTable, selfId: NodeId): readonly Member[] =>
+    table.listActive().filter((member) => member.id !== selfId);
 
 export const createMemberRound = (table: MemberTable, selfId: NodeId, random: Random): MemberRound => {
-    let order: NodeId[] = [];
+    let shuffledIds: NodeId[] = [];
 
-    const takeFromOrder = (): Member | undefined => {
-        for (let id = order.pop(); id !== undefined; id = order.pop()) {
+    const takeNextActiveMember = (): Member | undefined => {
+        for (let id = shuffledIds.pop(); id !== undefined; id = shuffledIds.pop()) {
             const member = table.get(id);
-            if (member !== undefined && !isGone(member)) {
+            if (member !== undefined && !isDeadOrLeft(member)) {
                 return member;
             }
         }
@@ -28,13 +28,13 @@
 
     return {
         next: () => {
-            const member = takeFromOrder();
+            const member = takeNextActiveMember();
             if (member !== undefined) {
                 return member;
             }
-            const ids = listOthers(table, selfId).map((other) => other.id);
-            order = [...pickSeveral(random, ids, ids.length)];
-            return takeFromOrder();
+            const ids = listOtherMembers(table, selfId).map((other) => other.id);
+            shuffledIds = [...pickSeveral(random, ids, ids.length)];
+            return takeNextActiveMember();
         },
     };
 };
--- a/packages/oleandergap-membership/src/memberUpdates.ts
+++ b/packages/oleandergap-membership/src/memberUpdates.ts
@@ -1,7 +1,7 @@
 /** Applies what this node hears of members: merges, suspects, refutes, and queues what others should hear. */
 import type { Member, NodeId } from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
-import { isGone, mergeRecords } from "./memberRecord.js";
+import { isDeadOrLeft, mergeRecords } from "./memberRecord.js";
 import type { MemberTable } from "./memberTable.js";
 import { MAX_INCARNATION } from "./recordCodec.js";
 import type { Statistics } from "./statistics.js";
@@ -51,20 +51,20 @@
  * vanish for seconds. News of a death comes with a suspicion period of its own, and whole-state exchanges, which carry
  * old claims by the hundred, change nothing before the member had the chance to refute.
  */
-const weakenDeath = (held: Member, record: Member, source: RecordSource): Member => {
-    if (record.state !== "dead" || isGone(held)) {
+const downgradeDeathClaim = (stored: Member, record: Member, source: RecordSource): Member => {
+    if (record.state !== "dead" || isDeadOrLeft(stored)) {
         return record;
     }
     if (source === "Sync") {
-        return { ...record, state: held.state };
+        return { ...record, state: stored.state };
     }
-    return held.state === "suspect" ? record : { ...record, state: "suspect" };
+    return stored.state === "suspect" ? record : { ...record, state: "suspect" };
 };
 
 export const createMemberUpdates = (dependencies: MemberUpdatesDependencies): MemberUpdates => {
     const { selfId, table, queue, suspicions, statistics, logger } = dependencies;
 
-    const readSelf = (): Member => {
+    const getSelf = (): Member => {
         const self = table.get(selfId);
         if (self === undefined) {
             throw new Error("The member table lost this node's own record");
@@ -72,7 +72,7 @@
         return self;
     };
 
-    const followSuspicion = (previous: Member | undefined, next: Member): void => {
+    const updateSuspicion = (previous: Member | undefined, next: Member): void => {
         if (next.state === "suspect") {
             if (previous?.state !== "suspect" || previous.incarnation !== next.incarnation) {
                 suspicions.end(next.id);
@@ -84,21 +84,21 @@
         }
     };
 
-    const store = (previous: Member | undefined, next: Member, isNews: boolean): void => {
+    const store = (previous: Member | undefined, next: Member, shouldGossip: boolean): void => {
         table.put(next);
-        if (isNews) {
+        if (shouldGossip) {
             queue.add(next);
         }
-        followSuspicion(previous, next);
+        updateSuspicion(previous, next);
     };
 
     const changeSelf: MemberUpdates["changeSelf"] = (change) => {
-        store(readSelf(), change(readSelf()), true);
+        store(getSelf(), change(getSelf()), true);
     };
 
     /** Makes sure that this node's incarnation is above `incarnation`. */
-    const riseAbove = (incarnation: number): void => {
-        const self = readSelf();
+    const raiseIncarnationAbove = (incarnation: number): void => {
+        const self = getSelf();
         if (self.incarnation > incarnation || self.state === "left" || incarnation >= MAX_INCARNATION) {
             return;
         }
@@ -107,7 +107,7 @@
     };
 
     const applyToSelf = (record: Member): ApplyOutcome => {
-        const self = readSelf();
+        const self = getSelf();
         const isWrong = record.incarnation > self.incarnation ||
             record.incarnation === self.incarnation && mergeRecords(self, record) !== self;
         if (!isWrong || self.state === "left") {
@@ -116,22 +116,22 @@
         if (!haveSameEndpoint(self, record)) {
             logger.warn("another process uses this node's id", { address: record.address, port: record.controlPort });
         }
-        riseAbove(record.incarnation);
+        raiseIncarnationAbove(record.incarnation);
         return "Refuted";
     };
 
     /** Of several members at one endpoint, only the one with the highest incarnation can still be there. */
-    const settleEndpoint = (newcomer: Member): void => {
-        for (const other of [...table.present()]) {
-            if (other.id === newcomer.id || !haveSameEndpoint(other, newcomer)) {
+    const resolveEndpointConflict = (newMember: Member): void => {
+        for (const other of [...table.listActive()]) {
+            if (other.id === newMember.id || !haveSameEndpoint(other, newMember)) {
                 continue;
             }
             if (other.id === selfId) {
-                riseAbove(newcomer.incarnation);
+                raiseIncarnationAbove(newMember.incarnation);
             }
-            const isOtherLater = other.id === selfId || other.incarnation > newcomer.incarnation;
-            const loser = isOtherLater ? newcomer : other;
-            store(loser, { ...loser, state: "dead" }, true);
+            const isOtherLater = other.id === selfId || other.incarnation > newMember.incarnation;
+            const superseded = isOtherLater ? newMember : other;
+            store(superseded, { ...superseded, state: "dead" }, true);
         }
     };
 
@@ -139,42 +139,42 @@
         if (record.id === selfId) {
             return applyToSelf(record);
         }
-        const held = table.get(record.id);
-        const accepted = held === undefined ? record : mergeRecords(held, weakenDeath(held, record, source));
-        const isContested = held !== undefined && !isGone(accepted) && record.state === "dead" &&
+        const stored = table.get(record.id);
+        const accepted = stored === undefined ? record : mergeRecords(stored, downgradeDeathClaim(stored, record, source));
+        const isContested = stored !== undefined && !isDeadOrLeft(accepted) && record.state === "dead" &&
             record.incarnation >= accepted.incarnation;
-        if (accepted !== held) {
+        if (accepted !== stored) {
             // What a joiner learns from a whole state is news to nobody else; passing it on would cost megabytes.
-            store(held, accepted, source === "Gossip");
-            const isNewcomer = held === undefined || isGone(held) || !haveSameEndpoint(held, accepted);
-            if (isNewcomer && !isGone(accepted)) {
-                settleEndpoint(accepted);
+            store(stored, accepted, source === "Gossip");
+            const isNewMember = stored === undefined || isDeadOrLeft(stored) || !haveSameEndpoint(stored, accepted);
+            if (isNewMember && !isDeadOrLeft(accepted)) {
+                resolveEndpointConflict(accepted);
             }
         }
         if (isContested) {
             return "Contested";
         }
-        return accepted === held ? "Unchanged" : "Changed";
+        return accepted === stored ? "Unchanged" : "Changed";
     };
 
     const suspect = (member: Member): void => {
-        const held = table.get(member.id);
-        if (held === undefined || isGone(held) || held.incarnation !== member.incarnation) {
+        const stored = table.get(member.id);
+        if (stored === undefined || isDeadOrLeft(stored) || stored.incarnation !== member.incarnation) {
             return;
         }
-        if (held.state === "alive") {
+        if (stored.state === "alive") {
             statistics.countEvent("suspicionStarted");
-            store(held, { ...held, state: "suspect" }, true);
+            store(stored, { ...stored, state: "suspect" }, true);
         }
         suspicions.start(member.id, false);
     };
 
     const declareDead = (id: NodeId): void => {
-        const held = table.get(id);
-        if (held?.state === "suspect") {
+        const stored = table.get(id);
+        if (stored?.state === "suspect") {
             statistics.countEvent("declaredDead");
-            logger.info("member declared dead", { id, address: held.address });
-            store(held, { ...held, state: "dead" }, true);
+            logger.info("member declared dead", { id, address: stored.address });
+            store(stored, { ...stored, state: "dead" }, true);
         }
     };
 
--- a/packages/oleandergap-membership/src/membership.ts
+++ b/packages/oleandergap-membership/src/membership.ts
@@ -4,17 +4,17 @@
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Milliseconds } from "oleandergap-types";
-import { listOthers } from "./memberRound.js";
+import { listOtherMembers } from "./memberRound.js";
 import { createMembershipParts, type MembershipParts } from "./membershipParts.js";
 import type { Membership, MembershipDependencies, PushMessage } from "./membershipTypes.js";
-import { endpointOf } from "./prober.js";
+import { getControlEndpoint } from "./prober.js";
 import { createTicker } from "./ticker.js";
 import type { Endpoint, ReceiveDatagram } from "./transport.js";
 
 /** Resolution of all timeouts. */
 const TICK_MS: Milliseconds = 100;
 /** After a pause of this share of the tombstones' life, this node's records may be older than any tombstone. */
-const STALE_PAUSE_SHARE = 0.5;
+const STALE_PAUSE_FRACTION = 0.5;
 /** Added to the health score by a pause. */
 const PAUSE_HEALTH_PENALTY = 2;
 
@@ -45,13 +45,13 @@
     parts.statistics.countEvent("paused");
     logger.warn("this process was paused; it judges nobody by the time that passed", { durationMs: duration });
     parts.health.adjust(PAUSE_HEALTH_PENALTY);
-    parts.prober.drop();
+    parts.prober.cancelProbes();
     parts.suspicions.restartAll();
-    if (duration > options.tombstoneMs * STALE_PAUSE_SHARE) {
+    if (duration > options.tombstoneMs * STALE_PAUSE_FRACTION) {
         // Others may have forgotten members that died meanwhile; telling them of those would bring them back.
         logger.warn("forgetting all members after a long pause", { at: clock.now() });
-        parts.rejoiner.addCandidates(listOthers(parts.table, self.id).map(endpointOf));
-        parts.table.forgetOthers();
+        parts.rejoiner.addCandidates(listOtherMembers(parts.table, self.id).map(getControlEndpoint));
+        parts.table.removeOthers();
         parts.queue.clear();
         parts.suspicions.clear();
     }
@@ -62,7 +62,7 @@
     for (const id of due.checks) {
         const suspect = table.get(id);
         if (suspect !== undefined) {
-            prober.check(suspect);
+            prober.probeSuspect(suspect);
         }
     }
     due.expired.forEach(updates.declareDead);
@@ -75,13 +75,13 @@
     parts.synchronizer.poll();
     parts.rejoiner.poll(signal);
     parts.contacts.poll(signal);
-    parts.roster?.poll((entries) => parts.rejoiner.addCandidates(entries.map(endpointOf)), signal);
-    parts.table.dropOldTombstones();
+    parts.roster?.poll((entries) => parts.rejoiner.addCandidates(entries.map(getControlEndpoint)), signal);
+    parts.table.removeExpiredTombstones();
 };
 
 const startTicking = (parts: MembershipParts, dependencies: MembershipDependencies, signal: AbortSignal): void => {
     const { clock, logger, options } = dependencies;
-    const guard = (action: () => void): void => {
+    const runGuarded = (action: () => void): void => {
         try {
             action();
         }
@@ -95,12 +95,12 @@
         tickMs: TICK_MS,
         pauseBoundMs: options.pauseBoundMs,
         onTick: () => {
-            guard(() => {
+            runGuarded(() => {
                 runTick(parts, signal);
             });
         },
         onPause: (duration) => {
-            guard(() => {
+            runGuarded(() => {
                 recoverFromPause(parts, dependencies, duration);
             });
         },
@@ -155,7 +155,7 @@
 
     return {
         start: (signal) => start(parts, dependencies, signal),
-        members: table.present,
+        members: table.listActive,
         member: table.get,
         self: parts.self,
         setTarget: (target) => {
@@ -172,11 +172,11 @@
             push({ address, port }, message);
         },
         sendTo: (member, message) => {
-            push(endpointOf(member), message);
+            push(getControlEndpoint(member), message);
         },
         join: parts.rejoiner.addCandidates,
         contactsOf: contacts.contactsOf,
-        reportSilent: contacts.reportSilent,
+        reportSilent: contacts.markUnresponsive,
         addZones: contacts.addZones,
         probeZone: contacts.probeZone,
         subscribeZoneDigests: parts.zoneDigests.subscribe,
--- a/packages/oleandergap-membership/src/membershipParts.ts
+++ b/packages/oleandergap-membership/src/membershipParts.ts
@@ -16,7 +16,7 @@
 import { createRejoiner, type Rejoiner } from "./rejoiner.js";
 import { createRosterKeeper, type RosterKeeper } from "./roster.js";
 import { createStatistics, type Statistics } from "./statistics.js";
-import { CHECK_ROUNDS, createSuspicions, type Suspicions } from "./suspicions.js";
+import { SUSPECT_CHECKS, createSuspicions, type Suspicions } from "./suspicions.js";
 import { createSynchronizer, type Synchronizer } from "./synchronizer.js";
 import { createUpdateQueue, type UpdateQueue } from "./updateQueue.js";
 import { createZoneDigests, type ZoneDigests } from "./zoneDigests.js";
@@ -26,7 +26,7 @@
 /** Datagrams that whole-state exchanges may send at once; enough for the whole state of a large zone. */
 const SYNC_BURST_DATAGRAMS = 64;
 /** The suspicion period does not shrink any further in zones smaller than this. */
-const SMALLEST_ZONE = 10;
+const MIN_ZONE_SIZE = 10;
 
 /** State that the parts share. */
 interface SharedState {
@@ -58,36 +58,36 @@
  * Time from the start of a suspicion to the declaration of death. It grows with the logarithm of the zone's size, as
  * the time does that a suspicion and its refutation need to reach everybody.
  */
-export const computeSuspicionWindow = (
+export const computeSuspicionTimeout = (
     options: MembershipDependencies["options"],
     zoneSize: number,
     healthMultiplier: number,
 ): Milliseconds => {
-    const byZone = options.suspicionMultiplier * Math.log10(Math.max(SMALLEST_ZONE, zoneSize)) * options.probePeriodMs;
-    const checks = (CHECK_ROUNDS + 1) * options.ackTimeoutMs;
-    return Math.max(byZone, checks) * healthMultiplier;
+    const timeoutByZoneSize = options.suspicionMultiplier * Math.log10(Math.max(MIN_ZONE_SIZE, zoneSize)) * options.probePeriodMs;
+    const timeNeededForChecks = (SUSPECT_CHECKS + 1) * options.ackTimeoutMs;
+    return Math.max(timeoutByZoneSize, timeNeededForChecks) * healthMultiplier;
 };
 
 const createSharedState = (dependencies: MembershipDependencies): SharedState => {
     const { self: description, clock, random, transport, logger, options, piggyback } = dependencies;
-    const firstSelf: Member = {
+    const initialSelf: Member = {
         ...description,
         // The wall clock puts a restarted process above its former self without any memory of it.
         incarnation: Math.floor(clock.now()),
         state: "alive",
         revision: 0,
     };
-    const table = createMemberTable({ self: firstSelf, clock, tombstoneMs: options.tombstoneMs });
-    const self = (): Member => table.get(description.id) ?? firstSelf;
-    const zoneSize = (): number => table.present().length;
+    const table = createMemberTable({ self: initialSelf, clock, tombstoneMs: options.tombstoneMs });
+    const self = (): Member => table.get(description.id) ?? initialSelf;
+    const zoneSize = (): number => table.listActive().length;
     const queue = createUpdateQueue(zoneSize);
     const health = createLocalHealth(options.maxHealthScore);
     const statistics = createStatistics();
     const suspicions = createSuspicions({
         clock,
         random,
-        window: () => computeSuspicionWindow(options, zoneSize(), health.multiplier()),
-        checkSpacing: () => options.ackTimeoutMs,
+        suspicionTimeout: () => computeSuspicionTimeout(options, zoneSize(), health.multiplier()),
+        checkInterval: () => options.ackTimeoutMs,
     });
     const heads = createHeadExchange(piggyback);
     const zoneDigests = createZoneDigests(dependencies.targetsDigest ?? (() => undefined));
@@ -99,7 +99,7 @@
         bytesPerSecond: options.gossipBytesPerSecond,
         burstBytes: GOSSIP_BURST_DATAGRAMS * MAX_DATAGRAM_BYTES,
     });
-    queue.add(firstSelf);
+    queue.add(initialSelf);
     return {
         self,
         table,
@@ -148,7 +148,7 @@
     const gossiper = createGossiper({ ...common, budget: shared.gossipBudget });
     const roster = createRoster(dependencies, shared);
     const sources = createContactSources({ ...common, roster, fetchContacts: dependencies.fetchContacts });
-    const contacts = createContactBook({ ...common, ownZone: zone, sources });
+    const contacts = createContactBook({ ...common, localZone: zone, sources });
     const rejoiner = createRejoiner({ ...common, self: dependencies.self, zone, prober, synchronizer, roster });
     const handleDatagram = createDatagramHandler({
         ...shared,
--- a/packages/oleandergap-membership/src/messages.ts
+++ b/packages/oleandergap-membership/src/messages.ts
@@ -24,9 +24,9 @@
     /** The digests of all buckets of member records. */
     | { readonly kind: "SyncBuckets"; readonly digests: readonly number[] }
     /** Carries records of buckets that differ, and names the buckets that the sender wants in return. */
-    | { readonly kind: "SyncRecords"; readonly wanted: readonly number[] }
+    | { readonly kind: "SyncRecords"; readonly requestedBuckets: readonly number[] }
     /** Asks a node of another availability zone for a `ContactReply`; `wanted` asks for more contacts. */
-    | { readonly kind: "ContactProbe"; readonly sequence: number; readonly wanted: boolean }
+    | { readonly kind: "ContactProbe"; readonly sequence: number; readonly needsContacts: boolean }
     /**
      * Answers a `ContactProbe`; its records are members of the sender's availability zone. The digest is that of the
      * zone's targets, absent while the sender cannot vouch for it.
--- a/packages/oleandergap-membership/src/messenger.ts
+++ b/packages/oleandergap-membership/src/messenger.ts
@@ -1,7 +1,7 @@
 /** Sends messages: fills datagrams with the records and heads that should ride along, and counts what is sent. */
 import type { Head, Member } from "oleandergap-types";
 import type { ByteBudget } from "./byteBudget.js";
-import type { DatagramCodec, OpenDatagram } from "./datagramCodec.js";
+import type { DatagramCodec, DatagramBuilder } from "./datagramCodec.js";
 import type { HeadExchange } from "./headExchange.js";
 import type { MessageBody, MessageKind } from "./messages.js";
 import type { Statistics } from "./statistics.js";
@@ -9,7 +9,7 @@
 import type { UpdateQueue } from "./updateQueue.js";
 
 /** What a datagram carries besides its message. */
-export interface Cargo {
+export interface PiggybackedData {
     /** Records that must go along, ahead of queued updates. */
     readonly records?: readonly Member[];
     readonly heads?: readonly Head[];
@@ -25,7 +25,7 @@
 
 export interface Messenger {
     /** Returns the bytes sent. */
-    readonly send: (to: Endpoint, body: MessageBody, cargo?: Cargo) => number;
+    readonly send: (to: Endpoint, body: MessageBody, piggybacked?: PiggybackedData) => number;
     /** Sends as many datagrams as the records need, at least one, while the budget lasts. */
     readonly sendRecords: (to: Endpoint, bundle: RecordBundle, budget: ByteBudget) => void;
 }
@@ -45,26 +45,26 @@
 export const createMessenger = (dependencies: MessengerDependencies): Messenger => {
     const { transport, codec, self, queue, heads, statistics } = dependencies;
 
-    const open = (body: MessageBody, cargo: Cargo): OpenDatagram => {
+    const open = (body: MessageBody, piggybacked: PiggybackedData): DatagramBuilder => {
         const { zone, id, incarnation } = self();
         const envelope = { zone, id, incarnation, headsHash: heads.hash(), body };
-        return codec.open(cargo.heads === undefined ? envelope : { ...envelope, heads: cargo.heads });
+        return codec.open(piggybacked.heads === undefined ? envelope : { ...envelope, heads: piggybacked.heads });
     };
 
-    const transmit = (to: Endpoint, kind: MessageKind, datagram: OpenDatagram): number => {
+    const transmit = (to: Endpoint, kind: MessageKind, datagram: DatagramBuilder): number => {
         const payload = datagram.finish();
         statistics.countSent(kind, payload.length);
         transport.send(to, payload);
         return payload.length;
     };
 
-    const send = (to: Endpoint, body: MessageBody, cargo: Cargo = {}): number => {
-        const datagram = open(body, cargo);
-        for (const record of cargo.records ?? []) {
-            datagram.tryAdd(record);
+    const send = (to: Endpoint, body: MessageBody, piggybacked: PiggybackedData = {}): number => {
+        const datagram = open(body, piggybacked);
+        for (const record of piggybacked.records ?? []) {
+            datagram.tryAddRecord(record);
         }
         if (gossipKinds.has(body.kind)) {
-            queue.take(datagram.room()).forEach(datagram.tryAdd);
+            queue.take(datagram.remainingBytes()).forEach(datagram.tryAddRecord);
         }
         return transmit(to, body.kind, datagram);
     };
@@ -73,13 +73,13 @@
         let body = first;
         let remaining = records;
         do {
-            if (!budget.isOpen()) {
+            if (!budget.canSpend()) {
                 statistics.countDropped("OverBudget");
                 return;
             }
             const datagram = open(body, {});
-            const firstLeft = remaining.findIndex((record) => !datagram.tryAdd(record));
-            remaining = firstLeft < 0 ? [] : remaining.slice(firstLeft);
+            const firstUnsentIndex = remaining.findIndex((record) => !datagram.tryAddRecord(record));
+            remaining = firstUnsentIndex < 0 ? [] : remaining.slice(firstUnsentIndex);
             budget.spend(transmit(to, body.kind, datagram));
             body = next;
         } while (remaining.length > 0);
--- a/packages/oleandergap-membership/src/neighbours.ts
+++ b/packages/oleandergap-membership/src/neighbours.ts
@@ -8,33 +8,33 @@
 import { isIPv4 } from "node:net";
 import type { Endpoint } from "./transport.js";
 
-const BITS_PER_PART = 8;
-const PARTS = 4;
-const PART_MASK = 0xff;
+const BITS_PER_OCTET = 8;
+const OCTETS = 4;
+const OCTET_MASK = 0xff;
 
 /** Where a node can be asked. */
-interface OwnPlace {
+interface LocalEndpoint {
     readonly address: string;
     readonly controlPort: number;
 }
 
 const toNumber = (address: string): number =>
-    address.split(".").reduce((number, part) => number * (PART_MASK + 1) + Number(part), 0);
+    address.split(".").reduce((number, part) => number * (OCTET_MASK + 1) + Number(part), 0);
 
-const toAddress = (number: number): string => Array.from({ length: PARTS }, (_, index) =>
-    Math.floor(number / 2 ** (BITS_PER_PART * (PARTS - 1 - index))) & PART_MASK).join(".");
+const toAddress = (number: number): string => Array.from({ length: OCTETS }, (_, index) =>
+    Math.floor(number / 2 ** (BITS_PER_OCTET * (OCTETS - 1 - index))) & OCTET_MASK).join(".");
 
 /** Up to `span` addresses on each side that differ from the own one in the last part only; none for IPv6. */
-export const listNeighbours = ({ address, controlPort }: OwnPlace, span: number): readonly Endpoint[] => {
+export const listNeighbours = ({ address, controlPort }: LocalEndpoint, span: number): readonly Endpoint[] => {
     if (span === 0 || !isIPv4(address)) {
         return [];
     }
-    const own = toNumber(address);
-    const first = own - (own & PART_MASK);
+    const localNumber = toNumber(address);
+    const first = localNumber - (localNumber & OCTET_MASK);
     const endpoints: Endpoint[] = [];
-    for (let number = own - span; number <= own + span; number++) {
-        const isInRow = number > first && number < first + PART_MASK;
-        if (number !== own && isInRow) {
+    for (let number = localNumber - span; number <= localNumber + span; number++) {
+        const isInSameBlock = number > first && number < first + OCTET_MASK;
+        if (number !== localNumber && isInSameBlock) {
             endpoints.push({ address: toAddress(number), port: controlPort });
         }
     }
--- a/packages/oleandergap-membership/src/ownTargets.ts
+++ b/packages/oleandergap-membership/src/ownTargets.ts
@@ -10,7 +10,7 @@
     type ZoneTargetsRequest,
 } from "./targetDirectoryTypes.js";
 
-export interface OwnTargets {
+export interface LocalTargets {
     readonly targetsOf: (service: ServiceReference) => readonly TargetMember[];
     readonly answer: (request: ZoneTargetsRequest) => ZoneTargetsAnswer;
     /** Digest over all targets. */
@@ -59,7 +59,7 @@
     return `${hashText(text).toString(36)}-${hashText(`${text} `).toString(36)}`;
 };
 
-const isSameTarget = (left: TargetMember, right: TargetMember | undefined): boolean =>
+const isEqualTarget = (left: TargetMember, right: TargetMember | undefined): boolean =>
     left.nodeId === right?.nodeId
     && left.zone === right.zone
     && left.address === right.address
@@ -68,21 +68,21 @@
     && left.leaving === right.leaving
     && left.since === right.since;
 
-const isSameGroup = ({ targets }: ServiceTargets, former: ServiceTargets): boolean =>
+const isEqualGroup = ({ targets }: ServiceTargets, former: ServiceTargets): boolean =>
     targets.length === former.targets.length
-    && targets.every((target, index) => isSameTarget(target, former.targets[index]));
+    && targets.every((target, index) => isEqualTarget(target, former.targets[index]));
 
 /** Puts the former groups in place of equal ones, so that a change of one service leaves the others' arrays as is. */
-const keepEqualGroups = (
+const reuseEqualGroups = (
     groups: ReadonlyMap<string, ServiceTargets>,
     former: ReadonlyMap<string, ServiceTargets>,
 ): ReadonlyMap<string, ServiceTargets> =>
     new Map([...groups].map(([key, group]) => {
         const formerGroup = former.get(key);
-        return [key, formerGroup !== undefined && isSameGroup(group, formerGroup) ? formerGroup : group];
+        return [key, formerGroup !== undefined && isEqualGroup(group, formerGroup) ? formerGroup : group];
     }));
 
-const EMPTY: ServiceTargets = { targets: [], digest: "none" };
+const NO_SERVICE_TARGETS: ServiceTargets = { targets: [], digest: "none" };
 
 /** What was derived from one list of members. */
 interface DerivedTargets {
@@ -91,28 +91,28 @@
     readonly zoneDigest: number;
 }
 
-const NOTHING_DERIVED: DerivedTargets = { members: [], groups: new Map(), zoneDigest: 0 };
+const NO_DERIVED_TARGETS: DerivedTargets = { members: [], groups: new Map(), zoneDigest: 0 };
 
 /** Relies on `members` giving the same array until a member changes. */
-export const createOwnTargets = (membership: Pick<Membership, "members">): OwnTargets => {
-    let derived = NOTHING_DERIVED;
+export const createLocalTargets = (membership: Pick<Membership, "members">): LocalTargets => {
+    let derived = NO_DERIVED_TARGETS;
 
     const derive = (): DerivedTargets => {
         const members = membership.members();
         if (derived.members !== members) {
-            const groups = keepEqualGroups(groupByService(members), derived.groups);
+            const groups = reuseEqualGroups(groupByService(members), derived.groups);
             derived = { members, groups, zoneDigest: digestZoneTargets(members) };
         }
         return derived;
     };
 
     const findGroup = (service: ServiceReference): ServiceTargets =>
-        derive().groups.get(formatServiceReference(service)) ?? EMPTY;
+        derive().groups.get(formatServiceReference(service)) ?? NO_SERVICE_TARGETS;
 
-    const answerService = (asked: ZoneTargetsRequest["services"][number]): ServiceAnswer => {
-        const group = findGroup(asked);
+    const answerService = (requested: ZoneTargetsRequest["services"][number]): ServiceAnswer => {
+        const group = findGroup(requested);
         group.digest ??= digestTargets(group.targets);
-        return group.digest === asked.knownDigest ?
+        return group.digest === requested.knownDigest ?
             { kind: "Unchanged" } :
             { kind: "Changed", digest: group.digest, targets: group.targets.slice(0, MAX_TARGETS_PER_SERVICE) };
     };
--- a/packages/oleandergap-membership/src/payloadGuard.ts
+++ b/packages/oleandergap-membership/src/payloadGuard.ts
@@ -76,17 +76,17 @@
 /** Whether `payload` is exactly one value made of the allowed types, with lengths that its bytes can hold. */
 export const isSafePayload = (payload: Uint8Array): boolean => {
     let offset = 0;
-    let missing = 1;
-    while (missing > 0 && offset < payload.length) {
+    let remainingValues = 1;
+    while (remainingValues > 0 && offset < payload.length) {
         const header = readHeader(payload, offset);
         if (header === undefined) {
             return false;
         }
         offset += header.size;
-        missing += header.elements - 1;
-        if (missing > payload.length - offset) {
+        remainingValues += header.elements - 1;
+        if (remainingValues > payload.length - offset) {
             return false;
         }
     }
-    return missing === 0 && offset === payload.length;
+    return remainingValues === 0 && offset === payload.length;
 };
--- a/packages/oleandergap-membership/src/prober.ts
+++ b/packages/oleandergap-membership/src/prober.ts
@@ -5,11 +5,11 @@
 import type { Clock, Member, Milliseconds, NodeId } from "oleandergap-types";
 import { pickIndex, pickSeveral, type Random } from "oleandergap-utils";
 import type { LocalHealth } from "./localHealth.js";
-import { createMemberRound, listOthers } from "./memberRound.js";
+import { createMemberRound, listOtherMembers } from "./memberRound.js";
 import type { MemberTable } from "./memberTable.js";
 import type { MemberUpdates } from "./memberUpdates.js";
 import type { MessageBody } from "./messages.js";
-import type { Cargo, Messenger } from "./messenger.js";
+import type { PiggybackedData, Messenger } from "./messenger.js";
 import type { MembershipOptions } from "./options.js";
 import { createRelays } from "./relays.js";
 import type { Statistics } from "./statistics.js";
@@ -21,7 +21,7 @@
 interface Probe {
     readonly sequence: number;
     readonly target: Member;
-    readonly askHelpersAt: Milliseconds;
+    readonly pingRequestAt: Milliseconds;
     readonly failsAt: Milliseconds;
     helpers: readonly Member[];
     nacks: number;
@@ -31,7 +31,7 @@
     /** Starts, continues or ends probes as the time demands. */
     readonly poll: () => void;
     /** Asks a suspect once more, directly and through others. */
-    readonly check: (suspect: Member) => void;
+    readonly probeSuspect: (suspect: Member) => void;
     /** Pings a member without judging it by the answer, and tells it what is said of it. */
     readonly ping: (target: Member) => void;
     readonly receiveAck: (sequence: number) => void;
@@ -39,7 +39,7 @@
     /** Pings on behalf of another member. */
     readonly relay: (request: Extract<MessageBody, { kind: "PingRequest" }>, requester: Endpoint) => void;
     /** Forgets what is under way without judging anyone. */
-    readonly drop: () => void;
+    readonly cancelProbes: () => void;
 }
 
 export interface ProberDependencies {
@@ -55,13 +55,13 @@
 }
 
 /** A member's control endpoint. */
-export const endpointOf = (member: Pick<Member, "address" | "controlPort">): Endpoint => ({
+export const getControlEndpoint = (member: Pick<Member, "address" | "controlPort">): Endpoint => ({
     address: member.address,
     port: member.controlPort,
 });
 
 /** A member that others doubt is told so with each ping, so that it can refute. */
-const createPingCargo = (target: Member): Cargo => target.state === "alive" ? {} : { records: [target] };
+const createPingPiggyback = (target: Member): PiggybackedData => target.state === "alive" ? {} : { records: [target] };
 
 /** The first probe starts after a random part of a period, so that nodes that start together spread out. */
 export const createProber = (dependencies: ProberDependencies): Prober => {
@@ -79,17 +79,17 @@
 
     const sendPing = (target: Member, pingSequence: number): void => {
         const body = { kind: "Ping", sequence: pingSequence, targetId: target.id } as const;
-        messenger.send(endpointOf(target), body, createPingCargo(target));
+        messenger.send(getControlEndpoint(target), body, createPingPiggyback(target));
     };
 
-    const askHelpers = (target: Member, requestSequence: number): readonly Member[] => {
-        const candidates = listOthers(table, selfId)
+    const sendPingRequests = (target: Member, requestSequence: number): readonly Member[] => {
+        const candidates = listOtherMembers(table, selfId)
             .filter((member) => member.id !== target.id && member.state === "alive");
         const helpers = pickSeveral(random, candidates, options.indirectProbes);
-        const question = { targetId: target.id, ...endpointOf(target) };
+        const pingRequestFields = { targetId: target.id, ...getControlEndpoint(target) };
         for (const helper of helpers) {
-            const body = { kind: "PingRequest", sequence: requestSequence, ...question } as const;
-            messenger.send(endpointOf(helper), body, createPingCargo(target));
+            const body = { kind: "PingRequest", sequence: requestSequence, ...pingRequestFields } as const;
+            messenger.send(getControlEndpoint(helper), body, createPingPiggyback(target));
         }
         return helpers;
     };
@@ -104,7 +104,7 @@
         probe = {
             sequence: nextSequence(),
             target,
-            askHelpersAt: now + Math.min(options.ackTimeoutMs * health.multiplier(), period / 2),
+            pingRequestAt: now + Math.min(options.ackTimeoutMs * health.multiplier(), period / 2),
             failsAt: now + period,
             helpers: [],
             nacks: 0,
@@ -129,13 +129,13 @@
             probe = undefined;
             failProbe(failed);
         }
-        else if (now >= probe.askHelpersAt && probe.helpers.length === 0) {
-            probe.helpers = askHelpers(probe.target, probe.sequence);
+        else if (now >= probe.pingRequestAt && probe.helpers.length === 0) {
+            probe.helpers = sendPingRequests(probe.target, probe.sequence);
         }
     };
 
     const receiveAck = (ackSequence: number): void => {
-        if (relays.passOn(ackSequence) || probe?.sequence !== ackSequence) {
+        if (relays.forwardAck(ackSequence) || probe?.sequence !== ackSequence) {
             return;
         }
         probe = undefined;
@@ -147,9 +147,9 @@
         const relaySequence = nextSequence();
         const { targetId, address, port } = request;
         relays.add(relaySequence, targetId, requester, request.sequence);
-        const held = table.get(targetId);
-        const cargo = held === undefined ? {} : createPingCargo(held);
-        messenger.send({ address, port }, { kind: "Ping", sequence: relaySequence, targetId }, cargo);
+        const stored = table.get(targetId);
+        const piggybacked = stored === undefined ? {} : createPingPiggyback(stored);
+        messenger.send({ address, port }, { kind: "Ping", sequence: relaySequence, targetId }, piggybacked);
     };
 
     return {
@@ -161,9 +161,9 @@
                 startProbe(now);
             }
         },
-        check: (suspect) => {
+        probeSuspect: (suspect) => {
             sendPing(suspect, nextSequence());
-            askHelpers(suspect, nextSequence());
+            sendPingRequests(suspect, nextSequence());
         },
         ping: (target) => {
             sendPing(target, nextSequence());
@@ -175,7 +175,7 @@
             }
         },
         relay,
-        drop: () => {
+        cancelProbes: () => {
             probe = undefined;
             relays.clear();
             nextProbeAt = clock.monotonic() + options.probePeriodMs;
--- a/packages/oleandergap-membership/src/recordCodec.ts
+++ b/packages/oleandergap-membership/src/recordCodec.ts
@@ -82,9 +82,9 @@
 
 /** The zone is left out: the datagram names it once for all its records. */
 export const encodeRecord = (member: Member): Uint8Array => {
-    const known = encodedRecords.get(member);
-    if (known !== undefined) {
-        return known;
+    const cached = encodedRecords.get(member);
+    if (cached !== undefined) {
+        return cached;
     }
     // The packer returns a view of its reused buffer, which the next call overwrites.
     const encoded = Uint8Array.from(packer.pack(toTuple(member)));
--- a/packages/oleandergap-membership/src/rejoiner.ts
+++ b/packages/oleandergap-membership/src/rejoiner.ts
@@ -1,10 +1,10 @@
 /** Finds the zone's other members: at the start, and again after this node or a part of the zone was cut off. */
 import type { Clock, Member, Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import { drawBackoff, pickOne, pickSeveral, type Random } from "oleandergap-utils";
-import { listOthers } from "./memberRound.js";
+import { listOtherMembers } from "./memberRound.js";
 import type { MemberTable } from "./memberTable.js";
 import type { MembershipOptions } from "./options.js";
-import { endpointOf, type Prober } from "./prober.js";
+import { getControlEndpoint, type Prober } from "./prober.js";
 import type { RosterKeeper } from "./roster.js";
 import type { Synchronizer } from "./synchronizer.js";
 import { listNeighbours } from "./neighbours.js";
@@ -19,9 +19,9 @@
 const ATTEMPTS_BEFORE_NEIGHBOURS = 2;
 const MAX_CANDIDATES = 256;
 /** Neighbours on each side that a node without seeds asks before anything else. */
-const NEAREST_SPAN = 2;
+const NEAREST_NEIGHBOUR_SPAN = 2;
 /** Time for their answers; several times what a datagram takes between VMs that start at the same moment. */
-const NEAREST_PATIENCE_MS: Milliseconds = 200;
+const NEAREST_TIMEOUT_MS: Milliseconds = 200;
 
 export interface Rejoiner {
     readonly poll: (signal: AbortSignal) => void;
@@ -44,7 +44,7 @@
 export const createRejoiner = (dependencies: RejoinerDependencies): Rejoiner => {
     const { self, zone, clock, random, options, table, prober, synchronizer, roster } = dependencies;
     const selfId: NodeId = self.id;
-    const selfKey = formatEndpoint(endpointOf(self));
+    const selfKey = formatEndpoint(getControlEndpoint(self));
     const candidates = new Map<string, Endpoint>();
     let attempts = 0;
     let nextJoinAt = clock.monotonic();
@@ -63,7 +63,7 @@
 
     const readRoster = (signal: AbortSignal): void => {
         roster?.read(zone, (entries) => {
-            addCandidates(entries.map(endpointOf));
+            addCandidates(entries.map(getControlEndpoint));
             nextJoinAt = Math.min(nextJoinAt, clock.monotonic());
         }, signal);
     };
@@ -72,22 +72,22 @@
      * Where VMs are numbered in a row, those beside this one nearly always belong to its zone and are there: asked
      * first, they spare the platform two reads a start (97 reads of it by 36 nodes, 15 with it; model in memory).
      */
-    const askNearest = (now: Milliseconds): void => {
+    const probeNearestNeighbours = (now: Milliseconds): void => {
         attempts += 1;
-        nextJoinAt = now + NEAREST_PATIENCE_MS;
-        listNeighbours(self, Math.min(NEAREST_SPAN, options.neighbourSpan)).forEach(synchronizer.compareWith);
+        nextJoinAt = now + NEAREST_TIMEOUT_MS;
+        listNeighbours(self, Math.min(NEAREST_NEIGHBOUR_SPAN, options.neighbourSpan)).forEach(synchronizer.compareWith);
     };
 
     const join = (now: Milliseconds, signal: AbortSignal): void => {
         if (attempts === 0 && candidates.size === 0 && options.neighbourSpan > 0) {
-            askNearest(now);
+            probeNearestNeighbours(now);
             return;
         }
         nextJoinAt = now + JOIN_RETRY_MS * random() + drawBackoff(random, attempts, JOIN_RETRY_MS, MAX_JOIN_RETRY_MS);
         attempts += 1;
-        const known = [...candidates.values(), ...table.gone().filter((member) => member.state === "dead").map(endpointOf)];
-        pickSeveral(random, known, JOIN_FANOUT).forEach(synchronizer.join);
-        if (attempts > ATTEMPTS_BEFORE_ROSTER || known.length === 0) {
+        const knownEndpoints = [...candidates.values(), ...table.listTombstones().filter((member) => member.state === "dead").map(getControlEndpoint)];
+        pickSeveral(random, knownEndpoints, JOIN_FANOUT).forEach(synchronizer.join);
+        if (attempts > ATTEMPTS_BEFORE_ROSTER || knownEndpoints.length === 0) {
             readRoster(signal);
         }
         if (attempts >= ATTEMPTS_BEFORE_NEIGHBOURS) {
@@ -101,9 +101,9 @@
      */
     const reconnect = (now: Milliseconds): void => {
         nextReconnectAt = now + options.reconnectPeriodMs * (0.5 + random());
-        const presentKeys = new Set(table.present().map((member) => formatEndpoint(endpointOf(member))));
-        const dead = table.gone().filter((member) =>
-            member.state === "dead" && !presentKeys.has(formatEndpoint(endpointOf(member))));
+        const presentKeys = new Set(table.listActive().map((member) => formatEndpoint(getControlEndpoint(member))));
+        const dead = table.listTombstones().filter((member) =>
+            member.state === "dead" && !presentKeys.has(formatEndpoint(getControlEndpoint(member))));
         const absent = [...candidates.entries()].filter(([key]) => !presentKeys.has(key));
         const choice = pickOne(random, [
             ...dead.map((member) => () => {
@@ -120,7 +120,7 @@
     return {
         poll: (signal) => {
             const now = clock.monotonic();
-            if (listOthers(table, selfId).length > 0) {
+            if (listOtherMembers(table, selfId).length > 0) {
                 if (attempts > 0) {
                     attempts = 0;
                     roster?.resetBackoff(zone);
--- a/packages/oleandergap-membership/src/relays.ts
+++ b/packages/oleandergap-membership/src/relays.ts
@@ -5,22 +5,22 @@
 import type { Endpoint } from "./transport.js";
 
 /** A relayed ping is forgotten after this many ack timeouts. */
-const FORGOTTEN_AFTER_TIMEOUTS = 4;
+const RELAY_LIFETIME_TIMEOUTS = 4;
 
-interface Relay {
+interface RelayedPing {
     readonly targetId: NodeId;
     readonly requester: Endpoint;
     readonly requesterSequence: number;
     readonly nackAt: Milliseconds;
-    readonly forgottenAt: Milliseconds;
-    nackSent: boolean;
+    readonly expiresAt: Milliseconds;
+    isNackSent: boolean;
 }
 
 export interface Relays {
     /** Remembers that the target's answer to the ping `sequence` is awaited by `requester`. */
     readonly add: (sequence: number, targetId: NodeId, requester: Endpoint, requesterSequence: number) => void;
     /** Passes an answer on. Returns whether it belonged to a relayed ping. */
-    readonly passOn: (sequence: number) => boolean;
+    readonly forwardAck: (sequence: number) => boolean;
     /** Tells requesters whose target stays silent that this node at least can be reached. */
     readonly poll: () => void;
     readonly clear: () => void;
@@ -35,16 +35,16 @@
 
 /** Bounded by the pings that others request within four ack timeouts. */
 export const createRelays = ({ clock, table, messenger, ackTimeoutMs }: RelayDependencies): Relays => {
-    const relays = new Map<number, Relay>();
+    const relays = new Map<number, RelayedPing>();
 
     const poll = (): void => {
         const now = clock.monotonic();
         for (const [sequence, relay] of relays) {
-            if (now >= relay.forgottenAt) {
+            if (now >= relay.expiresAt) {
                 relays.delete(sequence);
             }
-            else if (now >= relay.nackAt && !relay.nackSent) {
-                relay.nackSent = true;
+            else if (now >= relay.nackAt && !relay.isNackSent) {
+                relay.isNackSent = true;
                 messenger.send(relay.requester, { kind: "Nack", sequence: relay.requesterSequence });
             }
         }
@@ -58,11 +58,11 @@
                 requester,
                 requesterSequence,
                 nackAt: now + ackTimeoutMs,
-                forgottenAt: now + FORGOTTEN_AFTER_TIMEOUTS * ackTimeoutMs,
-                nackSent: false,
+                expiresAt: now + RELAY_LIFETIME_TIMEOUTS * ackTimeoutMs,
+                isNackSent: false,
             });
         },
-        passOn: (sequence) => {
+        forwardAck: (sequence) => {
             const relay = relays.get(sequence);
             if (relay === undefined) {
                 return false;
@@ -70,8 +70,8 @@
             relays.delete(sequence);
             // The requester may still hold the suspicion that the target refuted in its answer.
             const target = table.get(relay.targetId);
-            const cargo = target === undefined ? {} : { records: [target] };
-            messenger.send(relay.requester, { kind: "Ack", sequence: relay.requesterSequence }, cargo);
+            const piggybacked = target === undefined ? {} : { records: [target] };
+            messenger.send(relay.requester, { kind: "Ack", sequence: relay.requesterSequence }, piggybacked);
             return true;
         },
         poll,
--- a/packages/oleandergap-membership/src/remoteTargets.ts
+++ b/packages/oleandergap-membership/src/remoteTargets.ts
@@ -20,8 +20,8 @@
 import type { ZoneDigest } from "./zoneDigests.js";
 
 /** Shortest time between two fetches, so that contacts that disagree for a while do not cause a storm. */
-const FETCH_SPACING_MS: Milliseconds = 500;
-const SMALLEST_PERIOD_SHARE = 0.75;
+const MIN_FETCH_INTERVAL_MS: Milliseconds = 500;
+const MIN_PERIOD_FRACTION = 0.75;
 const NO_TARGETS: readonly TargetMember[] = [];
 
 interface RemoteService {
@@ -32,13 +32,13 @@
 }
 
 /** A contact was asked for the zone's digest. */
-interface Question {
+interface DigestProbe {
     readonly sequence: number;
-    readonly askedAt: Milliseconds;
+    readonly sentAt: Milliseconds;
 }
 
 /** What the lists held were last known to correspond to. */
-interface HeldDigest {
+interface FetchedDigest {
     readonly digest: number;
     readonly fetchedAt: Milliseconds;
 }
@@ -49,7 +49,7 @@
     /** Asks a contact or starts a fetch, if one is due. */
     readonly poll: (signal: AbortSignal) => void;
     /** Takes what a contact of the zone said of the zone's targets; late, doubled and crossed answers do no harm. */
-    readonly hearDigest: (heard: Pick<ZoneDigest, "sequence" | "digest">) => void;
+    readonly hearDigest: (received: Pick<ZoneDigest, "sequence" | "digest">) => void;
     readonly size: () => number;
 }
 
@@ -67,64 +67,64 @@
     readonly onSkipped: () => void;
 }
 
-const takeAnswer = (asked: readonly RemoteService[], answer: ZoneTargetsAnswer): void => {
-    asked.forEach((known, index) => {
+const applyAnswer = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer): void => {
+    requested.forEach((remoteService, index) => {
         const part = answer.services[index];
         if (part?.kind === "Changed") {
-            known.digest = part.digest;
-            known.targets = part.targets;
+            remoteService.digest = part.digest;
+            remoteService.targets = part.targets;
         }
     });
 };
 
 /** The answer's digest, if it speaks for every list that was asked for. */
-const readZoneDigest = (asked: readonly RemoteService[], answer: ZoneTargetsAnswer): number | undefined =>
-    answer.services.length === asked.length ? answer.zoneDigest : undefined;
+const selectZoneDigest = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer): number | undefined =>
+    answer.services.length === requested.length ? answer.zoneDigest : undefined;
 
 /** At most one fetch is under way at a time. */
 export const createRemoteTargets = (dependencies: RemoteTargetsDependencies): RemoteTargets => {
     const { zone, fetchZone, probeZone, clock, random, options, onFetched, onSkipped } = dependencies;
     const services = new Map<string, RemoteService>();
-    let nextTurnAt = clock.monotonic();
+    let nextRefreshAt = clock.monotonic();
     let lastFetchAt = Number.NEGATIVE_INFINITY;
     let isFetching = false;
     /** The lists may be out of date, whatever a contact confirms. */
-    let mustFetch = true;
-    let held: HeldDigest | undefined;
-    let question: Question | undefined;
+    let isFetchRequired = true;
+    let fetchedDigest: FetchedDigest | undefined;
+    let pendingProbe: DigestProbe | undefined;
 
     const drawPeriod = (): Milliseconds =>
-        options.refreshPeriodMs * (SMALLEST_PERIOD_SHARE + (1 - SMALLEST_PERIOD_SHARE) * random());
+        options.refreshPeriodMs * (MIN_PERIOD_FRACTION + (1 - MIN_PERIOD_FRACTION) * random());
 
     const requireFetch = (at: Milliseconds): void => {
-        mustFetch = true;
-        question = undefined;
-        nextTurnAt = Math.min(nextTurnAt, at);
+        isFetchRequired = true;
+        pendingProbe = undefined;
+        nextRefreshAt = Math.min(nextRefreshAt, at);
     };
 
-    const forgetUnused = (now: Milliseconds): void => {
-        for (const [key, known] of services) {
-            if (now - known.usedAt > options.forgetMs) {
+    const removeUnused = (now: Milliseconds): void => {
+        for (const [key, remoteService] of services) {
+            if (now - remoteService.usedAt > options.forgetMs) {
                 services.delete(key);
             }
         }
     };
 
-    const listInUse = (now: Milliseconds): readonly RemoteService[] =>
+    const listServicesInUse = (now: Milliseconds): readonly RemoteService[] =>
         [...services.values()]
-            .filter((known) => now - known.usedAt <= options.idleMs)
+            .filter((remoteService) => now - remoteService.usedAt <= options.idleMs)
             .slice(0, MAX_SERVICES_PER_REQUEST);
 
-    const takeFetched = (asked: readonly RemoteService[], answer: ZoneTargetsAnswer, startedAt: Milliseconds): void => {
-        takeAnswer(asked, answer);
-        const digest = readZoneDigest(asked, answer);
-        held = digest === undefined ? undefined : { digest, fetchedAt: startedAt };
+    const applyFetched = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer, startedAt: Milliseconds): void => {
+        applyAnswer(requested, answer);
+        const digest = selectZoneDigest(requested, answer);
+        fetchedDigest = digest === undefined ? undefined : { digest, fetchedAt: startedAt };
     };
 
-    const fetch = async (asked: readonly RemoteService[], signal: AbortSignal): Promise<void> => {
+    const fetch = async (requested: readonly RemoteService[], signal: AbortSignal): Promise<void> => {
         const request = {
             zone,
-            services: asked.map(({ service, digest }) =>
+            services: requested.map(({ service, digest }) =>
                 digest === undefined ? service : { ...service, knownDigest: digest }),
         };
         const startedAt = clock.monotonic();
@@ -132,13 +132,13 @@
         try {
             const answer = await fetchZone(zone, request, limit.signal)();
             if (either.isRight(answer)) {
-                takeFetched(asked, answer.right, startedAt);
+                applyFetched(requested, answer.right, startedAt);
             }
-            mustFetch ||= either.isLeft(answer);
+            isFetchRequired ||= either.isLeft(answer);
             onFetched(either.isRight(answer));
         }
         catch {
-            mustFetch = true;
+            isFetchRequired = true;
             onFetched(false);
         }
         finally {
@@ -148,24 +148,24 @@
     };
 
     const startFetch = (now: Milliseconds, signal: AbortSignal): void => {
-        nextTurnAt = now + drawPeriod();
-        question = undefined;
-        const asked = listInUse(now);
-        if (asked.length > 0) {
+        nextRefreshAt = now + drawPeriod();
+        pendingProbe = undefined;
+        const requested = listServicesInUse(now);
+        if (requested.length > 0) {
             isFetching = true;
             lastFetchAt = now;
             // Whatever asks for a fetch while this one is under way may concern what this one does not bring.
-            mustFetch = false;
-            void fetch(asked, signal);
+            isFetchRequired = false;
+            void fetch(requested, signal);
         }
     };
 
     /** Whether a contact's word would do, and one was asked for it. */
-    const askContact = (now: Milliseconds): boolean => {
-        const mayAsk = !mustFetch && held !== undefined && now - held.fetchedAt < options.fullRefreshMs;
-        const sequence = mayAsk && listInUse(now).length > 0 ? probeZone() : undefined;
-        question = sequence === undefined ? undefined : { sequence, askedAt: now };
-        return question !== undefined;
+    const tryProbeContact = (now: Milliseconds): boolean => {
+        const canProbe = !isFetchRequired && fetchedDigest !== undefined && now - fetchedDigest.fetchedAt < options.fullRefreshMs;
+        const sequence = canProbe && listServicesInUse(now).length > 0 ? probeZone() : undefined;
+        pendingProbe = sequence === undefined ? undefined : { sequence, sentAt: now };
+        return pendingProbe !== undefined;
     };
 
     const poll = (signal: AbortSignal): void => {
@@ -173,37 +173,37 @@
         if (isFetching) {
             return;
         }
-        if (question !== undefined) {
-            if (now - question.askedAt >= options.confirmTimeoutMs) {
+        if (pendingProbe !== undefined) {
+            if (now - pendingProbe.sentAt >= options.confirmTimeoutMs) {
                 startFetch(now, signal);
             }
             return;
         }
-        if (now >= nextTurnAt) {
-            forgetUnused(now);
-            if (!askContact(now)) {
+        if (now >= nextRefreshAt) {
+            removeUnused(now);
+            if (!tryProbeContact(now)) {
                 startFetch(now, signal);
             }
         }
     };
 
     const hearDigest: RemoteTargets["hearDigest"] = ({ sequence, digest }) => {
-        if (held !== undefined && digest !== held.digest) {
-            requireFetch(Math.max(clock.monotonic(), lastFetchAt + FETCH_SPACING_MS));
+        if (fetchedDigest !== undefined && digest !== fetchedDigest.digest) {
+            requireFetch(Math.max(clock.monotonic(), lastFetchAt + MIN_FETCH_INTERVAL_MS));
         }
         // Only the answer to the present question counts: an older one may have been sent before a change.
-        else if (held !== undefined && sequence === question?.sequence) {
+        else if (fetchedDigest !== undefined && sequence === pendingProbe?.sequence) {
             // The next question leaves time for a fetch in its place, should it stay without an answer.
-            nextTurnAt = question.askedAt + Math.max(0, drawPeriod() - options.confirmTimeoutMs);
-            question = undefined;
+            nextRefreshAt = pendingProbe.sentAt + Math.max(0, drawPeriod() - options.confirmTimeoutMs);
+            pendingProbe = undefined;
             onSkipped();
         }
     };
 
     const targetsOf: RemoteTargets["targetsOf"] = (service, key) => {
         const now = clock.monotonic();
-        const known = services.get(key);
-        if (known === undefined) {
+        const remoteService = services.get(key);
+        if (remoteService === undefined) {
             const { partner, service: name } = service;
             const added = { service: { partner, service: name }, usedAt: now, digest: undefined, targets: NO_TARGETS };
             services.set(key, added);
@@ -211,11 +211,11 @@
             return NO_TARGETS;
         }
         // The digest held stands for the lists in use only; this one was left out of the fetches meanwhile.
-        if (now - known.usedAt > options.idleMs) {
+        if (now - remoteService.usedAt > options.idleMs) {
             requireFetch(now);
         }
-        known.usedAt = now;
-        return known.targets;
+        remoteService.usedAt = now;
+        return remoteService.targets;
     };
 
     return { targetsOf, poll, hearDigest, size: () => services.size };
--- a/packages/oleandergap-membership/src/restoreCheck.ts
+++ b/packages/oleandergap-membership/src/restoreCheck.ts
@@ -7,16 +7,16 @@
 import type { Random } from "oleandergap-utils";
 
 /** Within this time the nodes that know of a restore look, one after the other, so that most find the object whole. */
-const SPREAD_MS: Milliseconds = 300;
+const CHECK_SPREAD_MS: Milliseconds = 300;
 /** Shortest wait after a look that failed; as much again is drawn. */
-const RETRY_MS: Milliseconds = 400;
+const MIN_RETRY_DELAY_MS: Milliseconds = 400;
 
 export interface RestoreCheck {
     readonly isDue: (now: Milliseconds) => boolean;
     /** The object is as it should be, according to an answer of this era. */
-    readonly noteWhole: (era: StoreEra | undefined) => void;
+    readonly markComplete: (era: StoreEra | undefined) => void;
     /** The look failed: if it was due to a restore, another one is due later. */
-    readonly putOff: (now: Milliseconds) => void;
+    readonly postpone: (now: Milliseconds) => void;
 }
 
 export interface RestoreCheckDependencies {
@@ -36,15 +36,15 @@
             if (era === checkedEra) {
                 return false;
             }
-            dueAt ??= now + SPREAD_MS * random();
+            dueAt ??= now + CHECK_SPREAD_MS * random();
             return now >= dueAt;
         },
-        noteWhole: (era) => {
+        markComplete: (era) => {
             checkedEra = era;
             dueAt = undefined;
         },
-        putOff: (now) => {
-            dueAt = dueAt === undefined ? undefined : now + RETRY_MS * (1 + random());
+        postpone: (now) => {
+            dueAt = dueAt === undefined ? undefined : now + MIN_RETRY_DELAY_MS * (1 + random());
         },
     };
 };
--- a/packages/oleandergap-membership/src/roster.ts
+++ b/packages/oleandergap-membership/src/roster.ts
@@ -27,7 +27,7 @@
 /** Members in a roster; few, so that it seldom changes and stays small in a large zone. */
 export const ROSTER_SIZE = 32;
 /** Members that write the roster. Two, so that it survives a writer that fails; both may write at once. */
-const WRITERS = 2;
+const WRITER_COUNT = 2;
 /** Without any change, a writer looks whether the roster is still right after this many periods. */
 const RECHECK_PERIODS = 20;
 const OBJECT_TIMEOUT_MS: Milliseconds = 5000;
@@ -97,13 +97,13 @@
 export const composeRoster = (
     zone: ZoneName,
     ranked: readonly Member[],
-    isKnownGone: (id: NodeId) => boolean,
+    hasLeft: (id: NodeId) => boolean,
     existing: Roster | undefined,
 ): Roster => {
-    const own = ranked.slice(0, ROSTER_SIZE).map(({ id, address, controlPort }) => ({ id, address, controlPort }));
-    const ownIds = new Set(own.map((entry) => entry.id));
-    const kept = (existing?.members ?? []).filter((entry) => !ownIds.has(entry.id) && !isKnownGone(entry.id));
-    return { zone, members: [...own, ...kept].slice(0, ROSTER_SIZE).sort(compareIds) };
+    const local = ranked.slice(0, ROSTER_SIZE).map(({ id, address, controlPort }) => ({ id, address, controlPort }));
+    const localIds = new Set(local.map((entry) => entry.id));
+    const retained = (existing?.members ?? []).filter((entry) => !localIds.has(entry.id) && !hasLeft(entry.id));
+    return { zone, members: [...local, ...retained].slice(0, ROSTER_SIZE).sort(compareIds) };
 };
 
 /** Calls to the object store run in the background; a failed one is counted and tried again later. */
@@ -122,7 +122,7 @@
         isDirty ||= member.state !== previous?.state || member.address !== previous.address;
     });
 
-    const callInTime = async <Result>(
+    const callWithTimeout = async <Result>(
         signal: AbortSignal,
         call: (signal: AbortSignal) => Promise<Result>,
     ): Promise<Result> => {
@@ -133,7 +133,7 @@
     };
 
     const load = async (rosterZone: ZoneName, signal: AbortSignal): Promise<Roster | undefined | "Failed"> => {
-        const body = await callInTime(signal, (inTime) =>
+        const body = await callWithTimeout(signal, (inTime) =>
             objectStore.get(formatRosterKey(rosterZone), inTime)());
         if (either.isLeft(body)) {
             statistics.countEvent("rosterFailed");
@@ -143,9 +143,9 @@
         return parseRoster(body.right);
     };
 
-    const noteFailed = (): void => {
+    const handleFailure = (): void => {
         isDirty = true;
-        restoreCheck.putOff(clock.monotonic());
+        restoreCheck.postpone(clock.monotonic());
     };
 
     const toContacts = ({ zone: rosterZone, members }: Roster): readonly Contact[] =>
@@ -158,7 +158,7 @@
     ): Promise<void> => {
         const existing = await load(zone, signal);
         if (existing === "Failed") {
-            noteFailed();
+            handleFailure();
             return;
         }
         // Taken before the roster is written: a restore in between may lose it again.
@@ -169,18 +169,18 @@
         const roster = composeRoster(zone, ranked, (id) => table.get(id)?.state === "left", existing);
         const text = formatCanonicalJson(roster);
         if (existing !== undefined && text === formatCanonicalJson(existing)) {
-            restoreCheck.noteWhole(era);
+            restoreCheck.markComplete(era);
             return;
         }
         const key = formatRosterKey(zone);
-        const written = await callInTime(signal, (inTime) => objectStore.put(key, Buffer.from(text), inTime)());
+        const written = await callWithTimeout(signal, (inTime) => objectStore.put(key, Buffer.from(text), inTime)());
         if (either.isLeft(written)) {
             statistics.countEvent("rosterFailed");
-            noteFailed();
+            handleFailure();
             return;
         }
         statistics.countEvent("rosterWritten");
-        restoreCheck.noteWhole(era);
+        restoreCheck.markComplete(era);
     };
 
     const poll: RosterKeeper["poll"] = (receive, signal) => {
@@ -193,10 +193,10 @@
         isDirty = false;
         nextWriteAt = now + periodMs * (1 + random() / 2);
         nextRecheckAt = now + periodMs * RECHECK_PERIODS * (1 + random());
-        const ranked = rankByRendezvous(formatRosterKey(zone), table.present(), (member) => member.id);
+        const ranked = rankByRendezvous(formatRosterKey(zone), table.listActive(), (member) => member.id);
         const rank = ranked.findIndex((member) => member.id === selfId);
         // Few nodes hear of a restore, by calls of their own; the writers by rank may make none for a long time.
-        if (rank < 0 || rank >= WRITERS && !isRestored) {
+        if (rank < 0 || rank >= WRITER_COUNT && !isRestored) {
             return;
         }
         isWriting = true;
--- a/packages/oleandergap-membership/src/sealedTransport.ts
+++ b/packages/oleandergap-membership/src/sealedTransport.ts
@@ -48,21 +48,21 @@
     let self: Endpoint | undefined;
 
     /** The payload, or undefined when none of the keys made its seal. */
-    const unseal = (sealed: Uint8Array, from: Endpoint): Uint8Array | undefined => {
+    const verifySeal = (sealed: Uint8Array, from: Endpoint): Uint8Array | undefined => {
         const payload = sealed.subarray(0, Math.max(0, sealed.length - SEAL_BYTES));
         const seal = sealed.subarray(payload.length);
         if (seal.length !== SEAL_BYTES) {
             return undefined;
         }
-        const isGenuine = readKeys().some(({ datagramKey }) =>
+        const isAuthentic = readKeys().some(({ datagramKey }) =>
             timingSafeEqual(seal, computeSeal(datagramKey, from, payload)));
-        return isGenuine ? payload : undefined;
+        return isAuthentic ? payload : undefined;
     };
 
     return {
         open: (receive, signal) => async () => {
             const opened = await transport.open((sealed, from) => {
-                const payload = unseal(sealed, from);
+                const payload = verifySeal(sealed, from);
                 if (payload === undefined) {
                     counts.rejected += 1;
                     return;
--- a/packages/oleandergap-membership/src/stateDigest.ts
+++ b/packages/oleandergap-membership/src/stateDigest.ts
@@ -5,7 +5,7 @@
 import type { Member } from "oleandergap-types";
 import { hashText } from "oleandergap-utils";
 import { BUCKET_COUNT } from "./bodyCodec.js";
-import { isGone } from "./memberRecord.js";
+import { isDeadOrLeft } from "./memberRecord.js";
 
 /** Equal for nodes that hold the same present members with equal incarnations and revisions. */
 export interface StateDigest {
@@ -17,7 +17,7 @@
 }
 
 /** The bucket of a member, equal on every node. */
-export const bucketOf = (id: string): number => hashText(id) % BUCKET_COUNT;
+export const getBucket = (id: string): number => hashText(id) % BUCKET_COUNT;
 
 /** Suspicions are left out: they come and go too often, and end by themselves. */
 const hashMember = (member: Member): number =>
@@ -27,10 +27,10 @@
     const buckets = new Uint32Array(BUCKET_COUNT);
 
     const toggle = (member: Member | undefined): void => {
-        if (member === undefined || isGone(member)) {
+        if (member === undefined || isDeadOrLeft(member)) {
             return;
         }
-        const bucket = bucketOf(member.id);
+        const bucket = getBucket(member.id);
         buckets[bucket] = (buckets[bucket] ?? 0) ^ hashMember(member);
     };
 
--- a/packages/oleandergap-membership/src/suspicions.ts
+++ b/packages/oleandergap-membership/src/suspicions.ts
@@ -8,14 +8,14 @@
 import type { Random } from "oleandergap-utils";
 
 /** Times that a suspect is asked before it is declared dead. */
-export const CHECK_ROUNDS = 5;
+export const SUSPECT_CHECKS = 5;
 /** A node that only heard of the suspicion waits longer than the one that saw the probe fail, by this factor. */
-const HEARSAY_FACTOR = 1.5;
+const REMOTE_SUSPICION_FACTOR = 1.5;
 /** Largest share that a random delay adds, so that not all nodes ask the suspect at once. */
-const JITTER_SHARE = 0.3;
+const JITTER_FRACTION = 0.3;
 
 interface Suspicion {
-    readonly hearsay: boolean;
+    readonly isRemote: boolean;
     deadline: Milliseconds;
     checksLeft: number;
 }
@@ -30,7 +30,7 @@
 /** Keeps times only; who is suspect stands in the member table. */
 export interface Suspicions {
     /** Keeps a running suspicion, but shortens its wait when this node now saw a probe fail itself. */
-    readonly start: (id: NodeId, hearsay: boolean) => void;
+    readonly start: (id: NodeId, isRemote: boolean) => void;
     readonly end: (id: NodeId) => boolean;
     /** Grants every suspect a whole new period. */
     readonly restartAll: () => void;
@@ -43,29 +43,29 @@
     readonly clock: Clock;
     readonly random: Random;
     /** Time from a failed probe to the declaration of death, at the present size of the zone. */
-    readonly window: () => Milliseconds;
+    readonly suspicionTimeout: () => Milliseconds;
     /** Time between two checks. */
-    readonly checkSpacing: () => Milliseconds;
+    readonly checkInterval: () => Milliseconds;
 }
 
 export const createSuspicions = (dependencies: SuspicionDependencies): Suspicions => {
-    const { clock, random, window, checkSpacing } = dependencies;
+    const { clock, random, suspicionTimeout, checkInterval } = dependencies;
     const suspicions = new Map<NodeId, Suspicion>();
 
-    const createSuspicion = (hearsay: boolean): Suspicion => {
-        const wait = window() * (hearsay ? HEARSAY_FACTOR : 1) * (1 + random() * JITTER_SHARE);
-        return { hearsay, deadline: clock.monotonic() + wait, checksLeft: CHECK_ROUNDS };
+    const createSuspicion = (isRemote: boolean): Suspicion => {
+        const timeout = suspicionTimeout() * (isRemote ? REMOTE_SUSPICION_FACTOR : 1) * (1 + random() * JITTER_FRACTION);
+        return { isRemote, deadline: clock.monotonic() + timeout, checksLeft: SUSPECT_CHECKS };
     };
 
-    const start = (id: NodeId, hearsay: boolean): void => {
+    const start = (id: NodeId, isRemote: boolean): void => {
         const running = suspicions.get(id);
-        if (running === undefined || running.hearsay && !hearsay) {
-            suspicions.set(id, createSuspicion(hearsay));
+        if (running === undefined || running.isRemote && !isRemote) {
+            suspicions.set(id, createSuspicion(isRemote));
         }
     };
 
     const isCheckDue = (suspicion: Suspicion, now: Milliseconds): boolean =>
-        suspicion.checksLeft > 0 && now >= suspicion.deadline - suspicion.checksLeft * checkSpacing();
+        suspicion.checksLeft > 0 && now >= suspicion.deadline - suspicion.checksLeft * checkInterval();
 
     const collectDue = (): DueSuspicions => {
         const now = clock.monotonic();
@@ -88,8 +88,8 @@
         start,
         end: (id) => suspicions.delete(id),
         restartAll: () => {
-            for (const [id, { hearsay }] of [...suspicions]) {
-                suspicions.set(id, createSuspicion(hearsay));
+            for (const [id, { isRemote }] of [...suspicions]) {
+                suspicions.set(id, createSuspicion(isRemote));
             }
         },
         clear: () => {
