--- a/packages/oleandergap-membership/src/synchronizer.ts
+++ b/packages/oleandergap-membership/src/synchronizer.ts
@@ -8,12 +8,12 @@
 import type { Clock, Member, Milliseconds, NodeId } from "oleandergap-types";
 import { pickOne, type Random } from "oleandergap-utils";
 import type { ByteBudget } from "./byteBudget.js";
-import { listOthers } from "./memberRound.js";
+import { listOtherMembers } from "./memberRound.js";
 import { mergeRecords } from "./memberRecord.js";
 import type { MemberTable } from "./memberTable.js";
 import type { Messenger } from "./messenger.js";
 import type { MembershipOptions } from "./options.js";
-import { endpointOf } from "./prober.js";
+import { getControlEndpoint } from "./prober.js";
 import type { Statistics } from "./statistics.js";
 import type { Endpoint } from "./transport.js";
 
@@ -21,8 +21,8 @@
  * After its start, and after a difference, a node compares again within twice this time. Many nodes that start at once
  * tell each other in a zone that each still takes for small, with few copies of each update.
  */
-const REPEAT_MS: Milliseconds = 2000;
-const SMALLEST_PERIOD_SHARE = 0.75;
+const FOLLOW_UP_MS: Milliseconds = 2000;
+const MIN_PERIOD_FRACTION = 0.75;
 const PERIOD_SPREAD = 0.5;
 
 export interface Synchronizer {
@@ -34,7 +34,7 @@
     readonly receiveStart: (from: Endpoint, digest: number) => void;
     readonly receiveBuckets: (from: Endpoint, digests: readonly number[]) => void;
     /** Answers with this node's records of the wanted buckets, but for those that the sender just sent. */
-    readonly receiveRecords: (from: Endpoint, wanted: readonly number[], received: readonly Member[]) => void;
+    readonly receiveRecords: (from: Endpoint, requestedBuckets: readonly number[], received: readonly Member[]) => void;
 }
 
 export interface SynchronizerDependencies {
@@ -52,17 +52,17 @@
 export const createSynchronizer = (dependencies: SynchronizerDependencies): Synchronizer => {
     const { selfId, clock, random, options, table, messenger, budget, statistics } = dependencies;
 
-    const drawPeriod = (): Milliseconds => options.syncPeriodMs * (SMALLEST_PERIOD_SHARE + PERIOD_SPREAD * random());
+    const drawPeriod = (): Milliseconds => options.syncPeriodMs * (MIN_PERIOD_FRACTION + PERIOD_SPREAD * random());
 
-    let nextSyncAt = clock.monotonic() + REPEAT_MS * (1 + random());
+    let nextSyncAt = clock.monotonic() + FOLLOW_UP_MS * (1 + random());
 
-    const noteDifference = (): void => {
+    const recordDifference = (): void => {
         statistics.countEvent("syncDiffered");
-        nextSyncAt = Math.min(nextSyncAt, clock.monotonic() + REPEAT_MS * (SMALLEST_PERIOD_SHARE + random()));
+        nextSyncAt = Math.min(nextSyncAt, clock.monotonic() + FOLLOW_UP_MS * (MIN_PERIOD_FRACTION + random()));
     };
 
     const sendWithinBudget = (action: () => number): void => {
-        if (budget.isOpen()) {
+        if (budget.canSpend()) {
             budget.spend(action());
         }
         else {
@@ -76,15 +76,15 @@
 
     const sendBuckets = (endpoint: Endpoint): void => {
         const self = table.get(selfId);
-        const cargo = self === undefined ? {} : { records: [self] };
+        const piggybacked = self === undefined ? {} : { records: [self] };
         const body = { kind: "SyncBuckets", digests: table.digest.buckets() } as const;
-        sendWithinBudget(() => messenger.send(endpoint, body, cargo));
+        sendWithinBudget(() => messenger.send(endpoint, body, piggybacked));
     };
 
-    const sendBucketRecords = (to: Endpoint, wanted: readonly number[], records: readonly Member[]): void => {
+    const sendBucketRecords = (to: Endpoint, requestedBuckets: readonly number[], records: readonly Member[]): void => {
         const bundle = {
-            first: { kind: "SyncRecords", wanted },
-            next: { kind: "SyncRecords", wanted: [] },
+            first: { kind: "SyncRecords", requestedBuckets },
+            next: { kind: "SyncRecords", requestedBuckets: [] },
             records,
         } as const;
         messenger.sendRecords(to, bundle, budget);
@@ -96,31 +96,31 @@
             return;
         }
         nextSyncAt = now + drawPeriod();
-        const peer = pickOne(random, listOthers(table, selfId));
+        const peer = pickOne(random, listOtherMembers(table, selfId));
         if (peer !== undefined) {
-            compareWith(endpointOf(peer));
+            compareWith(getControlEndpoint(peer));
         }
     };
 
     const receiveBuckets = (from: Endpoint, digests: readonly number[]): void => {
-        const own = table.digest.buckets();
-        const differing = own.flatMap((digest, bucket) => digest === digests[bucket] ? [] : [bucket]);
+        const localDigests = table.digest.buckets();
+        const differing = localDigests.flatMap((digest, bucket) => digest === digests[bucket] ? [] : [bucket]);
         if (differing.length > 0) {
-            noteDifference();
-            sendBucketRecords(from, differing, table.inBuckets(differing));
+            recordDifference();
+            sendBucketRecords(from, differing, table.listInBuckets(differing));
         }
     };
 
-    const receiveRecords = (from: Endpoint, wanted: readonly number[], received: readonly Member[]): void => {
-        if (wanted.length === 0) {
+    const receiveRecords = (from: Endpoint, requestedBuckets: readonly number[], received: readonly Member[]): void => {
+        if (requestedBuckets.length === 0) {
             return;
         }
         const byId = new Map(received.map((record) => [record.id, record]));
-        const isKnownThere = (member: Member): boolean => {
+        const isKnownToSender = (member: Member): boolean => {
             const record = byId.get(member.id);
             return record !== undefined && mergeRecords(record, member) === record;
         };
-        const records = table.inBuckets(wanted).filter((member) => !isKnownThere(member));
+        const records = table.listInBuckets(requestedBuckets).filter((member) => !isKnownToSender(member));
         if (records.length > 0) {
             sendBucketRecords(from, [], records);
         }
@@ -132,7 +132,7 @@
         compareWith,
         receiveStart: (from, digest) => {
             if (digest !== table.digest.total()) {
-                noteDifference();
+                recordDifference();
                 sendBuckets(from);
             }
         },
--- a/packages/oleandergap-membership/src/targetDirectory.ts
+++ b/packages/oleandergap-membership/src/targetDirectory.ts
@@ -9,7 +9,7 @@
 import type { Random } from "oleandergap-utils";
 import type { Membership } from "./membershipTypes.js";
 import type { TargetDirectoryOptions } from "./options.js";
-import { createOwnTargets } from "./ownTargets.js";
+import { createLocalTargets } from "./ownTargets.js";
 import { createRemoteTargets, type RemoteTargets } from "./remoteTargets.js";
 import type { FetchZone, TargetDirectory, TargetMember } from "./targetDirectoryTypes.js";
 import { createTargetLists } from "./targetLists.js";
@@ -30,18 +30,18 @@
 /** Fetches nothing before `start`. */
 export const createTargetDirectory = (dependencies: TargetDirectoryDependencies): TargetDirectory => {
     const { membership, fetchZone, zones, clock, random, options } = dependencies;
-    const ownZone = membership.self().zone;
-    const ownTargets = createOwnTargets(membership);
+    const localZone = membership.self().zone;
+    const localTargets = createLocalTargets(membership);
     const remoteZones = new Map<ZoneName, RemoteTargets>();
     let fetches = 0;
     let failedFetches = 0;
     let skippedFetches = 0;
-    const lists = createTargetLists();
+    const joinedLists = createTargetLists();
 
-    const openZone = (zone: ZoneName): RemoteTargets => {
-        const known = remoteZones.get(zone);
-        if (known !== undefined) {
-            return known;
+    const getOrCreateZone = (zone: ZoneName): RemoteTargets => {
+        const existing = remoteZones.get(zone);
+        if (existing !== undefined) {
+            return existing;
         }
         const onFetched = (succeeded: boolean): void => {
             fetches += 1;
@@ -51,11 +51,11 @@
             skippedFetches += 1;
         };
         const probeZone = (): number | undefined => membership.probeZone(zone);
-        const opened = createRemoteTargets({
+        const created = createRemoteTargets({
             zone, fetchZone, probeZone, clock, random, options, onFetched, onSkipped,
         });
-        remoteZones.set(zone, opened);
-        return opened;
+        remoteZones.set(zone, created);
+        return created;
     };
 
     const targetsOf = (
@@ -63,16 +63,16 @@
         wantedZones: readonly ZoneName[] = zones(service),
     ): readonly TargetMember[] => {
         const key = formatServiceReference(service);
-        const own = wantedZones.includes(ownZone) ? [ownTargets.targetsOf(service)] : [];
+        const local = wantedZones.includes(localZone) ? [localTargets.targetsOf(service)] : [];
         const remote = wantedZones
-            .filter((zone) => zone !== ownZone)
-            .map((zone) => openZone(zone).targetsOf(service, key));
-        return lists.join(key, [...own, ...remote]);
+            .filter((zone) => zone !== localZone)
+            .map((zone) => getOrCreateZone(zone).targetsOf(service, key));
+        return joinedLists.join(key, [...local, ...remote]);
     };
 
     // Subscribed for the membership's life; there is one directory to a membership.
-    membership.subscribeZoneDigests((heard) => {
-        remoteZones.get(heard.zone)?.hearDigest(heard);
+    membership.subscribeZoneDigests((digest) => {
+        remoteZones.get(digest.zone)?.hearDigest(digest);
     });
 
     const start = (signal: AbortSignal): void => {
@@ -97,8 +97,8 @@
     return {
         start,
         targetsOf,
-        answerZoneTargets: ownTargets.answer,
-        zoneDigest: ownTargets.zoneDigest,
+        answerZoneTargets: localTargets.answer,
+        zoneDigest: localTargets.zoneDigest,
         stats: () => ({
             fetches,
             failedFetches,
--- a/packages/oleandergap-membership/src/targetLists.ts
+++ b/packages/oleandergap-membership/src/targetLists.ts
@@ -23,16 +23,16 @@
     const lists = new Map<string, JoinedList>();
     return {
         join: (key, parts) => {
-            const filled = parts.filter((part) => part.length > 0);
-            if (filled.length < 2) {
-                return filled[0] ?? NO_TARGETS;
+            const nonEmptyParts = parts.filter((part) => part.length > 0);
+            if (nonEmptyParts.length < 2) {
+                return nonEmptyParts[0] ?? NO_TARGETS;
             }
-            const known = lists.get(key);
-            if (known !== undefined && isSameParts(known.parts, filled)) {
-                return known.targets;
+            const cached = lists.get(key);
+            if (cached !== undefined && isSameParts(cached.parts, nonEmptyParts)) {
+                return cached.targets;
             }
-            const targets = filled.flat();
-            lists.set(key, { parts: filled, targets });
+            const targets = nonEmptyParts.flat();
+            lists.set(key, { parts: nonEmptyParts, targets });
             return targets;
         },
     };
--- a/packages/oleandergap-membership/src/targetsDigest.ts
+++ b/packages/oleandergap-membership/src/targetsDigest.ts
@@ -6,7 +6,7 @@
 /** Largest digest: 52 bits, which a number holds exactly. */
 export const MAX_TARGETS_DIGEST = 2 ** 52 - 1;
 
-const WORD = 2 ** 32;
+const WORD_RANGE = 2 ** 32;
 const HIGH_BITS_MASK = 0xf_ffff;
 
 /** The two words of a member's hash; a list's words are those of its members combined by exclusive or. */
@@ -23,10 +23,10 @@
     return { high: hash.readUInt32BE(0) & HIGH_BITS_MASK, low: hash.readUInt32BE(4) };
 };
 
-const hashOf = (member: Member): HashWords => {
-    const known = hashes.get(member);
-    if (known !== undefined) {
-        return known;
+const getHash = (member: Member): HashWords => {
+    const cached = hashes.get(member);
+    if (cached !== undefined) {
+        return cached;
     }
     const computed = computeHash(member);
     hashes.set(member, computed);
@@ -39,10 +39,10 @@
     let low = 0;
     for (const member of members) {
         if (member.target !== undefined) {
-            const hash = hashOf(member);
+            const hash = getHash(member);
             high ^= hash.high;
             low ^= hash.low;
         }
     }
-    return high * WORD + (low >>> 0);
+    return high * WORD_RANGE + (low >>> 0);
 };
--- a/packages/oleandergap-membership/src/testing/freezableClock.ts
+++ b/packages/oleandergap-membership/src/testing/freezableClock.ts
@@ -10,7 +10,7 @@
 
 export const createFreezableClock = (clock: Clock): FreezableClock => {
     let isFrozen = false;
-    let held: (() => void)[] = [];
+    let suspendedTimers: (() => void)[] = [];
 
     const after: Clock["after"] = (delay, callback) => {
         let isCancelled = false;
@@ -21,7 +21,7 @@
         };
         const cancel = clock.after(delay, () => {
             if (isFrozen) {
-                held.push(run);
+                suspendedTimers.push(run);
             }
             else {
                 run();
@@ -41,8 +41,8 @@
         },
         thaw: () => {
             isFrozen = false;
-            const due = held;
-            held = [];
+            const due = suspendedTimers;
+            suspendedTimers = [];
             due.forEach((run) => {
                 run();
             });
--- a/packages/oleandergap-membership/src/testing/memoryNetwork.ts
+++ b/packages/oleandergap-membership/src/testing/memoryNetwork.ts
@@ -43,32 +43,32 @@
 /** Deterministic for a seeded `random` and a clock moved by hand. */
 export const createMemoryNetwork = (clock: Clock, random: Random): MemoryNetwork => {
     const receivers = new Map<string, ReceiveDatagram>();
-    const frozen = new Map<string, Delivery[]>();
+    const frozenBuffers = new Map<string, Delivery[]>();
     /** Deliveries by the time at which they are due: one timer per time, however many datagrams. */
-    const due = new Map<Milliseconds, Delivery[]>();
+    const deliveriesByTime = new Map<Milliseconds, Delivery[]>();
     let describeLink: DescribeLink = () => perfectLink;
 
     const deliver = (delivery: Delivery): void => {
         const key = formatEndpoint(delivery.to);
-        const held = frozen.get(key);
-        if (held === undefined) {
+        const buffered = frozenBuffers.get(key);
+        if (buffered === undefined) {
             receivers.get(key)?.(delivery.payload, delivery.from);
         }
-        else if (held.length < FROZEN_BUFFER_DATAGRAMS) {
-            held.push(delivery);
+        else if (buffered.length < FROZEN_BUFFER_DATAGRAMS) {
+            buffered.push(delivery);
         }
     };
 
     const deliverAt = (time: Milliseconds, delivery: Delivery): void => {
-        const waiting = due.get(time);
-        if (waiting !== undefined) {
-            waiting.push(delivery);
+        const scheduled = deliveriesByTime.get(time);
+        if (scheduled !== undefined) {
+            scheduled.push(delivery);
             return;
         }
-        due.set(time, [delivery]);
+        deliveriesByTime.set(time, [delivery]);
         clock.after(time - clock.monotonic(), () => {
-            const deliveries = due.get(time) ?? [];
-            due.delete(time);
+            const deliveries = deliveriesByTime.get(time) ?? [];
+            deliveriesByTime.delete(time);
             deliveries.forEach(deliver);
         });
     };
@@ -107,12 +107,12 @@
             describeLink = describe;
         },
         freeze: (endpoint) => {
-            frozen.set(formatEndpoint(endpoint), []);
+            frozenBuffers.set(formatEndpoint(endpoint), []);
         },
         thaw: (endpoint) => {
-            const held = frozen.get(formatEndpoint(endpoint)) ?? [];
-            frozen.delete(formatEndpoint(endpoint));
-            held.forEach(deliver);
+            const buffered = frozenBuffers.get(formatEndpoint(endpoint)) ?? [];
+            frozenBuffers.delete(formatEndpoint(endpoint));
+            buffered.forEach(deliver);
         },
         inject: (from, to, payload) => {
             deliver({ from, to, payload });
--- a/packages/oleandergap-membership/src/ticker.ts
+++ b/packages/oleandergap-membership/src/ticker.ts
@@ -30,12 +30,12 @@
         const schedule = (): void => {
             const due = clock.monotonic() + tickMs;
             cancel = clock.after(tickMs, () => {
-                const late = clock.monotonic() - due;
+                const lateBy = clock.monotonic() - due;
                 if (signal.aborted) {
                     return;
                 }
-                if (late > pauseBoundMs) {
-                    onPause(late);
+                if (lateBy > pauseBoundMs) {
+                    onPause(lateBy);
                 }
                 onTick();
                 schedule();
--- a/packages/oleandergap-membership/src/updateQueue.ts
+++ b/packages/oleandergap-membership/src/updateQueue.ts
@@ -3,7 +3,7 @@
  * so that the traffic of one change is bounded and a mass of changes cannot hold back a new one.
  */
 import type { Member, NodeId } from "oleandergap-types";
-import { measureRecord } from "./datagramCodec.js";
+import { measureRecordBytes } from "./datagramCodec.js";
 
 /** Transmissions of one update per natural logarithm of the zone's size. */
 const TRANSMISSIONS_PER_LOGARITHM = 3;
@@ -17,7 +17,7 @@
     /** Replaces an older update of the same member. */
     readonly add: (member: Member) => void;
     /** Takes updates that fit into `room` bytes, at most `maximum`, and counts them as told once more. */
-    readonly take: (room: number, maximum?: number) => readonly Member[];
+    readonly take: (maxBytes: number, maxRecords?: number) => readonly Member[];
     readonly size: () => number;
     readonly clear: () => void;
 }
@@ -33,17 +33,17 @@
 export const createUpdateQueue = (zoneSize: () => number): UpdateQueue => {
     const updates = new Map<NodeId, QueuedUpdate>();
 
-    const take = (room: number, maximum = Number.POSITIVE_INFINITY): readonly Member[] => {
+    const take = (maxBytes: number, maxRecords = Number.POSITIVE_INFINITY): readonly Member[] => {
         if (updates.size === 0) {
             return [];
         }
         const limit = computeTransmissionLimit(zoneSize());
-        const candidates = [...updates.values()].sort((left, right) => left.transmissions - right.transmissions);
+        const candidates = [...updates.values()].sort((remainingBytes, right) => remainingBytes.transmissions - right.transmissions);
         const taken: Member[] = [];
-        let left = room;
+        let left = maxBytes;
         for (const update of candidates) {
-            const size = measureRecord(update.member);
-            if (size > left || taken.length >= maximum) {
+            const size = measureRecordBytes(update.member);
+            if (size > left || taken.length >= maxRecords) {
                 break;
             }
             left -= size;
--- a/packages/oleandergap-membership/src/zoneDigests.ts
+++ b/packages/oleandergap-membership/src/zoneDigests.ts
@@ -13,22 +13,22 @@
     readonly digest: number;
 }
 
-export type ReceiveZoneDigest = (heard: ZoneDigest) => void;
+export type ReceiveZoneDigest = (digest: ZoneDigest) => void;
 
 export interface ZoneDigests {
     /** Digest of the own availability zone's targets; undefined while this node cannot vouch for it. */
-    readonly own: () => number | undefined;
+    readonly getLocal: () => number | undefined;
     readonly receive: ReceiveZoneDigest;
     readonly subscribe: (listener: ReceiveZoneDigest) => Unsubscribe;
 }
 
-export const createZoneDigests = (own: () => number | undefined): ZoneDigests => {
+export const createZoneDigests = (getLocal: () => number | undefined): ZoneDigests => {
     const listeners = new Set<ReceiveZoneDigest>();
     return {
-        own,
-        receive: (heard) => {
+        getLocal,
+        receive: (digest) => {
             for (const listener of listeners) {
-                listener(heard);
+                listener(digest);
             }
         },
         subscribe: (listener) => {
