--- a/packages/oleandergap-membership/src/__tests__/fleetKey.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/fleetKey.test.ts
@@ -3,7 +3,7 @@
 import { createPeerAuthorization, isPeerAuthorized, parseFleetKeys } from "../index.js";
 import { parseKeys, NEW_KEY, OLD_KEY } from "./testKeys.js";
 
-const here = { address: "10.0.0.1", port: 17_082 };
+const localEndpoint = { address: "10.0.0.1", port: 17_082 };
 
 describe("parseFleetKeys", () => {
     it("refuses no key, a short one and more than two, and shows none of them", () => {
@@ -20,9 +20,15 @@
     it("accepts what each accepted key makes for this node", () => {
         const keys = parseKeys(NEW_KEY, OLD_KEY);
 
-        expect(isPeerAuthorized(keys, here, createPeerAuthorization(parseKeys(NEW_KEY), here))).to.equal(true);
-        expect(isPeerAuthorized(keys, here, createPeerAuthorization(parseKeys(OLD_KEY), here))).to.equal(true);
-        expect(isPeerAuthorized(parseKeys(NEW_KEY), here, createPeerAuthorization(parseKeys(OLD_KEY), here))).to.equal(false);
+        expect(isPeerAuthorized(keys, localEndpoint, createPeerAuthorization(parseKeys(NEW_KEY), localEndpoint)))
+            .to.equal(true);
+        expect(isPeerAuthorized(keys, localEndpoint, createPeerAuthorization(parseKeys(OLD_KEY), localEndpoint)))
+            .to.equal(true);
+        expect(isPeerAuthorized(
+            parseKeys(NEW_KEY),
+            localEndpoint,
+            createPeerAuthorization(parseKeys(OLD_KEY), localEndpoint),
+        )).to.equal(false);
     });
 
     it("takes an IPv6 address for the same in each spelling", () => {
@@ -35,10 +41,19 @@
         // Symptom: a stranger drains a target.
         // Sequence: a node is lured into a call to the stranger's address, who passes the received header on.
         // Cause: what proves a node to one address proves it to all.
-        const elsewhere = createPeerAuthorization(parseKeys(NEW_KEY), { ...here, port: 9 });
-        const right = createPeerAuthorization(parseKeys(NEW_KEY), here);
-        for (const wrong of [undefined, "", "Bearer ", `Bearer ${NEW_KEY}`, elsewhere, right.slice(0, -2), `${right}AA`]) {
-            expect(isPeerAuthorized(parseKeys(NEW_KEY), here, wrong), String(wrong)).to.equal(false);
+        const otherNodeAuthorization = createPeerAuthorization(parseKeys(NEW_KEY), { ...localEndpoint, port: 9 });
+        const validAuthorization = createPeerAuthorization(parseKeys(NEW_KEY), localEndpoint);
+        for (const invalidAuthorization of [
+            undefined,
+            "",
+            "Bearer ",
+            `Bearer ${NEW_KEY}`,
+            otherNodeAuthorization,
+            validAuthorization.slice(0, -2),
+            `${validAuthorization}AA`,
+        ]) {
+            expect(isPeerAuthorized(parseKeys(NEW_KEY), localEndpoint, invalidAuthorization), String(invalidAuthorization))
+                .to.equal(false);
         }
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/membership.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membership.test.ts
@@ -2,7 +2,15 @@
 import type { Head } from "oleandergap-types";
 import type { Contact, HeadPiggyback, MembershipStats } from "../index.js";
 import { perfectLink } from "../testing/index.js";
-import { createTestCluster, createEndpoint, createHead, listNodeIds, listMemberIds, createSeed, createTarget } from "./testZone.js";
+import {
+    createTestCluster,
+    createEndpoint,
+    createHead,
+    listNodeIds,
+    listMemberIds,
+    createSeed,
+    createTarget,
+} from "./testZone.js";
 
 const countSentBytes = (stats: MembershipStats): number =>
     Object.values(stats.traffic).reduce((sum, traffic) => sum + traffic.sentBytes + traffic.receivedBytes, 0);
@@ -23,9 +31,9 @@
     it("removes a member that leaves from every list at once, not after a suspicion", async () => {
         const cluster = createTestCluster(2);
         const nodes = await cluster.startZone(20);
-        const left = nodes[3]?.membership.leave();
+        const leaving = nodes[3]?.membership.leave();
         await cluster.clock.advance(2000);
-        await left;
+        await leaving;
         nodes[3]?.kill();
         expect(nodes.filter((node) => node.id !== "node-3" && listMemberIds(node).includes("node-3"))).to.deep.equal([]);
         await cluster.clock.advance(20_000);
@@ -94,8 +102,8 @@
                     receivedSequences.push(...heads.map((head) => head.sequence));
                 },
             });
-            const silent = { probePeriodMs: 3_600_000 };
-            cluster.startNode(0, { piggyback: piggybackOf(answererHead), options: silent });
+            const slowProbeOptions = { probePeriodMs: 3_600_000 };
+            cluster.startNode(0, { piggyback: piggybackOf(answererHead), options: slowProbeOptions });
             cluster.startNode(1, { piggyback: piggybackOf(proberHead) });
             await cluster.clock.advance(3000);
             expect(receivedSequences).to.include(7);
@@ -109,7 +117,11 @@
         nodes[1]?.membership.subscribeHeads((from, heads) => {
             received.push([from, heads]);
         });
-        nodes[0]?.membership.send(createEndpoint(1).address, createEndpoint(1).port, { kind: "Heads", heads: [createHead(9)] });
+        nodes[0]?.membership.send(
+            createEndpoint(1).address,
+            createEndpoint(1).port,
+            { kind: "Heads", heads: [createHead(9)] },
+        );
         await cluster.clock.advance(10);
         const { address, port: controlPort } = createEndpoint(0);
         expect(received).to.deep.equal([[{ id: "node-0", zone: "zone-a", address, controlPort }, [createHead(9)]]]);
@@ -118,37 +130,37 @@
     it("finds contacts in another zone and replaces those that die", async () => {
         const cluster = createTestCluster(6);
         const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
-        const inA = [0, 1, 2].map((index) => cluster.startNode(index, { zone: "zone-a", seeds }));
-        const inB = [10, 11, 12, 13, 14, 15].map((index) => cluster.startNode(index, { zone: "zone-b", seeds }));
+        const nodesA = [0, 1, 2].map((index) => cluster.startNode(index, { zone: "zone-a", seeds }));
+        const nodesB = [10, 11, 12, 13, 14, 15].map((index) => cluster.startNode(index, { zone: "zone-b", seeds }));
         await cluster.clock.advance(60_000);
-        const contactsOf = (): readonly Contact[] => inA[1]?.membership.contactsOf("zone-b") ?? [];
+        const contactsOf = (): readonly Contact[] => nodesA[1]?.membership.contactsOf("zone-b") ?? [];
         expect(contactsOf().length).to.equal(3);
         const killedIds = contactsOf().slice(0, 2).map((contact) => contact.id);
-        const killed = inB.filter((node) => killedIds.includes(node.id));
+        const killed = nodesB.filter((node) => killedIds.includes(node.id));
         killed.forEach((node) => {
             node.kill();
         });
         await cluster.clock.advance(90_000);
-        const living = listNodeIds(inB.filter((node) => !killed.includes(node)));
+        const living = listNodeIds(nodesB.filter((node) => !killed.includes(node)));
         for (let call = 0; call < 20; call++) {
             expect(contactsOf().length).to.equal(3);
             expect(living).to.include.members(contactsOf().map((contact) => contact.id));
         }
-        expect(inA[1]?.membership.zones()).to.deep.equal(["zone-b"]);
-        expect(listMemberIds(inA[1] ?? cluster.startNode(99))).to.deep.equal(listNodeIds(inA));
+        expect(nodesA[1]?.membership.zones()).to.deep.equal(["zone-b"]);
+        expect(listMemberIds(nodesA[1] ?? cluster.startNode(99))).to.deep.equal(listNodeIds(nodesA));
     });
 
     it("names a contact last that did not answer another part, and no other one first each time", async () => {
         const cluster = createTestCluster(9);
         const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
-        const asker = cluster.startNode(0, { zone: "zone-a", seeds });
+        const requester = cluster.startNode(0, { zone: "zone-a", seeds });
         [10, 11, 12].forEach((index) => cluster.startNode(index, { zone: "zone-b", seeds }));
         await cluster.clock.advance(30_000);
-        const [silent] = asker.membership.contactsOf("zone-b");
+        const [silent] = requester.membership.contactsOf("zone-b");
         if (silent !== undefined) {
-            asker.membership.reportSilent(silent);
+            requester.membership.reportSilent(silent);
         }
-        const orders = Array.from({ length: 20 }, () => asker.membership.contactsOf("zone-b").map(({ id }) => id));
+        const orders = Array.from({ length: 20 }, () => requester.membership.contactsOf("zone-b").map(({ id }) => id));
         expect(orders.map((order) => order[2])).to.deep.equal(orders.map(() => silent?.id));
         expect(new Set(orders.map((order) => order[0])).size).to.equal(2);
     });
@@ -156,11 +168,11 @@
     it("keeps the known contacts of a zone that is cut off, and uses them when it returns", async () => {
         const cluster = createTestCluster(7);
         const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
-        const [asker] = [0, 1].map((index) => cluster.startNode(index, { zone: "zone-a", seeds }));
+        const [requester] = [0, 1].map((index) => cluster.startNode(index, { zone: "zone-a", seeds }));
         [10, 11, 12].forEach((index) => cluster.startNode(index, { zone: "zone-b", seeds }));
         await cluster.clock.advance(30_000);
         cluster.network.setLinks(() => ({ ...perfectLink, loss: 1 }));
         await cluster.clock.advance(120_000);
-        expect(asker?.membership.contactsOf("zone-b").length).to.equal(3);
+        expect(requester?.membership.contactsOf("zone-b").length).to.equal(3);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
@@ -25,12 +25,12 @@
         // Cause: nobody probes it, or the suspicion never ends.
         const cluster = createTestCluster(1);
         const nodes = await cluster.startZone(ZONE_SIZE);
-        const [victim, ...survivors] = nodes;
-        victim?.kill();
+        const [killedNode, ...survivors] = nodes;
+        killedNode?.kill();
         const passed = await measureUntil(cluster, 15_000, () =>
             survivors.every((node) => listMemberIds(node).join() === listNodeIds(survivors).join()));
         expect(passed).to.be.at.most(10_000);
-        expect(new Set(listObservedDeaths(survivors))).to.deep.equal(new Set([victim?.id]));
+        expect(new Set(listObservedDeaths(survivors))).to.deep.equal(new Set([killedNode?.id]));
     });
 
     it("readmits a member that was frozen for long, and nobody is declared dead by it", async () => {
@@ -64,7 +64,8 @@
         const hour = 3_600_000;
         const nodes = await cluster.startZone(3, { options: { reconnectPeriodMs: hour, syncPeriodMs: hour } });
         nodes[1]?.clock.freeze();
-        cluster.network.setLinks((_from, to) => to.address === createEndpoint(1).address ? createLossyLink(1) : perfectLink);
+        cluster.network.setLinks((_from, to) =>
+            to.address === createEndpoint(1).address ? createLossyLink(1) : perfectLink);
         await cluster.clock.advance(30_000);
         expect(nodes.map(listMemberIds).map((ids) => ids.length)).to.deep.equal([2, 3, 2]);
         cluster.network.setLinks(() => perfectLink);
@@ -102,7 +103,8 @@
         const cluster = createTestCluster(11);
         const nodes = await cluster.startZone(6);
         const paused = nodes[5];
-        cluster.network.setLinks((_from, to) => to.address === createEndpoint(2).address ? createLossyLink(1) : perfectLink);
+        cluster.network.setLinks((_from, to) =>
+            to.address === createEndpoint(2).address ? createLossyLink(1) : perfectLink);
         const isSuspecting = (): boolean =>
             paused?.membership.members().some(({ state }) => state === "suspect") ?? false;
         await measureUntil(cluster, 20_000, isSuspecting);
@@ -124,7 +126,7 @@
         // Cause: records of the former process win, or the joins are lost in the storm.
         const cluster = createTestCluster(5);
         const nodes = await cluster.startZone(ZONE_SIZE);
-        const former = new Map(nodes.map((node) => [node.id, node.membership.self().incarnation]));
+        const previousIncarnations = new Map(nodes.map((node) => [node.id, node.membership.self().incarnation]));
         nodes.filter((_, index) => index % 2 === 0).forEach((node) => {
             node.kill();
         });
@@ -137,7 +139,7 @@
         for (const [index, node] of current.entries()) {
             const seen = current[(index + 1) % ZONE_SIZE]?.membership.member(node.id);
             expect(seen?.incarnation).to.equal(node.membership.self().incarnation);
-            expect(seen?.incarnation).to.be.at.least(former.get(node.id) ?? 0);
+            expect(seen?.incarnation).to.be.at.least(previousIncarnations.get(node.id) ?? 0);
             expect(node.membership.stats().events.refuted).to.equal(0);
         }
     });
@@ -148,7 +150,8 @@
         // Cause: nobody tries the dead again, or old claims of death are believed about members that answer.
         const cluster = createTestCluster(6);
         const nodes = await cluster.startZone(ZONE_SIZE);
-        cluster.network.setLinks((from, to) => isLowerHalf(from) === isLowerHalf(to) ? perfectLink : createLossyLink(1));
+        cluster.network.setLinks((from, to) =>
+            isLowerHalf(from) === isLowerHalf(to) ? perfectLink : createLossyLink(1));
         await cluster.clock.advance(90_000);
         expect(nodes.map((node) => listMemberIds(node).length)).to.deep.equal(nodes.map(() => ZONE_SIZE / 2));
         const deathsBefore = listObservedDeaths(nodes).length;
@@ -163,10 +166,10 @@
         // Cause: records are told apart by id alone, or the wall clock alone decides who came later.
         const cluster = createTestCluster(8);
         const nodes = await cluster.startZone(12);
-        const former = nodes[4];
-        former?.kill();
-        const successor = cluster.startNode(4, { id: "node-4-new", clockOffsetMs: -3_600_000 });
-        const current = nodes.map((node) => node === former ? successor : node);
+        const previousNode = nodes[4];
+        previousNode?.kill();
+        const replacement = cluster.startNode(4, { id: "node-4-new", clockOffsetMs: -3_600_000 });
+        const current = nodes.map((node) => node === previousNode ? replacement : node);
         const passed = await measureUntil(cluster, 20_000, () =>
             current.every((node) => listMemberIds(node).join() === listNodeIds(current).join()));
         expect(passed).to.be.below(2500);
@@ -178,22 +181,22 @@
         // Cause: what arrives is believed.
         const cluster = createTestCluster(9);
         const [node] = await cluster.startZone(3);
-        const stranger = cluster.startNode(50, { zone: "zone-b", seeds: [createSeed(0, "zone-b")] });
+        const foreignNode = cluster.startNode(50, { zone: "zone-b", seeds: [createSeed(0, "zone-b")] });
         await cluster.clock.advance(10_000);
         const overlong = new Uint8Array(MAX_DATAGRAM_BYTES + 1);
-        const noise = [new Uint8Array(0), Uint8Array.of(0xdd, 1, 255, 255, 255), overlong];
-        for (const payload of noise) {
-            cluster.network.inject(stranger.endpoint, createEndpoint(0), payload);
+        const invalidPayloads = [new Uint8Array(0), Uint8Array.of(0xdd, 1, 255, 255, 255), overlong];
+        for (const payload of invalidPayloads) {
+            cluster.network.inject(foreignNode.endpoint, createEndpoint(0), payload);
         }
         const dropped = node?.membership.stats().dropped;
         expect(dropped).to.include({ Malformed: 2, Oversized: 1, HandlerFailed: 0 });
         expect(dropped?.OtherZone).to.be.greaterThan(0);
-        expect(node?.membership.member(stranger.id)).to.equal(undefined);
+        expect(node?.membership.member(foreignNode.id)).to.equal(undefined);
     });
 
     it("goes on when a listener throws", async () => {
         const cluster = createTestCluster(10);
-        const broken = cluster.startNode(0, {
+        const failingNode = cluster.startNode(0, {
             piggyback: {
                 heads: () => [createHead(1)],
                 receiveHeads: () => {
@@ -203,7 +206,7 @@
         });
         const peer = cluster.startNode(1, { piggyback: { heads: () => [createHead(2)] } });
         await cluster.clock.advance(20_000);
-        expect(broken.membership.stats().dropped.HandlerFailed).to.be.greaterThan(0);
+        expect(failingNode.membership.stats().dropped.HandlerFailed).to.be.greaterThan(0);
         expect(listObservedDeaths([peer])).to.deep.equal([]);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
@@ -26,16 +26,17 @@
             const nodes = await cluster.startZone(16, { options: { maxHealthScore: 0 } });
             const isolated = nodes[9];
             const isIsolated = (endpoint: Endpoint): boolean => endpoint.address === createEndpoint(9).address;
-            cluster.network.setLinks((from, to) => isIsolated(from) || isIsolated(to) ? createLossyLink(1) : perfectLink);
+            cluster.network.setLinks((from, to) =>
+                isIsolated(from) || isIsolated(to) ? createLossyLink(1) : perfectLink);
             const findSuspect = (): Member | undefined =>
                 isolated?.membership.members().find((member) => member.state === "suspect");
             await measureUntil(cluster, 10_000, () => findSuspect() !== undefined);
             const suspect = findSuspect();
             const reachable = [suspect?.address, createEndpoint(9).address];
-            const isOpen = (from: Endpoint, to: Endpoint): boolean =>
+            const isConnected = (from: Endpoint, to: Endpoint): boolean =>
                 reachable.includes(from.address) && reachable.includes(to.address) ||
                 !isIsolated(from) && !isIsolated(to);
-            cluster.network.setLinks((from, to) => isOpen(from, to) ? perfectLink : createLossyLink(1));
+            cluster.network.setLinks((from, to) => isConnected(from, to) ? perfectLink : createLossyLink(1));
             await cluster.clock.advance(4000);
             expect(suspect).to.not.equal(undefined);
             expect(isolated?.observedDeaths.map((member) => member.id)).to.not.include(suspect?.id);
@@ -48,8 +49,8 @@
         // Cause: updates are pushed a bounded number of times and never again.
         const cluster = createTestCluster(13);
         const nodes = await cluster.startZone(12);
-        const deaf = createEndpoint(6).address;
-        cluster.network.setLinks((_from, to) => to.address === deaf ? createLossyLink(1) : perfectLink);
+        const unreachableAddress = createEndpoint(6).address;
+        cluster.network.setLinks((_from, to) => to.address === unreachableAddress ? createLossyLink(1) : perfectLink);
         nodes[3]?.membership.setTarget(createTarget("grant-filer", true));
         await cluster.clock.advance(1500);
         cluster.network.setLinks(() => perfectLink);
@@ -102,9 +103,9 @@
         const cluster = createTestCluster(7);
         const nodes = await cluster.startZone(12);
         const highest = new Map<string, number>();
-        let steps = 0;
+        let changeCount = 0;
         nodes[1]?.membership.subscribe(({ member, previous }) => {
-            steps += 1;
+            changeCount += 1;
             expect(member.incarnation).to.be.at.least(highest.get(member.id) ?? previous?.incarnation ?? 0);
             highest.set(member.id, member.incarnation);
         });
@@ -114,14 +115,14 @@
             nodes[index] = cluster.startNode(index);
             await cluster.clock.advance(4000);
         }
-        const leaver = nodes[6];
-        void leaver?.membership.leave();
+        const leavingNode = nodes[6];
+        void leavingNode?.membership.leave();
         await cluster.clock.advance(1000);
-        leaver?.kill();
+        leavingNode?.kill();
         cluster.network.setLinks(() => perfectLink);
-        const remaining = nodes.filter((node) => node !== leaver);
+        const remaining = nodes.filter((node) => node !== leavingNode);
         expect(await measureUntil(cluster, 60_000, () => haveSameMembers(remaining))).to.be.below(60_000);
-        expect(steps).to.be.greaterThan(6);
+        expect(changeCount).to.be.greaterThan(6);
         expect(nodes[1]?.membership.stats().dropped.HandlerFailed).to.equal(0);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
@@ -63,7 +63,15 @@
         remote.poll(signal);
         clock.after(100, poll);
     };
-    const zone: FakeZone = { clock, remote, requests, questions, fetchedDigest: OLD_DIGEST, contactDigest: OLD_DIGEST, fetchDelayMs: 5 };
+    const zone: FakeZone = {
+        clock,
+        remote,
+        requests,
+        questions,
+        fetchedDigest: OLD_DIGEST,
+        contactDigest: OLD_DIGEST,
+        fetchDelayMs: 5,
+    };
     poll();
     return zone;
 };
--- a/packages/oleandergap-membership/src/__tests__/roster.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/roster.test.ts
@@ -4,7 +4,14 @@
 import { formatRosterKey, type FetchContacts } from "../index.js";
 import { composeRoster } from "../roster.js";
 import { perfectLink } from "../testing/index.js";
-import { createTestCluster, listNodeIds, listMemberIds, createSeed, type TestNode, type TestCluster } from "./testZone.js";
+import {
+    createTestCluster,
+    listNodeIds,
+    listMemberIds,
+    createSeed,
+    type TestNode,
+    type TestCluster,
+} from "./testZone.js";
 
 interface RosterStore {
     readonly store: ObjectStore;
@@ -16,7 +23,7 @@
 const createRosterStore = (): RosterStore => {
     const objects = new Map<string, Uint8Array>();
     const counts = { reads: 0, writes: 0 };
-    const down = { kind: "Unavailable", detail: "down" } as const;
+    const unavailableError = { kind: "Unavailable", detail: "down" } as const;
     const fake: RosterStore = {
         objects,
         counts,
@@ -24,12 +31,12 @@
         store: {
             get: (key) => {
                 counts.reads += 1;
-                return fake.isDown ? taskEither.left(down) : taskEither.right(objects.get(key));
+                return fake.isDown ? taskEither.left(unavailableError) : taskEither.right(objects.get(key));
             },
             put: (key, body) => {
                 counts.writes += 1;
                 objects.set(key, body);
-                return fake.isDown ? taskEither.left(down) : taskEither.right(undefined);
+                return fake.isDown ? taskEither.left(unavailableError) : taskEither.right(undefined);
             },
             list: () => taskEither.right([...objects.keys()]),
         },
@@ -69,7 +76,7 @@
 interface RestoredStore {
     readonly roster: RosterStore;
     /** `readNews` tells whether the node has heard of the present era by another call. */
-    readonly openAt: (now: () => number, hasSeenEra: () => boolean) => ObjectStore;
+    readonly openForNode: (now: () => number, hasSeenEra: () => boolean) => ObjectStore;
     /** When calls were made since the last restore. */
     readonly callTimes: () => readonly number[];
     readonly restore: (copy: RosterCopy) => void;
@@ -79,7 +86,7 @@
     const roster = createRosterStore();
     let era = 1;
     let callTimes: number[] = [];
-    const openAt: RestoredStore["openAt"] = (now, hasSeenEra) => {
+    const openAt: RestoredStore["openForNode"] = (now, hasSeenEra) => {
         let seen = era;
         const noteCall = (): void => {
             seen = era;
@@ -103,7 +110,7 @@
     };
     return {
         roster,
-        openAt,
+        openForNode: openAt,
         callTimes: () => callTimes,
         restore: (copy) => {
             roster.objects.clear();
@@ -143,7 +150,7 @@
             return cluster.startNode(index, {
                 zone,
                 seeds: zones.map((name, first) => createSeed(first, name)),
-                objectStore: store.openAt(() => cluster.clock.monotonic(), hasSeenEra),
+                objectStore: store.openForNode(() => cluster.clock.monotonic(), hasSeenEra),
                 options: { rosterPeriodMs: 1000 },
             });
         };
@@ -211,10 +218,10 @@
         const nodes = [0, 1, 2].map((index) => cluster.startNode(index, overrides));
         await cluster.clock.advance(15_000);
         roster.isDown = true;
-        const newcomer = cluster.startNode(9, overrides);
+        const newNode = cluster.startNode(9, overrides);
         await cluster.clock.advance(2500);
-        expect(listMemberIds(newcomer)).to.deep.equal(listNodeIds([...nodes, newcomer]));
-        expect(nodes.map(listMemberIds)).to.deep.equal(nodes.map(() => listNodeIds([...nodes, newcomer])));
+        expect(listMemberIds(newNode)).to.deep.equal(listNodeIds([...nodes, newNode]));
+        expect(nodes.map(listMemberIds)).to.deep.equal(nodes.map(() => listNodeIds([...nodes, newNode])));
     });
 
     it("lets nodes without any seed find each other, and writes only on change", async () => {
@@ -240,13 +247,13 @@
         const other = cluster.startNode(10, { zone: "zone-b", seeds: [], objectStore: roster.store });
         await cluster.clock.advance(60_000);
         cluster.network.setLinks(() => ({ ...perfectLink, loss: 1 }));
-        const asker = cluster.startNode(0, { objectStore: roster.store });
-        asker.membership.addZones(["zone-b"]);
+        const requester = cluster.startNode(0, { objectStore: roster.store });
+        requester.membership.addZones(["zone-b"]);
         await cluster.clock.advance(3_600_000);
-        expect(asker.membership.stats().events.rosterRead).to.be.within(6, 30);
+        expect(requester.membership.stats().events.rosterRead).to.be.within(6, 30);
         cluster.network.setLinks(() => perfectLink);
         await cluster.clock.advance(10_000);
-        expect(asker.membership.contactsOf("zone-b").map((contact) => contact.id)).to.deep.equal([other.id]);
+        expect(requester.membership.contactsOf("zone-b").map((contact) => contact.id)).to.deep.equal([other.id]);
     });
 
     it("is read for another zone by few, who pass on what they found", async () => {
@@ -295,9 +302,9 @@
         nodes.forEach(({ membership }) => expect(membership.members()).to.have.length(20));
         // What is left are the writers' looks before they write.
         expect(roster.counts.reads).to.be.at.most(8);
-        const alone = cluster.startNode(150, overrides);
+        const lateNode = cluster.startNode(150, overrides);
         await cluster.clock.advance(2000);
-        expect(listMemberIds(alone)).to.have.length(21);
+        expect(listMemberIds(lateNode)).to.have.length(21);
     });
 
     it("joins the parts of a zone that find each other by no neighbour", async () => {
--- a/packages/oleandergap-membership/src/__tests__/sealedTransport.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/sealedTransport.test.ts
@@ -11,9 +11,10 @@
 import { createTestCluster, createEndpoint, createSeed, type TestCluster } from "./testZone.js";
 import { parseKeys, NEW_KEY, OLD_KEY } from "./testKeys.js";
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 const payload = Uint8Array.from([1, 2, 3, 4, 5]);
-const [here, there, elsewhere] = [1, 2, 3].map(createEndpoint) as [Endpoint, Endpoint, Endpoint];
+const [senderEndpoint, receiverEndpoint, otherEndpoint] =
+    [1, 2, 3].map(createEndpoint) as [Endpoint, Endpoint, Endpoint];
 
 interface Peer {
     readonly transport: SealedTransport;
@@ -27,12 +28,12 @@
         readKeys: () => peer.keys,
     });
     const peer: Peer = { transport, received: [], keys };
-    await transport.open((arrived) => peer.received.push(Uint8Array.from(arrived)), never)();
+    await transport.open((arrived) => peer.received.push(Uint8Array.from(arrived)), neverAborted)();
     return peer;
 };
 
 /** Everything that `transport` sends also goes to `copies`. */
-const tap = (transport: DatagramTransport, copies: Uint8Array[]): DatagramTransport => ({
+const copySentDatagrams = (transport: DatagramTransport, copies: Uint8Array[]): DatagramTransport => ({
     open: transport.open,
     send: (to, sent) => {
         copies.push(sent);
@@ -44,11 +45,11 @@
 const sealFrom = async (from: Endpoint, keys: FleetKeys): Promise<Uint8Array> => {
     const copies: Uint8Array[] = [];
     const transport = createSealedTransport({
-        transport: tap(createTestCluster(1).network.createTransport(from), copies),
+        transport: copySentDatagrams(createTestCluster(1).network.createTransport(from), copies),
         readKeys: () => keys,
     });
-    await transport.open(() => undefined, never)();
-    transport.send(there, payload);
+    await transport.open(() => undefined, neverAborted)();
+    transport.send(receiverEndpoint, payload);
     return copies[0] ?? new Uint8Array();
 };
 
@@ -58,14 +59,14 @@
 describe("createSealedTransport", () => {
     it("carries payloads between holders of the key, within the size of a datagram", async () => {
         const cluster = createTestCluster(1);
-        const sender = await startPeer(cluster, here, parseKeys(NEW_KEY));
-        const receiver = await startPeer(cluster, there, parseKeys(NEW_KEY));
-        sender.transport.send(there, payload);
+        const sender = await startPeer(cluster, senderEndpoint, parseKeys(NEW_KEY));
+        const receiver = await startPeer(cluster, receiverEndpoint, parseKeys(NEW_KEY));
+        sender.transport.send(receiverEndpoint, payload);
         await cluster.clock.advance(10);
 
         expect(receiver.received).to.deep.equal([payload]);
         expect(receiver.transport.stats()).to.include({ sealBytesReceived: SEAL_BYTES, rejected: 0 });
-        expect((await sealFrom(here, parseKeys(NEW_KEY))).length).to.equal(payload.length + SEAL_BYTES);
+        expect((await sealFrom(senderEndpoint, parseKeys(NEW_KEY))).length).to.equal(payload.length + SEAL_BYTES);
         expect(MAX_DATAGRAM_BYTES + SEAL_BYTES).to.be.at.most(1200);
     });
 
@@ -74,23 +75,23 @@
         // Sequence: they come unsealed, forged, cut short, sealed with another key, or copied and sent from elsewhere.
         // Cause: what reaches the control port is believed.
         const cluster = createTestCluster(1);
-        const receiver = await startPeer(cluster, there, parseKeys(NEW_KEY));
-        const sealed = await sealFrom(here, parseKeys(NEW_KEY));
-        const wrong = [
+        const receiver = await startPeer(cluster, receiverEndpoint, parseKeys(NEW_KEY));
+        const sealed = await sealFrom(senderEndpoint, parseKeys(NEW_KEY));
+        const invalidDatagrams = [
             new Uint8Array(),
             sealed.subarray(0, SEAL_BYTES - 1),
             payload,
             sealed.subarray(0, sealed.length - 1),
             sealed.subarray(1),
-            await sealFrom(here, parseKeys(OLD_KEY)),
+            await sealFrom(senderEndpoint, parseKeys(OLD_KEY)),
             ...[...sealed.keys()].map((index) => flipBit(sealed, index)),
         ];
-        wrong.forEach((datagram) => cluster.network.inject(here, there, datagram));
-        cluster.network.inject(elsewhere, there, sealed);
+        invalidDatagrams.forEach((datagram) => cluster.network.inject(senderEndpoint, receiverEndpoint, datagram));
+        cluster.network.inject(otherEndpoint, receiverEndpoint, sealed);
 
         expect(receiver.received).to.deep.equal([]);
-        expect(receiver.transport.stats()).to.include({ rejected: wrong.length + 1, sealBytesReceived: 0 });
-        cluster.network.inject(here, there, sealed);
+        expect(receiver.transport.stats()).to.include({ rejected: invalidDatagrams.length + 1, sealBytesReceived: 0 });
+        cluster.network.inject(senderEndpoint, receiverEndpoint, sealed);
         expect(receiver.received).to.deep.equal([payload]);
     });
 
@@ -99,11 +100,11 @@
         // Sequence: nodes take the new key one after the other.
         // Cause: a node seals with a key before the others accept it, or refuses the old one while it is in use.
         const cluster = createTestCluster(1);
-        const first = await startPeer(cluster, here, parseKeys(OLD_KEY));
-        const second = await startPeer(cluster, there, parseKeys(OLD_KEY));
+        const first = await startPeer(cluster, senderEndpoint, parseKeys(OLD_KEY));
+        const second = await startPeer(cluster, receiverEndpoint, parseKeys(OLD_KEY));
         const exchange = async (): Promise<void> => {
-            first.transport.send(there, payload);
-            second.transport.send(here, payload);
+            first.transport.send(receiverEndpoint, payload);
+            second.transport.send(senderEndpoint, payload);
             await cluster.clock.advance(10);
         };
         for (const keys of [parseKeys(OLD_KEY, NEW_KEY), parseKeys(NEW_KEY, OLD_KEY), parseKeys(NEW_KEY)]) {
@@ -114,7 +115,7 @@
         }
         expect([first.received.length, second.received.length]).to.deep.equal([6, 6]);
 
-        cluster.network.inject(here, there, await sealFrom(here, parseKeys(OLD_KEY)));
+        cluster.network.inject(senderEndpoint, receiverEndpoint, await sealFrom(senderEndpoint, parseKeys(OLD_KEY)));
         expect(second.received.length).to.equal(6);
     });
 
@@ -128,7 +129,9 @@
         const wrapTransport = (transport: DatagramTransport): DatagramTransport =>
             createSealedTransport({ transport, readKeys: () => parseKeys(NEW_KEY) });
         const [observer] = [0, 2].map((index) => cluster.startNode(index, { wrapTransport }));
-        const member = cluster.startNode(1, { wrapTransport: (transport) => wrapTransport(tap(transport, copies)) });
+        const member = cluster.startNode(1, {
+            wrapTransport: (transport) => wrapTransport(copySentDatagrams(transport, copies)),
+        });
         await cluster.clock.advance(10_000);
         const left = member.membership.leave();
         await cluster.clock.advance(5000);
--- a/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
@@ -26,7 +26,7 @@
 const FIRST_B = 40;
 const ZONE_SIZE = 16;
 
-interface Zones {
+interface TwoZones {
     readonly cluster: TestCluster;
     readonly nodeA: TestNode;
     readonly nodesB: readonly TestNode[];
@@ -37,7 +37,7 @@
 }
 
 /** Two zones whose nodes tell digests; fetches go to the contacts as the membership names them. */
-const startZones = async (seed: number): Promise<Zones> => {
+const startTwoZones = async (seed: number): Promise<TwoZones> => {
     const cluster = createTestCluster(seed);
     const random = createSeededRandom(seed);
     const seeds = [createSeed(0, "zone-a"), createSeed(FIRST_B, "zone-b")];
@@ -62,7 +62,7 @@
         const contact = pickOne(random, node.membership.contactsOf(zone).filter(({ id }) => !killed.has(id)));
         const answer = directories.get(contact?.id ?? "")?.answerZoneTargets(request);
         return answer === undefined ?
-            taskEither.left({ kind: "ZoneUnreachable" as const, detail: "nobody" })() :
+            taskEither.left({ kind: "ZoneUnreachable" as const, detail: "no contact" })() :
             taskEither.right(answer)();
     };
     for (const node of [...nodesA, ...nodesB]) {
@@ -92,7 +92,7 @@
 const isLeavingKnown = (directory: TargetDirectory): boolean =>
     directory.targetsOf(service, ["zone-b"]).some(({ leaving }) => leaving);
 
-const measureLeaving = async ({ cluster, nodesB, directory }: Zones): Promise<number> => {
+const measureLeaving = async ({ cluster, nodesB, directory }: TwoZones): Promise<number> => {
     nodesB[3]?.membership.setTarget(createTarget("grant-filer", true));
     return measureUntil(cluster, 20_000, () => isLeavingKnown(directory));
 };
@@ -121,7 +121,7 @@
 
 describe("createTargetDirectory with digests of contacts", () => {
     it("fetches nothing while nothing changes, and gives the same array", async () => {
-        const { cluster, directory } = await startZones(1);
+        const { cluster, directory } = await startTwoZones(1);
         const { fetches } = directory.stats();
         const before = directory.targetsOf(service);
         await cluster.clock.advance(20_000);
@@ -135,7 +135,7 @@
         // Sequence: it announces its leaving; some contacts have heard of it and others have not yet.
         // Cause: the fetch is left out for too long, or the word of one that is behind counts for all.
         for (const seed of [3, 4, 5, 6, 7, 8]) {
-            expect(await measureLeaving(await startZones(seed))).to.be.at.most(5000);
+            expect(await measureLeaving(await startTwoZones(seed))).to.be.at.most(5000);
         }
     });
 
@@ -143,7 +143,7 @@
         // Symptom and sequence as above, but contact probes or their answers are lost on the way.
         // Cause: a question without an answer is asked again instead of being replaced by a fetch.
         for (const loss of [0.5, 1]) {
-            const zones = await startZones(9);
+            const zones = await startTwoZones(9);
             const isB = ({ address }: { readonly address: string }): boolean =>
                 Number(address.split(".").at(-1)) > FIRST_B;
             zones.cluster.network.setLinks((from, to) => isB(from) === isB(to) ? perfectLink : createLossyLink(loss));
@@ -154,21 +154,21 @@
     it("shows it as soon when contacts die, and while none vouches for its digest", async () => {
         // Symptom and sequence as above, but contacts were killed just before, or have just restarted.
         // Cause: a dead contact is waited for; a node that knows little confirms, or is asked on and on.
-        const zones = await startZones(10);
+        const zones = await startTwoZones(10);
         zones.nodesB.slice(8).forEach((node) => {
             node.kill();
         });
         expect(await measureLeaving(zones)).to.be.at.most(5000);
-        const unready = await startZones(11);
-        unready.ready.isReady = false;
-        expect(await measureLeaving(unready)).to.be.at.most(5000);
+        const zonesWithoutDigest = await startTwoZones(11);
+        zonesWithoutDigest.ready.isReady = false;
+        expect(await measureLeaving(zonesWithoutDigest)).to.be.at.most(5000);
     });
 
     it("asks another contact each time", async () => {
         // Symptom: a zone's change is not seen although nodes that know it can be reached.
         // Sequence: one contact hears nothing of its zone any more, and goes on confirming the old digest.
         // Cause: always the same contact is asked.
-        const { cluster, nodeA, nodesB } = await startZones(13);
+        const { cluster, nodeA, nodesB } = await startTwoZones(13);
         const countProbesReceived = (): number[] =>
             nodesB.map(({ membership }) => membership.stats().traffic.ContactProbe.receivedDatagrams);
         const before = countProbesReceived();
@@ -182,7 +182,7 @@
 
     it("catches up after a contact was cut off from its own zone", async () => {
         // Symptom and cause as above.
-        const zones = await startZones(12);
+        const zones = await startTwoZones(12);
         const isLost = ({ address }: { readonly address: string }): boolean =>
             address === createEndpoint(FIRST_B).address;
         const isA = ({ address }: { readonly address: string }): boolean =>
--- a/packages/oleandergap-membership/src/__tests__/testZone.ts
+++ b/packages/oleandergap-membership/src/__tests__/testZone.ts
@@ -91,7 +91,7 @@
         const { clockOffsetMs = 0, wrapTransport = (transport) => transport } = overrides;
         const endpoint = createEndpoint(index);
         const nodeClock = createFreezableClock(clock);
-        const end = new AbortController();
+        const abortController = new AbortController();
         const membership = createMembership({
             self: { id, zone, address: endpoint.address, controlPort: endpoint.port, gatePort: 17_081 },
             clock: { ...nodeClock, now: () => nodeClock.now() + clockOffsetMs },
@@ -110,9 +110,9 @@
                 observedDeaths.push(member);
             }
         });
-        void membership.start(end.signal);
+        void membership.start(abortController.signal);
         const kill = (): void => {
-            end.abort();
+            abortController.abort();
         };
         return { id, endpoint, clock: nodeClock, membership, kill, observedDeaths };
     };
@@ -145,9 +145,9 @@
 
 /** Time until `condition` holds, in steps; `limit` when it does not. */
 export const measureUntil = async (cluster: TestCluster, limit: number, condition: () => boolean): Promise<number> => {
-    for (let passed = 0; passed < limit; passed += STEP_MS) {
+    for (let elapsedMs = 0; elapsedMs < limit; elapsedMs += STEP_MS) {
         if (condition()) {
-            return passed;
+            return elapsedMs;
         }
         await cluster.clock.advance(STEP_MS);
     }
--- a/packages/oleandergap-membership/src/bodyCodec.ts
+++ b/packages/oleandergap-membership/src/bodyCodec.ts
@@ -1,20 +1,20 @@
-/** Translates message bodies to and from the arrays that travel: `[kind, field, field, ...]`. */
+/** Encodes message bodies as arrays of the form `[kind, field, field, ...]` and decodes them. */
 import { addressSchema, nodeIdSchema, portSchema } from "oleandergap-types";
 import { z } from "zod";
 import type { MessageBody } from "./messages.js";
 import { MAX_TARGETS_DIGEST } from "./targetsDigest.js";
 
-/** Buckets into which member records fall when the whole state is compared. */
+/** Number of buckets into which member records are hashed for anti-entropy comparisons. */
 export const BUCKET_COUNT = 64;
 
 const MAX_UINT_32 = 2 ** 32 - 1;
 
-/** Sequences, hashes and digests. */
+/** Schema of sequence numbers, hashes and digests. */
 export const uint32Schema = z.number().int().min(0).max(MAX_UINT_32);
 const targetsDigestSchema = z.number().int().min(0).max(MAX_TARGETS_DIGEST);
 const bucketSchema = z.number().int().min(0).max(BUCKET_COUNT - 1);
 
-/** Numbers of the kinds on the wire. A number is never reused for another meaning. */
+/** Numbers of the message kinds on the wire. A number is never reused for a different kind. */
 const kindNumbers = {
     Ping: 1,
     Ack: 2,
@@ -29,7 +29,7 @@
     Heads: 11,
 } as const;
 
-/** The array that travels for a body; its first element is the kind's number. */
+/** Returns the wire form of a body: an array whose first element is the number of the message kind. */
 export const encodeBody = (body: MessageBody): readonly unknown[] => {
     const kind = kindNumbers[body.kind];
     switch (body.kind) {
@@ -129,7 +129,7 @@
     [kindNumbers.Heads, headsSchema],
 ]);
 
-/** The body, or undefined when the value is not one of a known kind. */
+/** Returns the decoded body, or undefined if the value is not a valid body of a known kind. */
 export const decodeBody = (value: readonly unknown[]): MessageBody | undefined => {
     const parsed = schemasByNumber.get(value[0])?.safeParse(value);
     return parsed?.success === true ? parsed.data : undefined;
--- a/packages/oleandergap-membership/src/byteBudget.ts
+++ b/packages/oleandergap-membership/src/byteBudget.ts
@@ -1,4 +1,7 @@
-/** Bounds the bytes that one activity sends per second on average; a datagram may overdraw it, the next ones wait. */
+/**
+ * Limits the average number of bytes per second that one activity sends. A single datagram may overdraw the budget;
+ * later ones are held back until the balance is positive again.
+ */
 import type { Clock } from "oleandergap-types";
 
 const MILLISECONDS_PER_SECOND = 1000;
@@ -11,11 +14,11 @@
 export interface ByteBudgetOptions {
     readonly clock: Clock;
     readonly bytesPerSecond: number;
-    /** Bytes that can be spent at once after a quiet time. */
+    /** Largest number of unused bytes that can accumulate for a burst. */
     readonly burstBytes: number;
 }
 
-/** The budget starts full. Time is the clock's monotonic one. */
+/** Creates a budget that starts full. Refilling is based on the monotonic clock. */
 export const createByteBudget = ({ clock, bytesPerSecond, burstBytes }: ByteBudgetOptions): ByteBudget => {
     let balance = burstBytes;
     let refilledAt = clock.monotonic();
--- a/packages/oleandergap-membership/src/contactBook.ts
+++ b/packages/oleandergap-membership/src/contactBook.ts
@@ -1,6 +1,7 @@
 /**
- * A few nodes of each other availability zone, over which configuration heads cross zones and other zones' targets are
- * fetched. One contact is probed per period, whatever the number of zones or nodes.
+ * Maintains a few contact nodes in each remote availability zone. Configuration heads are exchanged with them, and the
+ * targets of their zone are fetched from them. One contact is probed per period, regardless of the number of zones or
+ * nodes.
  */
 import type { Clock, Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import { pickIndex, pickOne, pickSeveral, type Random } from "oleandergap-utils";
@@ -10,48 +11,58 @@
 import type { MembershipOptions } from "./options.js";
 import { getControlEndpoint } from "./prober.js";
 
-/** Contacts remembered per zone, live and unanswered ones together. */
-const MAX_KNOWN_PER_ZONE = 12;
-/** A contact with more unanswered probes in a row is not counted on, and gives way when there are too many. */
+/** Largest number of contacts stored per zone, including contacts that do not answer. */
+const MAX_CONTACTS_PER_ZONE = 12;
+/**
+ * A contact with more consecutive missed probes is no longer considered live and may be evicted when the zone is full.
+ */
 const MAX_MISSED_PROBES = 2;
 const MAX_ZONES = 64;
-/** Turns in which seeds and contacts that were known before may answer. */
+/** Number of rounds without a live contact during which only seeds and stored contacts are probed. */
 const ROUNDS_FOR_KNOWN_CONTACTS = 2;
 /**
- * A zone that was probed outside of its turn, as for a digest of its targets, within this part of the distance of two
- * turns is not probed again: the answer would tell nothing new, and with services in use in all zones that is most of
- * the probes.
+ * A zone is skipped in its round if it was probed within this fraction of the interval between two of its rounds, for
+ * example to get the digest of its targets. The answer would contain nothing new, and such probes are the majority when
+ * services of all zones are in use.
  */
 const RECENT_PROBE_FRACTION = 0.5;
 const SEQUENCE_LIMIT = 2 ** 32;
 
-interface KnownContact {
+interface ContactEntry {
     readonly contact: Contact;
-    /** Probes since its last answer; undefined while it never answered. */
+    /** Number of probes since the last answer, or undefined if the contact has never answered. */
     missedProbes: number | undefined;
     probedAt: Milliseconds;
 }
 
 interface ZoneContacts {
     readonly name: ZoneName;
-    readonly contacts: Map<NodeId, KnownContact>;
-    /** Turns in a row in which no contact was live. */
+    readonly contacts: Map<NodeId, ContactEntry>;
+    /** Number of consecutive rounds in which the zone had no live contact. */
     roundsWithoutLiveContact: number;
     probedAt: Milliseconds;
 }
 
-/** Contacts by zone. Only `poll` and `probeZone` send; all else is bookkeeping. */
+/**
+ * Contacts grouped by zone. Only `poll` and `probeZone` send datagrams; all other functions only change or read state.
+ */
 export interface ContactBook {
     readonly poll: (signal: AbortSignal) => void;
-    /** Probes a contact of the zone, outside of the turns; returns the probe's sequence, or undefined without any. */
+    /**
+     * Probes a contact of the zone outside its regular rounds. Returns the sequence number of the probe, or undefined
+     * if the zone has no contacts.
+     */
     readonly probeZone: (zone: ZoneName) => number | undefined;
-    /** Notes that a node of another zone was heard. */
+    /** Records that a datagram arrived from a node of a remote zone, and resets its missed probes. */
     readonly markLive: (contact: Contact) => void;
-    /** Notes that a contact failed to answer another part of this node; it goes last until it is heard again. */
+    /**
+     * Records that a contact did not answer another component of this node. The contact loses priority until its next
+     * datagram.
+     */
     readonly markUnresponsive: (contact: Contact) => void;
-    /** Adds zones of which nobody was heard yet. */
+    /** Adds zones that have no known contacts yet. */
     readonly addZones: (zones: readonly ZoneName[]) => void;
-    /** Adds nodes that others named; they count only once they answer. */
+    /** Adds nodes that were suggested by other nodes. They are not considered live until they answer. */
     readonly addCandidates: (contacts: readonly Contact[]) => void;
     readonly contactsOf: (zone: ZoneName) => readonly Contact[];
     readonly zones: () => readonly ZoneName[];
@@ -67,32 +78,40 @@
     readonly sources: ContactSources;
 }
 
-const isLive = (known: KnownContact): boolean => known.missedProbes !== undefined && known.missedProbes <= MAX_MISSED_PROBES;
+const isLive = (entry: ContactEntry): boolean =>
+    entry.missedProbes !== undefined && entry.missedProbes <= MAX_MISSED_PROBES;
 
-const listLive = (zone: ZoneContacts): readonly KnownContact[] => [...zone.contacts.values()].filter(isLive);
+const listLiveContacts = (zone: ZoneContacts): readonly ContactEntry[] => [...zone.contacts.values()].filter(isLive);
 
-/** Fewest misses first; those that never answered last. */
-const compareByMissedProbes = (left: KnownContact, right: KnownContact): number =>
+/** Sorts contacts by ascending number of missed probes. Contacts that have never answered come last. */
+const compareByMissedProbes = (left: ContactEntry, right: ContactEntry): number =>
     (left.missedProbes ?? Number.MAX_SAFE_INTEGER) - (right.missedProbes ?? Number.MAX_SAFE_INTEGER);
 
-const incrementMissedProbes = (known: KnownContact): void => {
-    known.missedProbes = known.missedProbes === undefined ? undefined : known.missedProbes + 1;
+const incrementMissedProbes = (entry: ContactEntry): void => {
+    entry.missedProbes = entry.missedProbes === undefined ? undefined : entry.missedProbes + 1;
 };
 
 const ensureCapacity = ({ contacts }: ZoneContacts): boolean => {
-    if (contacts.size < MAX_KNOWN_PER_ZONE) {
+    if (contacts.size < MAX_CONTACTS_PER_ZONE) {
         return true;
     }
-    const evictionCandidate = [...contacts.values()].filter((entry) => !isLive(entry)).sort(compareByMissedProbes).at(-1);
+    const evictionCandidate = [...contacts.values()]
+        .filter((entry) => !isLive(entry))
+        .sort(compareByMissedProbes)
+        .at(-1);
     return evictionCandidate !== undefined && contacts.delete(evictionCandidate.contact.id);
 };
 
-/** Starts with the zones of the seeds; others follow as their nodes are heard or `addZones` names them. */
+/**
+ * Creates a contact book that starts with the zones of the seeds. Further zones are added when their nodes send
+ * datagrams or when `addZones` is called.
+ */
 export const createContactBook = (dependencies: ContactBookDependencies): ContactBook => {
     const { localZone, clock, random, options, messenger, sources } = dependencies;
     const zonesByName = new Map<ZoneName, ZoneContacts>();
     let roundIndex = 0;
-    // At random, so that late answers to a former process at this address fit no probe of this one.
+    // A random start value prevents late answers to a previous process at this address from matching a probe of this
+    // process.
     let sequence = pickIndex(random, SEQUENCE_LIMIT);
     let nextProbeAt = clock.monotonic() + random() * options.contactProbePeriodMs;
 
@@ -101,7 +120,7 @@
         if (existing !== undefined || name === localZone || zonesByName.size >= MAX_ZONES) {
             return existing;
         }
-        const created = { name, contacts: new Map<NodeId, KnownContact>(), roundsWithoutLiveContact: 0, probedAt: 0 };
+        const created = { name, contacts: new Map<NodeId, ContactEntry>(), roundsWithoutLiveContact: 0, probedAt: 0 };
         zonesByName.set(name, created);
         return created;
     };
@@ -123,15 +142,18 @@
             });
     };
 
-    /** The contact that waits longest, so that all take turns and unanswered ones are tried again. */
-    const selectNextContact = (zone: ZoneContacts): KnownContact | undefined => {
-        const live = listLive(zone);
+    /**
+     * Returns the least recently probed contact, so that all contacts are probed in turn and unresponsive ones are
+     * retried.
+     */
+    const selectNextContact = (zone: ZoneContacts): ContactEntry | undefined => {
+        const live = listLiveContacts(zone);
         const pool = live.length >= options.contactsPerZone ? live : [...zone.contacts.values()];
         return [...pool].sort((left, right) => left.probedAt - right.probedAt)[0];
     };
 
     const probe = (zone: ZoneContacts, now: Milliseconds): number => {
-        const liveCount = listLive(zone).length;
+        const liveCount = listLiveContacts(zone).length;
         sequence = (sequence + 1) % SEQUENCE_LIMIT;
         zone.probedAt = now;
         const body = { kind: "ContactProbe", sequence, needsContacts: liveCount < options.contactsPerZone } as const;
@@ -148,9 +170,12 @@
         return sequence;
     };
 
-    /** Seeds and known contacts come first, if there are any: others are looked for when none of them answers. */
+    /**
+     * Searches for new contacts if no contact of the zone is live. Seeds and stored contacts, if there are any, get
+     * some rounds to answer first.
+     */
     const searchIfUnresponsive = (zone: ZoneContacts, signal: AbortSignal): void => {
-        if (listLive(zone).length > 0) {
+        if (listLiveContacts(zone).length > 0) {
             zone.roundsWithoutLiveContact = 0;
             sources.resetBackoff(zone.name);
             return;
@@ -158,7 +183,10 @@
         zone.roundsWithoutLiveContact += 1;
         const hasKnownEndpoint = zone.contacts.size > 0 || options.seeds.some((seed) => seed.zone === zone.name);
         if (!hasKnownEndpoint || zone.roundsWithoutLiveContact > ROUNDS_FOR_KNOWN_CONTACTS) {
-            sources.find({ zone: zone.name, roundsWithoutLiveContact: zone.roundsWithoutLiveContact, receive: addCandidates }, signal);
+            sources.find(
+                { zone: zone.name, roundsWithoutLiveContact: zone.roundsWithoutLiveContact, receive: addCandidates },
+                signal,
+            );
         }
     };
 
@@ -172,14 +200,18 @@
         roundIndex += 1;
         if (zone !== undefined) {
             searchIfUnresponsive(zone, signal);
-            const wasProbedRecently = now - zone.probedAt < options.contactProbePeriodMs * zonesByName.size * RECENT_PROBE_FRACTION;
-            if (!wasProbedRecently || listLive(zone).length === 0) {
+            const wasProbedRecently =
+                now - zone.probedAt < options.contactProbePeriodMs * zonesByName.size * RECENT_PROBE_FRACTION;
+            if (!wasProbedRecently || listLiveContacts(zone).length === 0) {
                 probe(zone, now);
             }
         }
     };
 
-    /** Shuffled among equals, so that one that hangs does not stand first each time. */
+    /**
+     * Returns contacts of a zone, those with the fewest missed probes first. Contacts with the same count are shuffled,
+     * so that a contact that hangs is not always the first one.
+     */
     const contactsOf = (name: ZoneName): readonly Contact[] => {
         const entries = [...zonesByName.get(name)?.contacts.values() ?? []];
         return [...pickSeveral(random, entries, entries.length)]
@@ -199,9 +231,9 @@
             add(contact, 0);
         },
         markUnresponsive: (contact) => {
-            const known = zonesByName.get(contact.zone)?.contacts.get(contact.id);
-            if (known !== undefined) {
-                incrementMissedProbes(known);
+            const entry = zonesByName.get(contact.zone)?.contacts.get(contact.id);
+            if (entry !== undefined) {
+                incrementMissedProbes(entry);
             }
         },
         addZones: (zones) => {
--- a/packages/oleandergap-membership/src/contactMessages.ts
+++ b/packages/oleandergap-membership/src/contactMessages.ts
@@ -1,4 +1,4 @@
-/** Answers contact probes of other availability zones, and takes the answers to this node's own. */
+/** Replies to contact probes of remote availability zones and processes the replies to probes of this node. */
 import type { Member } from "oleandergap-types";
 import { pickSeveral, type Random } from "oleandergap-utils";
 import type { ContactBook } from "./contactBook.js";
@@ -8,13 +8,13 @@
 import type { Endpoint } from "./transport.js";
 import type { ZoneDigests } from "./zoneDigests.js";
 
-/** Members of the own zone that are named to a node of another zone. */
+/** Number of local members that are suggested as contacts to a node of a remote zone. */
 const MAX_SUGGESTED_CONTACTS = 3;
 
 type ContactProbe = Extract<MessageBody, { kind: "ContactProbe" }>;
 type ContactReply = Extract<MessageBody, { kind: "ContactReply" }>;
 
-/** `from` is the endpoint that the transport saw. */
+/** Handlers of contact messages. `from` is the source endpoint reported by the transport. */
 export interface ContactMessages {
     readonly replyToProbe: (probe: ContactProbe, datagram: Datagram, from: Endpoint) => void;
     readonly receiveReply: (reply: ContactReply, datagram: Datagram, from: Endpoint) => void;
--- a/packages/oleandergap-membership/src/contactSources.ts
+++ b/packages/oleandergap-membership/src/contactSources.ts
@@ -1,10 +1,10 @@
 /**
- * Finds contacts in an availability zone of which nobody is known.
+ * Finds contacts in an availability zone that has no known contacts.
  *
- * Its roster in the object store names some, but if each node read it, the platform would get as many calls as there
- * are nodes times zones, all within seconds after a fleet started; one would see nearly a thousand for 195 nodes in
- * five zones. So a few members of each zone read rosters, and the others ask these, for all zones at once: 26 reads
- * instead of 110 for 36 nodes in three zones (model in memory, eight seconds from the start).
+ * The roster of the zone in the object store lists some of its members. If each node read every roster, the platform
+ * would receive one call per node and zone within seconds after the start of a fleet, nearly a thousand calls for 195
+ * nodes in five zones. Therefore only a few members of each zone read rosters, and the other members request the
+ * contacts of all zones from them. For 36 nodes in three zones, this reduces the reads during the start from 110 to 26.
  */
 import type { Clock, Member, Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import { pickOne, rankByRendezvous, type Random } from "oleandergap-utils";
@@ -12,34 +12,45 @@
 import type { Contact, FetchContacts } from "./membershipTypes.js";
 import type { RosterKeeper } from "./roster.js";
 
-/** Members of a zone that read other zones' rosters. Two, so that one of them may be dead or cut off. */
+/**
+ * Number of members per zone that read the rosters of remote zones. With two of them, one may be dead or disconnected.
+ */
 const ROSTER_READER_COUNT = 2;
-/** Turns without any contact after which a node reads the roster itself, as nobody that it asked could help. */
+/**
+ * Number of rounds without a live contact after which a node reads the roster itself, because the roster readers could
+ * not help.
+ */
 const ROUNDS_BEFORE_ROSTER_READ = 4;
-/** Turns in which the members of a zone that starts meet, so that they agree on the readers. */
+/**
+ * Number of rounds in which the members of a starting zone discover each other, so that they select the same roster
+ * readers.
+ */
 const ROUNDS_TO_CONVERGE = 2;
-/** Distance of two questions; each asks for all zones. */
+/** Shortest time between two requests to roster readers. Each request covers all zones. */
 const MIN_REQUEST_INTERVAL_MS: Milliseconds = 500;
-/** The same at every node, so that all take the same members for the readers. */
+/** Key for rendezvous hashing. It is the same on every node, so that all nodes select the same roster readers. */
 const RENDEZVOUS_KEY = "contacts";
 
-/** Where contacts of a silent zone come from. */
+/** Sources of contacts for zones without a live contact. */
 export interface ContactSources {
-    /** Starts to look for contacts; `receive` is called with what was found, of this zone or of others. */
+    /** Starts a search. `receive` is called with the contacts that were found, which may belong to any zone. */
     readonly find: (search: ContactSearch, signal: AbortSignal) => void;
-    /** A node of the zone answered: the next search need not wait. */
+    /**
+     * Resets the backoff of roster reads after a node of the zone has answered, so that the next search starts without
+     * a delay.
+     */
     readonly resetBackoff: (zone: ZoneName) => void;
 }
 
-/** A search for contacts of one zone. */
+/** Search for contacts of one zone. */
 export interface ContactSearch {
     readonly zone: ZoneName;
-    /** Turns in a row in which no contact of the zone was live, this one included. */
+    /** Number of consecutive rounds without a live contact in the zone, including the current round. */
     readonly roundsWithoutLiveContact: number;
     readonly receive: (contacts: readonly Contact[]) => void;
 }
 
-/** What the sources work with; without a roster or members that can be asked, they find less. */
+/** Dependencies of the contact sources. Without a roster or `fetchContacts`, the corresponding source is not used. */
 export interface ContactSourcesDependencies {
     readonly selfId: NodeId;
     readonly clock: Clock;
@@ -49,12 +60,18 @@
     readonly fetchContacts: FetchContacts | undefined;
 }
 
-/** A failed question is not repeated at once: the next turn asks again, perhaps somebody else. */
+/**
+ * Creates the contact sources. A failed request is not repeated immediately; the next round sends another one, possibly
+ * to a different roster reader.
+ */
 export const createContactSources = (dependencies: ContactSourcesDependencies): ContactSources => {
     const { selfId, clock, random, table, roster, fetchContacts } = dependencies;
     let nextRequestAt = clock.monotonic();
 
-    /** None while this node knows nobody of its own zone: every node would take itself for a reader then. */
+    /**
+     * Returns the roster readers of the local zone. The list is empty while too few members of the local zone are
+     * known, because otherwise every starting node would consider itself a reader.
+     */
     const listReaders = (): readonly Member[] => {
         const alive = table.listActive().filter(({ state }) => state === "alive");
         return alive.length < ROSTER_READER_COUNT ?
@@ -80,7 +97,8 @@
         find: (search, signal) => {
             const readers = listReaders();
             const isReader = readers.some(({ id }) => id === selfId);
-            const mustReadRoster = fetchContacts === undefined || search.roundsWithoutLiveContact >= ROUNDS_BEFORE_ROSTER_READ;
+            const mustReadRoster =
+                fetchContacts === undefined || search.roundsWithoutLiveContact >= ROUNDS_BEFORE_ROSTER_READ;
             if (mustReadRoster || isReader && search.roundsWithoutLiveContact >= ROUNDS_TO_CONVERGE) {
                 roster?.read(search.zone, search.receive, signal);
             }
--- a/packages/oleandergap-membership/src/datagramCodec.ts
+++ b/packages/oleandergap-membership/src/datagramCodec.ts
@@ -1,4 +1,7 @@
-/** Encodes and decodes datagrams as MessagePack. What arrives is checked whole; one wrong part drops the datagram. */
+/**
+ * Encodes datagrams as MessagePack and decodes them. A received datagram is validated completely; a single invalid part
+ * causes the whole datagram to be dropped.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import {
@@ -18,18 +21,24 @@
 import { SEAL_BYTES } from "./sealedTransport.js";
 import type { DropReason } from "./statistics.js";
 
-/** Largest UDP payload, in bytes, that passes every usual path without being fragmented. */
+/** Largest UDP payload, in bytes, that is not fragmented on any common network path. */
 const MAX_UDP_PAYLOAD_BYTES = 1200;
-/** Largest datagram of the membership, in bytes; leaves room for a seal. */
+/** Largest datagram of the membership protocol, in bytes, without the seal. */
 export const MAX_DATAGRAM_BYTES = MAX_UDP_PAYLOAD_BYTES - SEAL_BYTES;
-/** Bytes that frame one record within the list of records, and their share of the list's own length. */
+/** Framing overhead in bytes of one record within the list of records, and of the list itself. */
 const RECORD_FRAME_BYTES = 2;
 const LIST_FRAME_BYTES = 3;
-/** Raised with each change that older nodes cannot read; nodes of different formats drop each other's datagrams. */
+/**
+ * Version of the wire format. It is incremented with each change that older nodes cannot decode; nodes with different
+ * versions drop each other's datagrams.
+ */
 const FORMAT_VERSION = 2;
 const DIGEST_BYTES = 32;
 const MAX_RECORDS = 256;
-/** Heads accepted, and heads sent: so few that they fit with the longest names. */
+/**
+ * Largest number of heads in a received datagram, and the number that is sent. The sent heads fit into a datagram even
+ * with the longest names.
+ */
 const MAX_HEADS = 24;
 const MAX_SENT_HEADS = 8;
 
@@ -54,25 +63,28 @@
     z.array(headTupleSchema).max(MAX_HEADS).nullable(),
 ]);
 
-/** What a datagram is made of, before as many of its records as fit have been chosen. */
+/** Content of a datagram before the records are added. */
 export type DatagramParts = Omit<Datagram, "records">;
 
-/** A datagram with room for records. */
+/** Builds a datagram by adding records until it is full. */
 export interface DatagramBuilder {
-    /** Bytes of encoded records that still fit. */
+    /** Returns the number of bytes left for encoded records. */
     readonly remainingBytes: () => number;
-    /** Adds a record if it fits. */
+    /** Adds a record and returns true if the record fits, otherwise returns false. */
     readonly tryAddRecord: (member: Member) => boolean;
     readonly finish: () => Uint8Array;
 }
 
-/** `open` starts a datagram; `decode` gives what arrived, or why it is dropped. Neither throws on any payload. */
+/**
+ * `open` starts a new datagram; `decode` returns the decoded datagram or the reason for dropping it. `decode` does not
+ * throw for any payload.
+ */
 export interface DatagramCodec {
     readonly open: (parts: DatagramParts) => DatagramBuilder;
     readonly decode: (payload: Uint8Array) => Either<DropReason, Datagram>;
 }
 
-/** Bytes that a record takes in a datagram. */
+/** Returns the number of bytes that a record takes up in a datagram. */
 export const measureRecordBytes = (member: Member): number => encodeRecord(member).length + RECORD_FRAME_BYTES;
 
 const encodeHead = (head: Head): readonly unknown[] => [
@@ -81,7 +93,7 @@
     Buffer.from(head.digest, "hex"),
 ];
 
-/** Keeps the first heads that fit, so that a long list cannot make a datagram too large to be sent at all. */
+/** Encodes only the first heads, so that a long list cannot make the datagram too large to send. */
 const encodeHeads = (heads: readonly Head[] | undefined): readonly unknown[] | null =>
     heads === undefined ? null : heads.slice(0, MAX_SENT_HEADS).map(encodeHead);
 
@@ -115,7 +127,7 @@
     return either.right(heads === null ? datagram : { ...datagram, heads });
 };
 
-/** Nodes whose cluster names differ drop each other's datagrams. */
+/** Creates a codec for one cluster. Nodes with different cluster names drop each other's datagrams. */
 export const createDatagramCodec = (clusterName: string): DatagramCodec => {
     const clusterHash = hashText(`${clusterName}/${String(FORMAT_VERSION)}`);
 
--- a/packages/oleandergap-membership/src/datagramHandler.ts
+++ b/packages/oleandergap-membership/src/datagramHandler.ts
@@ -1,4 +1,4 @@
-/** Handles datagrams as they arrive: applies their records and heads, and answers their message. */
+/** Processes received datagrams: applies their records and heads, and replies to their message. */
 import type { Head, Member } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import type { ByteBudget } from "./byteBudget.js";
@@ -16,13 +16,16 @@
 import type { Endpoint } from "./transport.js";
 import type { ZoneDigests } from "./zoneDigests.js";
 
-/** Bytes of a ping that tells a member what is said of it, for the budget. */
+/**
+ * Estimated size, in bytes, of a ping that sends a member the record that others hold of it. Counted against the byte
+ * budget.
+ */
 const NOTIFICATION_PING_BYTES = 200;
 
-/** Kinds that may come from another availability zone. */
+/** Message kinds that are accepted from remote availability zones. */
 const crossZoneKinds: ReadonlySet<MessageKind> = new Set(["ContactProbe", "ContactReply", "Heads"]);
 
-/** `from` is the endpoint that the transport saw; answers go there. */
+/** Processes one datagram. `from` is the source endpoint reported by the transport; replies are sent to it. */
 export type HandleDatagram = (datagram: Datagram, from: Endpoint) => void;
 
 export interface DatagramHandlerDependencies {
@@ -46,14 +49,15 @@
         return other === undefined || other.sequence < head.sequence;
     });
 
-/** The handler may throw what a listener threw; its caller counts that. */
+/** Creates the handler. The handler rethrows errors of listeners; the caller counts them. */
 export const createDatagramHandler = (dependencies: DatagramHandlerDependencies): HandleDatagram => {
     const { self, table, updates, messenger, prober, synchronizer, contacts, heads } = dependencies;
     const { budget, statistics } = dependencies;
 
     /**
-     * Returns whether the sender is wrong about this node. It is told so even when this node refuted the same claim
-     * before: the sender may have lost the refutation, and would go on to declare this node dead.
+     * Applies the records of a datagram. Returns whether the sender holds an outdated record of this node. The sender
+     * is then informed even if this node has already refuted the same claim, because the earlier refutation may have
+     * been lost and the sender would go on to declare this node dead.
      */
     const applyRecords = (datagram: Datagram): boolean => {
         let isSenderOutdated = false;
@@ -70,17 +74,21 @@
         return isSenderOutdated;
     };
 
-    /** What the sender should hear: that it is thought gone or doubted, and that this node is alive after all. */
+    /**
+     * Selects the records for a reply: the stored record of the sender if it is not alive or is newer than the sender's
+     * own, and the record of this node if the sender holds an outdated one.
+     */
     const selectReplyRecords = (datagram: Datagram, isSenderOutdated: boolean): readonly Member[] => {
         const stored = table.get(datagram.id);
-        const mustNotifySender = stored !== undefined && (stored.state !== "alive" || stored.incarnation > datagram.incarnation);
+        const mustNotifySender =
+            stored !== undefined && (stored.state !== "alive" || stored.incarnation > datagram.incarnation);
         return [...(mustNotifySender ? [stored] : []), ...(isSenderOutdated ? [self()] : [])];
     };
 
     const selectReplyHeads = (datagram: Datagram): Pick<PiggybackedData, "heads"> =>
         datagram.headsHash === heads.hash() ? {} : { heads: heads.current() };
 
-    /** An answer shows that the asked node lacks heads that this one holds. */
+    /** Sends the configuration heads of this node if the received reply shows that its sender lacks some of them. */
     const sendNewerHeads = (datagram: Datagram, from: Endpoint): void => {
         if (datagram.headsHash !== heads.hash() && hasNewerHeads(heads.current(), datagram.heads ?? [])) {
             messenger.send(from, { kind: "Heads" }, { heads: heads.current() });
@@ -99,8 +107,8 @@
             messenger.send(from, { kind: "Ack", sequence: ping.sequence }, piggybacked);
             return;
         }
-        // The ping was meant for a former node at this address. Without an answer, the sender would suspect that node
-        // for seconds before it learnt of this one.
+        // The ping was addressed to a previous node at this endpoint. Without a reply, the sender would suspect that
+        // node for several seconds before it discovered this one.
         messenger.send(from, { kind: "Gossip" }, { ...piggybacked, records: [self(), ...records] });
     };
 
@@ -143,7 +151,10 @@
         }
     };
 
-    /** A member of which this node knows nothing, or only an earlier incarnation, is asked for what is missing. */
+    /**
+     * Starts a comparison of the complete state with a sender that is unknown to this node, or known only with a lower
+     * incarnation.
+     */
     const syncWithUnknownSender = (datagram: Datagram, from: Endpoint): void => {
         const stored = table.get(datagram.id);
         const isUnknownOrNewer = stored === undefined || stored.incarnation < datagram.incarnation;
--- a/packages/oleandergap-membership/src/datagramText.ts
+++ b/packages/oleandergap-membership/src/datagramText.ts
@@ -1,20 +1,20 @@
 /**
- * Text in datagrams, compressed where that saves much.
+ * Packs text for datagrams and compresses it if that saves a significant number of bytes.
  *
- * The cells of a version repeat names and addresses, so that a change of a few routes shrinks to a part of its text.
- * What fits into a datagram needs no connection at any receiver; fetched over a link that is full of requests, even
- * a small step would be late there.
+ * The cells of a version repeat names and addresses, so a change of a few routes compresses to a fraction of its text.
+ * Text that fits into a datagram does not require the receivers to open connections. Fetching even a small change over
+ * a link that is saturated with requests would be slow.
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 
-/** Shorter texts are sent as they are: there is little to save. */
+/** Texts shorter than this number of bytes are not compressed, because little would be saved. */
 const MIN_COMPRESSION_BYTES = 400;
-/** Longest text that is unpacked; a datagram that claims more is damaged or made up. */
+/** Largest size, in bytes, of a decompressed text. A datagram that exceeds it is corrupted or forged. */
 const MAX_TEXT_BYTES = 64 * 1024;
-/** First byte of compressed text. All texts are JSON objects, which begin with a brace. */
+/** First byte of compressed text. Uncompressed texts are JSON objects, which start with a brace. */
 const COMPRESSED_MARKER = 1;
 
-/** The bytes that stand for `text`. */
+/** Returns the packed form of `text`. */
 export const packText = (text: string): Uint8Array => {
     const plain = Buffer.from(text, "utf8");
     return plain.length < MIN_COMPRESSION_BYTES ?
@@ -22,7 +22,7 @@
         Buffer.concat([Buffer.of(COMPRESSED_MARKER), deflateRawSync(plain)]);
 };
 
-/** The text that `bytes` stand for; undefined when they are damaged. */
+/** Returns the text packed in `bytes`, or undefined if the bytes are corrupted. */
 export const unpackText = (bytes: Uint8Array): string | undefined => {
     if (bytes[0] !== COMPRESSED_MARKER) {
         return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength).toString("utf8");
@@ -31,7 +31,7 @@
         return inflateRawSync(bytes.subarray(1), { maxOutputLength: MAX_TEXT_BYTES }).toString("utf8");
     }
     catch {
-        // The receiver counts it among the datagrams that it drops.
+        // The caller counts the datagram as dropped.
         return undefined;
     }
 };
--- a/packages/oleandergap-membership/src/fleetKey.ts
+++ b/packages/oleandergap-membership/src/fleetKey.ts
@@ -1,6 +1,6 @@
 /**
- * The keys that all nodes of a fleet share, and what is derived from them. Datagrams and HTTP requests get derived keys
- * of their own, so that what is sent in one place proves nothing in another.
+ * Keys shared by all nodes of a fleet, and the credentials derived from them. Datagrams and HTTP requests use separate
+ * derived keys, so that a credential captured on one channel is not valid on the other.
  */
 import { createHmac, createSecretKey, timingSafeEqual, type KeyObject } from "node:crypto";
 import { isIPv6 } from "node:net";
@@ -8,29 +8,32 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import { formatEndpoint, type Endpoint } from "./transport.js";
 
-/** Shortest key, in bytes of text. */
+/** Minimum length of a key in bytes of text. */
 export const MIN_FLEET_KEY_BYTES = 32;
-/** The one in use, and one that is on its way in or out. */
+/** Largest number of accepted keys: the current one and one that is being introduced or retired. */
 const MAX_KEYS = 2;
 const HASH = "sha256";
-/** Longer ones would cost bytes at every call between nodes; guesses can only be tried against a node. */
+/**
+ * Length of a bearer token in bytes. A longer token would add bytes to every call between nodes, and guesses can only
+ * be tested against a running node.
+ */
 const BEARER_TOKEN_BYTES = 16;
 
-/** What one key stands for. Holds the key itself nowhere. */
+/** Keys derived from one fleet key. The fleet key itself is not stored. */
 export interface FleetKey {
-    /** Authenticates datagrams. */
+    /** Key that authenticates datagrams. */
     readonly datagramKey: KeyObject;
-    /** Authenticates HTTP requests between nodes. */
+    /** Key that authenticates HTTP requests between nodes. */
     readonly requestKey: KeyObject;
 }
 
-/** The first is used for what is sent; all are accepted for what arrives. */
+/** Accepted keys. The first key is used for sending; all keys are accepted when receiving. */
 export type FleetKeys = readonly [FleetKey, ...FleetKey[]];
 
-/** Gives the keys that hold at the moment, so that they can be replaced while a node runs. */
+/** Returns the currently accepted keys, so that they can be replaced while a node is running. */
 export type ReadFleetKeys = () => FleetKeys;
 
-/** Why a text holds no keys; never shows any of it. */
+/** Reason why a text contains no valid keys. It never includes any part of the text. */
 export interface FleetKeyError {
     readonly kind: "BadFleetKey";
     readonly problem: string;
@@ -46,12 +49,12 @@
 
 const createKeyError = (problem: string): Either<FleetKeyError, never> => either.left({ kind: "BadFleetKey", problem });
 
-/** Reads one key per line, the one in use first. */
+/** Parses a text with one key per line; the current key comes first. */
 export const parseFleetKeys = (text: string): Either<FleetKeyError, FleetKeys> => {
     const lines = text.split("\n").map((line) => line.trim()).filter((line) => line !== "");
     const [first, ...others] = lines;
     if (first === undefined || others.length >= MAX_KEYS) {
-        return createKeyError(`It must hold one or two keys, one per line; found ${lines.length}.`);
+        return createKeyError(`It must contain one or two keys, one per line; found ${lines.length}.`);
     }
     if (lines.some((line) => Buffer.byteLength(line) < MIN_FLEET_KEY_BYTES)) {
         return createKeyError(`A key must have at least ${MIN_FLEET_KEY_BYTES} bytes.`);
@@ -59,7 +62,7 @@
     return either.right([createFleetKey(first), ...others.map(createFleetKey)]);
 };
 
-/** IPv6 addresses have several spellings; both ends must hash the same one. */
+/** Normalizes an IPv6 address, which can be written in several ways, because both sides must hash the same text. */
 const normalizeAddress = (address: string): string =>
     isIPv6(address) ? new URL(`http://[${address}]`).hostname : address;
 
@@ -72,13 +75,15 @@
 const BEARER_PATTERN = /^Bearer ([\w-]+)$/;
 
 /**
- * Value of the `authorization` header of a request to a node. It holds for that node only: whoever lures a node into
- * calling a foreign address learns nothing that others accept.
+ * Returns the value of the `authorization` header for a request to the node at `to`. The value is valid for this node
+ * only, so an attacker who tricks a node into calling a foreign address gets no credential that other nodes accept.
  */
 export const createPeerAuthorization = ([current]: FleetKeys, to: Endpoint): string =>
     `Bearer ${computeBearerToken(current, to).toString("base64url")}`;
 
-/** Whether a request that arrived at `self` comes from a node of the fleet. Compares in constant time. */
+/**
+ * Returns whether a request received at `self` comes from a node of the fleet. Tokens are compared in constant time.
+ */
 export const isPeerAuthorized = (keys: FleetKeys, self: Endpoint, authorization: string | undefined): boolean => {
     const receivedToken = Buffer.from(BEARER_PATTERN.exec(authorization ?? "")?.[1] ?? "", "base64url");
     if (receivedToken.length !== BEARER_TOKEN_BYTES) {
--- a/packages/oleandergap-membership/src/gossiper.ts
+++ b/packages/oleandergap-membership/src/gossiper.ts
@@ -1,4 +1,7 @@
-/** Pushes queued updates to a few members at short intervals, as long as there are any; at rest it sends nothing. */
+/**
+ * Pushes queued updates to a few members at short intervals until the queue is empty. Nothing is sent while the queue
+ * is empty.
+ */
 import type { Clock, Member, NodeId } from "oleandergap-types";
 import { pickSeveral, type Random } from "oleandergap-utils";
 import type { ByteBudget } from "./byteBudget.js";
@@ -9,14 +12,14 @@
 import { getControlEndpoint } from "./prober.js";
 import type { UpdateQueue } from "./updateQueue.js";
 
-/** Members told at once of this node's leaving, as a multiple of the usual fan-out. */
+/** Number of members that receive each leave announcement, as a multiple of the gossip fan-out. */
 const LEAVE_FANOUT_FACTOR = 2;
 const LEAVE_ROUNDS = 3;
 
-/** Pushes within its byte budget; only leaving is told regardless of it. */
+/** Sends updates within a byte budget. Leave announcements are sent regardless of the budget. */
 export interface Gossiper {
     readonly poll: () => void;
-    /** Tells several members of `self` directly, several times. */
+    /** Sends the record of this node directly to several members, several times. */
     readonly announceLeave: (self: Member) => Promise<void>;
 }
 
--- a/packages/oleandergap-membership/src/headExchange.ts
+++ b/packages/oleandergap-membership/src/headExchange.ts
@@ -1,16 +1,17 @@
 /**
- * Decides when a datagram carries the configuration heads.
+ * Decides which datagrams contain the configuration heads.
  *
- * Every datagram carries a hash of the sender's heads (5 bytes). The heads themselves (about 45 bytes each) go along
- * only in the answer to a datagram with another hash, and back to an answer that shows lower ones. So two nodes that
- * agree pay for the hash only, and two that differ find out with any exchange, whichever of them began it.
+ * Every datagram contains a hash of the sender's heads (5 bytes). The heads themselves (about 45 bytes each) are added
+ * only to the reply to a datagram with a different hash, and are sent back if that reply contains lower heads. Nodes
+ * with equal heads therefore only pay for the hash, and nodes with different heads detect the difference with any
+ * exchange, no matter which of them started it.
  */
 import type { Head } from "oleandergap-types";
 import { hashText } from "oleandergap-utils";
 import type { HeadPiggyback, ReceiveHeads, Unsubscribe } from "./membershipTypes.js";
 
 export interface HeadExchange {
-    /** Hash of the heads in force at this node. */
+    /** Returns the hash of the heads that are active on this node. */
     readonly hash: () => number;
     readonly current: () => readonly Head[];
     readonly receive: ReceiveHeads;
@@ -21,7 +22,7 @@
 
 const formatHead = (head: Head): string => `${head.partner} ${String(head.sequence)} ${head.digest}`;
 
-/** The piggyback's own receiver, if it has one, is called before those that subscribed. */
+/** Creates the head exchange. `piggyback.receiveHeads`, if present, is called before the subscribed listeners. */
 export const createHeadExchange = (piggyback: HeadPiggyback): HeadExchange => {
     const listeners = new Set<ReceiveHeads>();
     if (piggyback.receiveHeads !== undefined) {
--- a/packages/oleandergap-membership/src/index.ts
+++ b/packages/oleandergap-membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Which nodes and targets exist: probing, suspicion and zone directories. */
+/** Membership of nodes and targets: failure detection, gossip and target directories of the availability zones. */
 export { MAX_DATAGRAM_BYTES } from "./datagramCodec.js";
 export { packText, unpackText } from "./datagramText.js";
 export * from "./fleetKey.js";
--- a/packages/oleandergap-membership/src/localHealth.ts
+++ b/packages/oleandergap-membership/src/localHealth.ts
@@ -1,19 +1,19 @@
 /**
- * How well this node itself keeps up, after the Lifeguard extensions of SWIM.
+ * Tracks the health of this node itself, following the Lifeguard extensions of SWIM.
  *
- * A node that is starved of processor time misses answers that did arrive and would suspect healthy members; one would
- * see suspicions that all start at one node and are all refuted. Its own score then stretches its periods and timeouts,
- * so that it judges others more slowly until it keeps up again.
+ * A node without enough processor time does not process replies in time and would suspect healthy members. Such
+ * suspicions all originate from one node and are all refuted. The node's own score therefore extends its periods and
+ * timeouts, so that it detects failures more slowly until it recovers.
  */
 export interface LocalHealth {
-    /** Adds to the score, or takes from it when negative. */
+    /** Adds `change`, which may be negative, to the score. */
     readonly adjust: (change: number) => void;
     readonly score: () => number;
-    /** Factor for periods and timeouts; 1 when healthy. */
+    /** Returns the factor for periods and timeouts; 1 if the node is healthy. */
     readonly multiplier: () => number;
 }
 
-/** The score stays between 0 and `maxScore`. */
+/** Creates a health score that is limited to the range from 0 to `maxScore`. */
 export const createLocalHealth = (maxScore: number): LocalHealth => {
     let score = 0;
     return {
--- a/packages/oleandergap-membership/src/measure/measureMembers.ts
+++ b/packages/oleandergap-membership/src/measure/measureMembers.ts
@@ -1,14 +1,15 @@
 /**
- * Measures members over real UDP on loopback, all in this process: what one costs at rest, how fast an update and a
- * death become known. Run as `node packages/oleandergap-membership/lib/measure/measureMembers.js 60 20` for 60 members
- * and 20 seconds at rest; prints one JSON object.
+ * Runs members over real UDP on loopback in one process and measures the cost of an idle member and the time until an
+ * update and a death are known to all members. Run as `node
+ * packages/oleandergap-membership/lib/measure/measureMembers.js 60 20` for 60 members and 20 idle seconds. Prints one
+ * JSON object.
  */
 import { createLogger } from "oleandergap-logger";
 import { createSeededRandom, createSystemClock } from "oleandergap-utils";
 import { createMembership, createUdpTransport, membershipOptionsSchema, type Membership } from "../index.js";
 
 const ADDRESS = "127.0.0.1";
-/** IPv4 and UDP headers of one datagram. */
+/** Size in bytes of the IPv4 and UDP headers of one datagram. */
 const HEADER_BYTES = 28;
 const SETTLE_MS = 15_000;
 const WATCH_STEP_MS = 20;
@@ -18,7 +19,7 @@
 
 interface RunningMember {
     readonly membership: Membership;
-    readonly end: AbortController;
+    readonly abortController: AbortController;
 }
 
 const clock = createSystemClock();
@@ -38,12 +39,12 @@
             heads: () => ["halloway", "kushiro"].map((partner) => ({ partner, sequence: 1, digest: "0".repeat(64) })),
         },
     });
-    const end = new AbortController();
+    const abortController = new AbortController();
     if (seedPort !== undefined) {
         membership.join([{ address: ADDRESS, port: seedPort }]);
     }
-    await membership.start(end.signal);
-    return { membership, end };
+    await membership.start(abortController.signal);
+    return { membership, abortController };
 };
 
 const startMembers = async (count: number): Promise<readonly RunningMember[]> => {
@@ -53,7 +54,10 @@
     return [first, ...await Promise.all(rest)];
 };
 
-/** Bytes sent by all members, with IP and UDP headers. Each is received once, so this is the rate of each direction. */
+/**
+ * Returns the bytes sent by all members, including IP and UDP headers. Each datagram is received once, so the result is
+ * valid for each direction.
+ */
 const countSentBytes = (members: readonly RunningMember[]): number =>
     members
         .flatMap(({ membership }) => Object.values(membership.stats().traffic))
@@ -91,7 +95,7 @@
     first?.membership.setTarget(target);
     const leavingKnownToAllMs = await waitFor(() =>
         members.every(({ membership }) => membership.member("vm-0")?.target?.leaving === true));
-    second?.end.abort();
+    second?.abortController.abort();
     const deathKnownToAllMs = await waitFor(() =>
         rest.every(({ membership }) => membership.member("vm-1")?.state === "dead"));
     const nodesWithOtherLists = rest.filter(({ membership }) => membership.members().length !== members.length - 1);
@@ -102,10 +106,10 @@
 const seconds = Number(process.argv[3] ?? "20");
 const members = await startMembers(count);
 await clock.sleep(SETTLE_MS, neverAborted);
-const joined = members.filter(({ membership }) => membership.members().length === count).length;
+const joinedCount = members.filter(({ membership }) => membership.members().length === count).length;
 const rest = await measureIdle(members, seconds);
 const events = await measureEvents(members);
-members.forEach(({ end }) => {
-    end.abort();
+members.forEach(({ abortController }) => {
+    abortController.abort();
 });
-console.log(JSON.stringify({ members: count, seconds, joined, ...rest, ...events }));
+console.log(JSON.stringify({ members: count, seconds, joined: joinedCount, ...rest, ...events }));
--- a/packages/oleandergap-membership/src/measure/measureRefresh.ts
+++ b/packages/oleandergap-membership/src/measure/measureRefresh.ts
@@ -1,8 +1,8 @@
 /**
- * Measures what the targets of other availability zones cost a node at rest, and how soon a leaving target is known
- * elsewhere, over the network in memory and on the manual clock. Run as
- * `node packages/oleandergap-membership/lib/measure/measureRefresh.js 9 6 10 digests` for 9 zones of 6 nodes and 10
- * services in use; `fetches` in place of `digests` leaves the contacts unasked, so that each refresh is a fetch.
+ * Measures the idle cost per node of tracking the targets of remote availability zones, and the time until a leaving
+ * target is known in them, on an in-memory network with a manual clock. Run as `node
+ * packages/oleandergap-membership/lib/measure/measureRefresh.js 9 6 10 digests` for 9 zones of 6 nodes and 10 services
+ * in use. With `fetches` instead of `digests`, contacts are not probed, so each refresh is a fetch.
  */
 import * as taskEither from "fp-ts/lib/TaskEither.js";
 import { createLogger } from "oleandergap-logger";
@@ -19,9 +19,9 @@
 } from "../index.js";
 import { createMemoryNetwork } from "../testing/index.js";
 
-/** IPv4 and UDP headers of one datagram. */
+/** Size in bytes of the IPv4 and UDP headers of one datagram. */
 const DATAGRAM_HEADER_BYTES = 28;
-/** HTTP headers of a call between peers, both directions; docs/DISTRIBUTION.md has the run. */
+/** Size in bytes of the HTTP headers of a call between peers, in both directions; see docs/DISTRIBUTION.md. */
 const CALL_HEADER_BYTES = 223;
 const CONTROL_PORT = 17_082;
 const SETTLE_MS = 40_000;
@@ -66,7 +66,7 @@
     const contact = pickOne(random, membership().contactsOf(zone));
     const contacted = nodes.find((node) => node.membership.self().id === contact?.id);
     if (contacted === undefined) {
-        return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "nobody" })();
+        return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "no contact" })();
     }
     const answer = contacted.directory.answerZoneTargets(request);
     traffic.calls += 1;
@@ -86,7 +86,8 @@
         transport: network.createTransport({ address, port: CONTROL_PORT }),
         logger: createLogger("membership"),
         options: membershipOptionsSchema.parse({
-            seeds: zoneNames.map((name, other) => ({ zone: name, address: formatAddress(other, 0), port: CONTROL_PORT })),
+            seeds: zoneNames.map((name, other) =>
+                ({ zone: name, address: formatAddress(other, 0), port: CONTROL_PORT })),
         }),
         piggyback: {
             heads: () => ["halloway", "kushiro"].map((partner) => ({ partner, sequence: 1, digest: "0".repeat(64) })),
@@ -122,36 +123,39 @@
 const measureIdle = async (): Promise<object> => {
     const before = { ...traffic, datagramBytes: countDatagramBytes() };
     await clock.advance(REST_MS);
-    const share = nodes.length * REST_MS / MILLISECONDS_PER_SECOND;
+    const nodeSeconds = nodes.length * REST_MS / MILLISECONDS_PER_SECOND;
     return {
-        datagramBytesSentPerNodeAndSecond: Math.round((countDatagramBytes() - before.datagramBytes) / share),
-        callBytesPerNodeAndSecond: Math.round((traffic.callBytes - before.callBytes) / share),
-        callsPerNodeAndSecond: Math.round((traffic.calls - before.calls) / share * PERCENT) / PERCENT,
+        datagramBytesSentPerNodeAndSecond: Math.round((countDatagramBytes() - before.datagramBytes) / nodeSeconds),
+        callBytesPerNodeAndSecond: Math.round((traffic.callBytes - before.callBytes) / nodeSeconds),
+        callsPerNodeAndSecond: Math.round((traffic.calls - before.calls) / nodeSeconds * PERCENT) / PERCENT,
     };
 };
 
-/** Time until the nodes of all other zones show a leaving target as such: for half of them, and for the last. */
-const measureLeaving = async (round: number): Promise<{ readonly half: number; readonly all: number }> => {
-    const leaver = nodes[(round * nodesPerZone + 1 + Math.floor(round / zoneCount)) % nodes.length];
-    const others = nodes.filter(({ zone }) => zone !== leaver?.zone);
-    const target = leaver?.membership.self().target;
-    if (leaver === undefined || target === undefined) {
-        throw new Error("no target to leave");
+/**
+ * Returns the time in milliseconds until half of the nodes of the remote zones, and until all of them, list a leaving
+ * target as leaving.
+ */
+const measureLeaving = async (round: number): Promise<{ readonly halfMs: number; readonly allMs: number }> => {
+    const leavingNode = nodes[(round * nodesPerZone + 1 + Math.floor(round / zoneCount)) % nodes.length];
+    const others = nodes.filter(({ zone }) => zone !== leavingNode?.zone);
+    const target = leavingNode?.membership.self().target;
+    if (leavingNode === undefined || target === undefined) {
+        throw new Error("The node has no target.");
     }
-    leaver.membership.setTarget({ ...target, leaving: true });
-    const { id } = leaver.membership.self();
-    const isKnown = ({ directory }: RunningNode): boolean =>
+    leavingNode.membership.setTarget({ ...target, leaving: true });
+    const { id } = leavingNode.membership.self();
+    const isLeavingKnown = ({ directory }: RunningNode): boolean =>
         directory.targetsOf(target).some(({ nodeId, leaving }) => nodeId === id && leaving);
     let half = WATCH_LIMIT_MS;
-    for (let passed = 0; passed < WATCH_LIMIT_MS; passed += WATCH_STEP_MS) {
-        const knownCount = others.filter(isKnown).length;
-        half = knownCount * 2 >= others.length ? Math.min(half, passed) : half;
+    for (let elapsedMs = 0; elapsedMs < WATCH_LIMIT_MS; elapsedMs += WATCH_STEP_MS) {
+        const knownCount = others.filter(isLeavingKnown).length;
+        half = knownCount * 2 >= others.length ? Math.min(half, elapsedMs) : half;
         if (knownCount === others.length) {
-            return { half, all: passed };
+            return { halfMs: half, allMs: elapsedMs };
         }
         await clock.advance(WATCH_STEP_MS);
     }
-    return { half, all: WATCH_LIMIT_MS };
+    return { halfMs: half, allMs: WATCH_LIMIT_MS };
 };
 
 zoneNames.forEach((_, zoneIndex) => {
@@ -162,7 +166,7 @@
 keepServicesInUse();
 await clock.advance(SETTLE_MS);
 const rest = await measureIdle();
-const leaving: { readonly half: number; readonly all: number }[] = [];
+const leaving: { readonly halfMs: number; readonly allMs: number }[] = [];
 for (let round = 0; round < LEAVING_ROUNDS; round++) {
     leaving.push(await measureLeaving(round));
     await clock.advance(SETTLE_MS / LEAVING_ROUNDS);
@@ -173,6 +177,6 @@
     services: serviceCount,
     asksContacts,
     ...rest,
-    leavingKnownToHalfMs: leaving.map(({ half }) => half),
-    leavingKnownToAllMs: leaving.map(({ all }) => all),
+    leavingKnownToHalfMs: leaving.map(({ halfMs }) => halfMs),
+    leavingKnownToAllMs: leaving.map(({ allMs }) => allMs),
 })}\n`);
--- a/packages/oleandergap-membership/src/memberRound.ts
+++ b/packages/oleandergap-membership/src/memberRound.ts
@@ -1,15 +1,18 @@
-/** Hands out the other members in turn, in an order that is shuffled anew each round. */
+/** Iterates over the other members in round-robin order. The order is shuffled again for each round. */
 import type { Member, NodeId } from "oleandergap-types";
 import { pickSeveral, type Random } from "oleandergap-utils";
 import { isDeadOrLeft } from "./memberRecord.js";
 import type { MemberTable } from "./memberTable.js";
 
 export interface MemberRound {
-    /** The next member that is present, or undefined when this node is alone. */
+    /** Returns the next alive or suspect member, or undefined if this node is the only member. */
     readonly next: () => Member | undefined;
 }
 
-/** All members but the one named; the candidates of probes, pushes and comparisons. */
+/**
+ * Returns all alive and suspect members except the given one. They are the candidates for probes, gossip and state
+ * comparisons.
+ */
 export const listOtherMembers = (table: MemberTable, selfId: NodeId): readonly Member[] =>
     table.listActive().filter((member) => member.id !== selfId);
 
--- a/packages/oleandergap-membership/src/memberTable.ts
+++ b/packages/oleandergap-membership/src/memberTable.ts
@@ -1,20 +1,25 @@
-/** The records of the own availability zone's members, this node included, and tombstones of those that are gone. */
+/**
+ * Stores the records of the members of the local availability zone, including this node, and tombstones of members that
+ * died or left.
+ */
 import type { Clock, Member, Milliseconds, NodeId } from "oleandergap-types";
 import { isDeadOrLeft } from "./memberRecord.js";
 import type { MemberChange, Unsubscribe } from "./membershipTypes.js";
 import { getBucket, createStateDigest, type StateDigest } from "./stateDigest.js";
 
-/** Most tombstones; beyond it the oldest go first, so that their memory is bounded. */
+/** Largest number of tombstones. The oldest ones are removed first, so that their memory is bounded. */
 const MAX_TOMBSTONES = 4096;
 
-/** Stores what it is told; the rules by which records change are in `memberUpdates`. */
+/** Stores records without checking them; the rules for changes are implemented in `memberUpdates`. */
 export interface MemberTable {
     readonly get: (id: NodeId) => Member | undefined;
     readonly put: (member: Member) => void;
-    /** Alive and suspect members, this node included. The same array until a member changes. */
+    /**
+     * Returns the alive and suspect members, including this node. The same array is returned until a member changes.
+     */
     readonly listActive: () => readonly Member[];
     readonly listTombstones: () => readonly Member[];
-    /** Forgets all members but this node. */
+    /** Removes all members except this node. */
     readonly removeOthers: () => void;
     readonly removeExpiredTombstones: () => void;
     readonly listInBuckets: (buckets: readonly number[]) => readonly Member[];
@@ -28,7 +33,7 @@
     readonly tombstoneMs: Milliseconds;
 }
 
-/** The table starts with this node's own record. */
+/** Creates a table that contains the record of this node. */
 export const createMemberTable = ({ self, clock, tombstoneMs }: MemberTableDependencies): MemberTable => {
     const members = new Map<NodeId, Member>();
     const departedAt = new Map<NodeId, Milliseconds>();
@@ -62,7 +67,7 @@
     const removeExpiredTombstones = (): void => {
         const oldestAllowed = clock.monotonic() - tombstoneMs;
         let excess = departedAt.size - MAX_TOMBSTONES;
-        // The map keeps the order in which members went, so the first one that stays ends the search.
+        // The map is ordered by the time of departure, so the first tombstone that is kept ends the iteration.
         for (const [id, since] of departedAt) {
             if (since >= oldestAllowed && excess <= 0) {
                 return;
--- a/packages/oleandergap-membership/src/memberUpdates.ts
+++ b/packages/oleandergap-membership/src/memberUpdates.ts
@@ -1,4 +1,7 @@
-/** Applies what this node hears of members: merges, suspects, refutes, and queues what others should hear. */
+/**
+ * Applies received member records: merges them, manages suspicions, refutes false claims about this node, and queues
+ * the updates that other members should receive.
+ */
 import type { Member, NodeId } from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
 import { isDeadOrLeft, mergeRecords } from "./memberRecord.js";
@@ -8,26 +11,29 @@
 import type { Suspicions } from "./suspicions.js";
 import type { UpdateQueue } from "./updateQueue.js";
 
-/** How a record arrived: told as news, or found in another node's whole state. */
+/** How a record arrived: as a gossip update, or as part of an anti-entropy exchange of the complete state. */
 export type RecordSource = "Gossip" | "Sync";
 
-/** What a record led to. */
+/** Result of applying a record. */
 export type ApplyOutcome =
     | "Unchanged"
     | "Changed"
-    /** The record called a member dead that this node holds alive; the member itself should hear of it. */
+    /**
+     * The record declares a member dead that this node considers alive. The member should be informed, so that it can
+     * refute the claim.
+     */
     | "Contested"
-    /** The record was about this node and wrong, so this node raised its incarnation. */
+    /** The record contains a false claim about this node, which has raised its incarnation to refute it. */
     | "Refuted";
 
-/** The only way by which records change. */
+/** The only component that changes records in the member table. */
 export interface MemberUpdates {
     readonly apply: (record: Member, source: RecordSource) => ApplyOutcome;
-    /** Starts to suspect a member whose probe failed. */
+    /** Starts a suspicion of a member whose probe failed. */
     readonly suspect: (member: Member) => void;
-    /** Declares a suspect dead. */
+    /** Declares a suspect member dead. */
     readonly declareDead: (id: NodeId) => void;
-    /** Changes this node's own record. */
+    /** Changes the record of this node. */
     readonly changeSelf: (change: (self: Member) => Member) => void;
 }
 
@@ -44,12 +50,12 @@
     left.address === right.address && left.controlPort === right.controlPort;
 
 /**
- * Weakens a claim of death about a member that this node holds alive.
+ * Downgrades a claim that a member is dead if this node considers the member alive.
  *
- * Two halves of a zone that were cut apart call each other dead. If the claims were believed when the halves meet
- * again, every node would take the whole zone for dead until each refutation came round; one would see all targets
- * vanish for seconds. News of a death comes with a suspicion period of its own, and whole-state exchanges, which carry
- * old claims by the hundred, change nothing before the member had the chance to refute.
+ * The two sides of a network partition declare each other dead. If these claims were accepted when the partition heals,
+ * every node would consider the whole zone dead until all refutations arrived, and all targets would disappear for
+ * seconds. A claim received by gossip therefore only starts a new suspicion. Claims in anti-entropy exchanges, which
+ * can contain hundreds of old claims, change nothing before the member has had the chance to refute them.
  */
 const downgradeDeathClaim = (stored: Member, record: Member, source: RecordSource): Member => {
     if (record.state !== "dead" || isDeadOrLeft(stored)) {
@@ -67,7 +73,7 @@
     const getSelf = (): Member => {
         const self = table.get(selfId);
         if (self === undefined) {
-            throw new Error("The member table lost this node's own record");
+            throw new Error("The member table does not contain the record of this node");
         }
         return self;
     };
@@ -96,7 +102,7 @@
         store(getSelf(), change(getSelf()), true);
     };
 
-    /** Makes sure that this node's incarnation is above `incarnation`. */
+    /** Raises the incarnation of this node above `incarnation` if necessary. */
     const raiseIncarnationAbove = (incarnation: number): void => {
         const self = getSelf();
         if (self.incarnation > incarnation || self.state === "left" || incarnation >= MAX_INCARNATION) {
@@ -120,7 +126,10 @@
         return "Refuted";
     };
 
-    /** Of several members at one endpoint, only the one with the highest incarnation can still be there. */
+    /**
+     * Resolves conflicts between members with the same endpoint: only the one with the highest incarnation can still be
+     * running, so the others are declared dead.
+     */
     const resolveEndpointConflict = (newMember: Member): void => {
         for (const other of [...table.listActive()]) {
             if (other.id === newMember.id || !haveSameEndpoint(other, newMember)) {
@@ -140,11 +149,14 @@
             return applyToSelf(record);
         }
         const stored = table.get(record.id);
-        const accepted = stored === undefined ? record : mergeRecords(stored, downgradeDeathClaim(stored, record, source));
+        const accepted = stored === undefined ?
+            record :
+            mergeRecords(stored, downgradeDeathClaim(stored, record, source));
         const isContested = stored !== undefined && !isDeadOrLeft(accepted) && record.state === "dead" &&
             record.incarnation >= accepted.incarnation;
         if (accepted !== stored) {
-            // What a joiner learns from a whole state is news to nobody else; passing it on would cost megabytes.
+            // The records that a joining node receives in an anti-entropy exchange are already known to the other
+            // members. Gossiping them would cost megabytes.
             store(stored, accepted, source === "Gossip");
             const isNewMember = stored === undefined || isDeadOrLeft(stored) || !haveSameEndpoint(stored, accepted);
             if (isNewMember && !isDeadOrLeft(accepted)) {
--- a/packages/oleandergap-membership/src/membership.ts
+++ b/packages/oleandergap-membership/src/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Membership of the nodes of one availability zone, after SWIM with the Lifeguard extensions, and contacts in the other
- * zones. One timer drives everything; docs/MEMBERSHIP.md gives the design and its bounds.
+ * Membership of the nodes of one availability zone, based on SWIM with the Lifeguard extensions, and contacts in the
+ * remote zones. A single timer drives all activities; docs/MEMBERSHIP.md describes the design and its bounds.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Milliseconds } from "oleandergap-types";
@@ -13,9 +13,12 @@
 
 /** Resolution of all timeouts. */
 const TICK_MS: Milliseconds = 100;
-/** After a pause of this share of the tombstones' life, this node's records may be older than any tombstone. */
+/**
+ * After a pause longer than this fraction of the tombstone lifetime, records of this node may be older than any
+ * tombstone.
+ */
 const STALE_PAUSE_FRACTION = 0.5;
-/** Added to the health score by a pause. */
+/** Increase of the health score after a pause. */
 const PAUSE_HEALTH_PENALTY = 2;
 
 const createReceiver = (parts: MembershipParts, dependencies: MembershipDependencies): ReceiveDatagram =>
@@ -30,7 +33,7 @@
             parts.handleDatagram(decoded.right, from);
         }
         catch (error) {
-            // A listener's fault must not end the process, nor the handling of later datagrams.
+            // An error thrown by a listener must not end the process or prevent the processing of later datagrams.
             parts.statistics.countDropped("HandlerFailed");
             dependencies.logger.error("handling a datagram failed", { detail: String(error) });
         }
@@ -43,13 +46,14 @@
 ): void => {
     const { clock, logger, options, self } = dependencies;
     parts.statistics.countEvent("paused");
-    logger.warn("this process was paused; it judges nobody by the time that passed", { durationMs: duration });
+    logger.warn("this process was paused; restarting pending probes and suspicions", { durationMs: duration });
     parts.health.adjust(PAUSE_HEALTH_PENALTY);
     parts.prober.cancelProbes();
     parts.suspicions.restartAll();
     if (duration > options.tombstoneMs * STALE_PAUSE_FRACTION) {
-        // Others may have forgotten members that died meanwhile; telling them of those would bring them back.
-        logger.warn("forgetting all members after a long pause", { at: clock.now() });
+        // Other members may have removed the tombstones of members that died during the pause. Gossiping the old
+        // records would bring those members back.
+        logger.warn("removing all other members after a long pause", { at: clock.now() });
         parts.rejoiner.addCandidates(listOtherMembers(parts.table, self.id).map(getControlEndpoint));
         parts.table.removeOthers();
         parts.queue.clear();
@@ -87,7 +91,7 @@
         }
         catch (error) {
             parts.statistics.countDropped("HandlerFailed");
-            logger.error("a periodic duty failed", { detail: String(error) });
+            logger.error("a periodic task failed", { detail: String(error) });
         }
     };
     createTicker({
@@ -107,7 +111,7 @@
     }).start(signal);
 };
 
-/** Resolves when another member is known, the join timeout passed, or `signal` aborts. */
+/** Resolves when another member is known, when the join timeout has passed, or when `signal` aborts. */
 const waitForMember = async (
     parts: MembershipParts,
     { clock, options, self }: MembershipDependencies,
@@ -144,7 +148,7 @@
     await parts.gossiper.announceLeave(parts.self());
 };
 
-/** Creates the membership; it neither sends nor receives before `start`. */
+/** Creates the membership. Nothing is sent or received before `start` is called. */
 export const createMembership = (dependencies: MembershipDependencies): Membership => {
     const parts = createMembershipParts(dependencies);
     const { table, updates, messenger, heads, contacts, statistics, health } = parts;
--- a/packages/oleandergap-membership/src/membershipParts.ts
+++ b/packages/oleandergap-membership/src/membershipParts.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of the membership. */
+/** Creates and connects the components of the membership. */
 import type { Member, Milliseconds } from "oleandergap-types";
 import { createByteBudget, type ByteBudget } from "./byteBudget.js";
 import { createContactBook, type ContactBook } from "./contactBook.js";
@@ -21,14 +21,16 @@
 import { createUpdateQueue, type UpdateQueue } from "./updateQueue.js";
 import { createZoneDigests, type ZoneDigests } from "./zoneDigests.js";
 
-/** Datagrams that pushes may send at once after a quiet time. */
+/** Number of datagrams that the gossiper may send in one burst. */
 const GOSSIP_BURST_DATAGRAMS = 8;
-/** Datagrams that whole-state exchanges may send at once; enough for the whole state of a large zone. */
+/**
+ * Number of datagrams that anti-entropy exchanges may send in one burst. It covers the complete state of a large zone.
+ */
 const SYNC_BURST_DATAGRAMS = 64;
-/** The suspicion period does not shrink any further in zones smaller than this. */
+/** Zones smaller than this use the same suspicion timeout as a zone of this size. */
 const MIN_ZONE_SIZE = 10;
 
-/** State that the parts share. */
+/** State shared by the components. */
 interface SharedState {
     readonly self: () => Member;
     readonly table: MemberTable;
@@ -55,15 +57,16 @@
 }
 
 /**
- * Time from the start of a suspicion to the declaration of death. It grows with the logarithm of the zone's size, as
- * the time does that a suspicion and its refutation need to reach everybody.
+ * Returns the time from the start of a suspicion until the suspect is declared dead. It grows with the logarithm of the
+ * zone size, like the time in which a suspicion and its refutation spread to all members.
  */
 export const computeSuspicionTimeout = (
     options: MembershipDependencies["options"],
     zoneSize: number,
     healthMultiplier: number,
 ): Milliseconds => {
-    const timeoutByZoneSize = options.suspicionMultiplier * Math.log10(Math.max(MIN_ZONE_SIZE, zoneSize)) * options.probePeriodMs;
+    const timeoutByZoneSize =
+        options.suspicionMultiplier * Math.log10(Math.max(MIN_ZONE_SIZE, zoneSize)) * options.probePeriodMs;
     const timeNeededForChecks = (SUSPECT_CHECKS + 1) * options.ackTimeoutMs;
     return Math.max(timeoutByZoneSize, timeNeededForChecks) * healthMultiplier;
 };
@@ -72,7 +75,8 @@
     const { self: description, clock, random, transport, logger, options, piggyback } = dependencies;
     const initialSelf: Member = {
         ...description,
-        // The wall clock puts a restarted process above its former self without any memory of it.
+        // The wall clock gives a restarted process a higher incarnation than the previous process without any stored
+        // state.
         incarnation: Math.floor(clock.now()),
         state: "alive",
         revision: 0,
@@ -133,7 +137,7 @@
         });
 };
 
-/** Neither sends nor starts timers. */
+/** Creates the components without sending anything or starting timers. */
 export const createMembershipParts = (dependencies: MembershipDependencies): MembershipParts => {
     const { self: { id: selfId, zone }, clock, random, options } = dependencies;
     const shared = createSharedState(dependencies);
--- a/packages/oleandergap-membership/src/membershipTypes.ts
+++ b/packages/oleandergap-membership/src/membershipTypes.ts
@@ -1,4 +1,4 @@
-/** What the membership offers to the other parts of a node. */
+/** Interface of the membership for the other components of a node. */
 import type { Clock, Head, Member, MemberTarget, NodeId, ObjectStore, ZoneName } from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
 import type { Random } from "oleandergap-utils";
@@ -7,7 +7,7 @@
 import type { DatagramTransport, Endpoint } from "./transport.js";
 import type { ReceiveZoneDigest } from "./zoneDigests.js";
 
-/** A node that can be reached, in this or another availability zone. */
+/** Reachable node in this or a remote availability zone. */
 export interface Contact {
     readonly id: NodeId;
     readonly zone: ZoneName;
@@ -15,41 +15,46 @@
     readonly controlPort: number;
 }
 
-/** What the node knows of itself at its start. */
+/** Properties of the node that are known before it starts. */
 export type SelfDescription = Pick<Member, "id" | "zone" | "address" | "controlPort" | "gatePort" | "linkClass">;
 
-/** Asks a member of the own zone for contacts in other zones; none when it does not answer. Never rejects. */
+/**
+ * Requests contacts in remote zones from a member of the local zone. Returns an empty list if the member does not
+ * answer. Never rejects.
+ */
 export type FetchContacts = (member: Member, signal: AbortSignal) => Promise<readonly Contact[]>;
 
-/** A message of another part that is sent over the membership's transport. */
+/** Message of another component that is sent over the transport of the membership. */
 export interface PushMessage {
     readonly kind: "Heads";
-    /** At most the first 8 are sent. */
+    /** Heads to send; only the first 8 are sent. */
     readonly heads: readonly Head[];
 }
 
-/** `from` is the node that sent the heads, in this or another availability zone. */
+/** Receives heads. `from` is the node that sent them, in this or a remote availability zone. */
 export type ReceiveHeads = (from: Contact, heads: readonly Head[]) => void;
 
-/** Lets configuration heads ride on the datagrams. */
+/** Piggybacks configuration heads on the datagrams of the membership. */
 export interface HeadPiggyback {
-    /** The heads in force at this node. Called for each datagram, so it must be cheap. */
+    /** Returns the heads that are active on this node. It is called for each datagram, so it must be cheap. */
     readonly heads: () => readonly Head[];
-    /** Receives piggybacked and pushed heads; more can be registered with `subscribeHeads`. Must not throw. */
+    /**
+     * Receives piggybacked and pushed heads. Further listeners can be registered with `subscribeHeads`. Must not throw.
+     */
     readonly receiveHeads?: ReceiveHeads;
 }
 
-/** A member of the own availability zone joined, changed, or is gone. */
+/** A member of the local availability zone joined, changed, died or left. */
 export interface MemberChange {
     readonly kind: "MemberChanged";
     readonly member: Member;
     readonly previous: Member | undefined;
 }
 
-/** Ends a subscription; calling it again does nothing. */
+/** Ends a subscription. Further calls have no effect. */
 export type Unsubscribe = () => void;
 
-/** Ports and settings of one node's membership. */
+/** Ports and options of the membership of one node. */
 export interface MembershipDependencies {
     readonly self: SelfDescription;
     readonly clock: Clock;
@@ -58,54 +63,70 @@
     readonly logger: Logger;
     readonly options: MembershipOptions;
     readonly piggyback: HeadPiggyback;
-    /** Holds the rosters; without it, only seeds and learnt contacts are used. */
+    /**
+     * Object store that contains the rosters. Without it, only seeds and contacts received from other nodes are used.
+     */
     readonly objectStore?: ObjectStore;
-    /** Lets members pass on the contacts that one of them found; without it, each node reads the rosters. */
+    /**
+     * Requests contacts from another member of the local zone, so that only a few members have to read the rosters.
+     * Without it, each node reads the rosters.
+     */
     readonly fetchContacts?: FetchContacts;
     /**
-     * Digest of the own zone's targets, told to nodes of other zones; undefined while this node knows too little of its
-     * zone to vouch for it. Called for each contact probe, so it must be cheap. Without it, nothing is told.
+     * Returns the digest of the targets of the local zone, which is sent to nodes of remote zones, or undefined while
+     * the member list of this node is not yet complete enough. It is called for each contact probe, so it must be
+     * cheap. Without it, no digest is sent.
      */
     readonly targetsDigest?: () => number | undefined;
 }
 
-/** One node's view of its availability zone, and its contacts in the others. */
+/** View of one node on the members of its availability zone, and its contacts in the remote zones. */
 export interface Membership {
     /**
-     * Binds the transport, joins the zone and runs until `signal` aborts. Resolves once another member answered, or
-     * after the join timeout, whichever comes first. Rejects when the control port cannot be bound.
+     * Binds the transport, joins the zone and runs until `signal` aborts. Resolves when another member has answered or
+     * after the join timeout, whichever is earlier. Rejects if the control port cannot be bound.
      */
     readonly start: (signal: AbortSignal) => Promise<void>;
-    /** The own availability zone's members that are alive or suspect, this node included. */
+    /** Returns the alive and suspect members of the local availability zone, including this node. */
     readonly members: () => readonly Member[];
-    /** Any member of the own zone as last heard of, gone ones included. */
+    /** Returns the latest record of a member of the local zone, even if the member has died or left. */
     readonly member: (id: NodeId) => Member | undefined;
     readonly self: () => Member;
-    /** Announces this node's target, a change of it, or, with undefined, that there is none. */
+    /** Announces the target of this node, or, if `target` is undefined, that the node has no target. */
     readonly setTarget: (target: MemberTarget | undefined) => void;
-    /** Tells the zone that this node leaves. Resolves when enough members were told. */
+    /**
+     * Announces to the zone that this node is leaving. Resolves when the announcement has been sent to enough members.
+     */
     readonly leave: () => Promise<void>;
     readonly subscribe: (listener: (change: MemberChange) => void) => Unsubscribe;
     readonly subscribeHeads: (listener: ReceiveHeads) => Unsubscribe;
-    /** Sends a message to a node by its address and control port. Datagrams may be lost. */
+    /** Sends a message to a node identified by its address and control port. Datagrams may be lost. */
     readonly send: (address: string, controlPort: number, message: PushMessage) => void;
     readonly sendTo: (member: Pick<Contact, "address" | "controlPort">, message: PushMessage) => void;
-    /** Adds endpoints of the own availability zone at which members may be found. */
+    /** Adds endpoints of the local availability zone at which members may be found. */
     readonly join: (contacts: readonly Endpoint[]) => void;
-    /** Nodes of another availability zone, those that answer first. Empty when none is known. */
+    /**
+     * Returns contacts in a remote availability zone, the most responsive ones first. The list is empty if none are
+     * known.
+     */
     readonly contactsOf: (zone: ZoneName) => readonly Contact[];
-    /** Tells that a contact did not answer another part; it is named last until it is heard again. */
+    /**
+     * Reports that a contact did not answer another component. The contact is listed last until its next datagram
+     * arrives.
+     */
     readonly reportSilent: (contact: Contact) => void;
-    /** Adds availability zones, for example those of the table, so that contacts are looked for in them. */
+    /** Adds availability zones, for example those of the routing table, so that contacts in them are searched for. */
     readonly addZones: (zones: readonly ZoneName[]) => void;
     /**
-     * Probes a contact of another availability zone at once, besides the periodic probes. Returns the sequence that its
-     * answer will carry, or undefined when nobody of that zone is known.
+     * Probes a contact of a remote availability zone immediately, in addition to the periodic probes. Returns the
+     * sequence number of the expected reply, or undefined if no contact of that zone is known.
      */
     readonly probeZone: (zone: ZoneName) => number | undefined;
-    /** Hears the digests that other availability zones' nodes tell of their targets, in any order. */
+    /**
+     * Subscribes to the target digests that nodes of remote availability zones send. Digests may arrive in any order.
+     */
     readonly subscribeZoneDigests: (listener: ReceiveZoneDigest) => Unsubscribe;
-    /** The other availability zones known from seeds, rosters and messages. */
+    /** Returns the remote availability zones that are known from seeds, rosters and messages. */
     readonly zones: () => readonly ZoneName[];
     readonly stats: () => MembershipStats;
 }
--- a/packages/oleandergap-membership/src/messageTransport.ts
+++ b/packages/oleandergap-membership/src/messageTransport.ts
@@ -1,6 +1,7 @@
 /**
- * Lets the messages of another part share the control port with the membership's datagrams. What is left of the wrapped
- * transport goes on to the next part, and at last to the membership, which never sees a foreign message.
+ * Lets the messages of another component share the control port with the datagrams of the membership. All other
+ * datagrams of the wrapped transport are passed on to the next component and finally to the membership, which never
+ * receives messages of other components.
  */
 import { nodeIdSchema, zoneNameSchema, type Member } from "oleandergap-types";
 import { z } from "zod";
@@ -8,36 +9,39 @@
 import type { Contact } from "./membershipTypes.js";
 import type { DatagramTransport, Endpoint } from "./transport.js";
 
-/** Takes a message; the sender is known by what its datagram says and by the address that it came from. */
+/** Receives a message. The sender is identified by the id and zone in the datagram and by its source address. */
 export type ReceiveMessage<Message> = (from: Contact, message: Message) => void;
 
-/** Counts since the transport was created; sizes without the headers of UDP and IP. */
+/** Counters since the transport was created. Sizes do not include the UDP and IP headers. */
 export interface MessageTransportStatistics {
     readonly messagesSent: number;
     readonly bytesSent: number;
     readonly messagesReceived: number;
     readonly bytesReceived: number;
-    /** Marked datagrams that held no valid message. */
+    /** Number of datagrams that have the marker byte but no valid message. */
     readonly dropped: number;
 }
 
-/** A datagram transport that the messages of one part share with others. */
+/** Datagram transport for the messages of one component, shared with other components. */
 export interface MessageTransport<Message> {
-    /** To be given to the next part in place of the transport. */
+    /** Transport for all other datagrams, to be passed to the next component. */
     readonly others: DatagramTransport;
-    /** Sends without any promise that the message arrives. */
+    /** Sends a message without a delivery guarantee. */
     readonly send: (to: Pick<Contact, "address" | "controlPort">, message: Message) => void;
-    /** Hands over each message that arrives; a later listener replaces the one before. */
+    /** Sets the listener that receives each arriving message. A new listener replaces the previous one. */
     readonly onMessage: (listener: ReceiveMessage<Message>) => void;
     readonly stats: () => MessageTransportStatistics;
 }
 
-/** What a transport of messages is made from. */
+/** Dependencies of a message transport. */
 export interface MessageTransportDependencies<Message> {
     readonly transport: DatagramTransport;
-    /** The sender that outgoing messages name. */
+    /** Sender that is named in outgoing messages. */
     readonly self: Pick<Member, "id" | "zone">;
-    /** First byte of the part's datagrams, 0xc0 or 0xc1: the membership's, MessagePack arrays, never begin with one. */
+    /**
+     * First byte of the component's datagrams, 0xc0 or 0xc1. Membership datagrams are MessagePack arrays, which never
+     * start with one of these bytes.
+     */
     readonly mark: number;
     readonly schema: z.ZodType<Message>;
 }
@@ -51,7 +55,7 @@
     }
 };
 
-/** Wraps a transport. */
+/** Creates a message transport that wraps a datagram transport. */
 export const createMessageTransport = <Message>(
     { transport, self, mark, schema }: MessageTransportDependencies<Message>,
 ): MessageTransport<Message> => {
--- a/packages/oleandergap-membership/src/messages.ts
+++ b/packages/oleandergap-membership/src/messages.ts
@@ -1,13 +1,16 @@
-/** The messages that nodes exchange in datagrams. */
+/** Messages that nodes exchange in datagrams. */
 import type { Head, Member, NodeId, ZoneName } from "oleandergap-types";
 
-/** What a datagram asks or tells, apart from the records and heads that ride along. */
+/** Message of a datagram, without the records and heads that are piggybacked on it. */
 export type MessageBody =
-    /** Asks the target for an `Ack`. Names whom the sender expects, so that a successor at the address can tell. */
+    /**
+     * Requests an `Ack` from the target. `targetId` is the expected receiver, so that another node that took over the
+     * address can detect the mismatch.
+     */
     | { readonly kind: "Ping"; readonly sequence: number; readonly targetId: NodeId }
-    /** Answers a `Ping`, or passes the target's answer on to whoever sent a `PingRequest`. */
+    /** Replies to a `Ping`, or forwards the reply of the target to the sender of a `PingRequest`. */
     | { readonly kind: "Ack"; readonly sequence: number }
-    /** Asks a third member to ping the target. */
+    /** Requests another member to ping the target on behalf of the sender. */
     | {
         readonly kind: "PingRequest";
         readonly sequence: number;
@@ -15,34 +18,41 @@
         readonly address: string;
         readonly port: number;
     }
-    /** Answers a `PingRequest` whose target stayed silent: the helper itself can be reached. */
+    /** Replies to a `PingRequest` if the target did not answer. It shows that the helper itself is reachable. */
     | { readonly kind: "Nack"; readonly sequence: number }
-    /** Carries member records only. */
+    /** Contains member records only. */
     | { readonly kind: "Gossip" }
-    /** Opens a comparison of the whole state. Answered only when the digests differ. */
+    /** Starts an anti-entropy comparison of the complete state. It is answered only if the digests differ. */
     | { readonly kind: "SyncStart"; readonly digest: number }
-    /** The digests of all buckets of member records. */
+    /** Contains the digests of all buckets of member records. */
     | { readonly kind: "SyncBuckets"; readonly digests: readonly number[] }
-    /** Carries records of buckets that differ, and names the buckets that the sender wants in return. */
+    /**
+     * Contains the records of differing buckets, and the numbers of the buckets whose records the sender requests in
+     * return.
+     */
     | { readonly kind: "SyncRecords"; readonly requestedBuckets: readonly number[] }
-    /** Asks a node of another availability zone for a `ContactReply`; `wanted` asks for more contacts. */
+    /**
+     * Requests a `ContactReply` from a node of a remote availability zone. If `needsContacts` is set, the reply should
+     * suggest more contacts.
+     */
     | { readonly kind: "ContactProbe"; readonly sequence: number; readonly needsContacts: boolean }
     /**
-     * Answers a `ContactProbe`; its records are members of the sender's availability zone. The digest is that of the
-     * zone's targets, absent while the sender cannot vouch for it.
+     * Replies to a `ContactProbe`. The piggybacked records are members of the sender's availability zone.
+     * `targetsDigest` is the digest of that zone's targets; it is absent while the member list of the sender is not yet
+     * complete enough.
      */
     | { readonly kind: "ContactReply"; readonly sequence: number; readonly targetsDigest?: number }
-    /** Carries configuration heads only. */
+    /** Contains configuration heads only. */
     | { readonly kind: "Heads" };
 
 export type MessageKind = MessageBody["kind"];
 
-/** A datagram as sent and received. */
+/** Decoded datagram. */
 export interface Datagram {
     readonly zone: ZoneName;
     readonly id: NodeId;
     readonly incarnation: number;
-    /** Hash of the sender's configuration heads; equal hashes mean that nothing has to be exchanged. */
+    /** Hash of the sender's configuration heads. Heads are exchanged only if the hashes differ. */
     readonly headsHash: number;
     readonly body: MessageBody;
     /** Records of members of the sender's availability zone. */
--- a/packages/oleandergap-membership/src/messenger.ts
+++ b/packages/oleandergap-membership/src/messenger.ts
@@ -1,4 +1,4 @@
-/** Sends messages: fills datagrams with the records and heads that should ride along, and counts what is sent. */
+/** Sends messages: adds piggybacked records and heads to the datagrams and counts what is sent. */
 import type { Head, Member } from "oleandergap-types";
 import type { ByteBudget } from "./byteBudget.js";
 import type { DatagramCodec, DatagramBuilder } from "./datagramCodec.js";
@@ -8,25 +8,25 @@
 import type { DatagramTransport, Endpoint } from "./transport.js";
 import type { UpdateQueue } from "./updateQueue.js";
 
-/** What a datagram carries besides its message. */
+/** Data that is sent in a datagram in addition to its message. */
 export interface PiggybackedData {
-    /** Records that must go along, ahead of queued updates. */
+    /** Records that are added before any queued updates. */
     readonly records?: readonly Member[];
     readonly heads?: readonly Head[];
 }
 
-/** Records that may need more than one datagram. */
+/** Records that may require more than one datagram. */
 export interface RecordBundle {
     readonly first: MessageBody;
-    /** The message of all further datagrams. */
+    /** Message of the second and all further datagrams. */
     readonly next: MessageBody;
     readonly records: readonly Member[];
 }
 
 export interface Messenger {
-    /** Returns the bytes sent. */
+    /** Sends one datagram and returns its size in bytes. */
     readonly send: (to: Endpoint, body: MessageBody, piggybacked?: PiggybackedData) => number;
-    /** Sends as many datagrams as the records need, at least one, while the budget lasts. */
+    /** Sends the records in as many datagrams as necessary, at least one. Stops when the budget is exhausted. */
     readonly sendRecords: (to: Endpoint, bundle: RecordBundle, budget: ByteBudget) => void;
 }
 
@@ -39,7 +39,7 @@
     readonly statistics: Statistics;
 }
 
-/** Kinds that carry queued updates; they stay within the own availability zone. */
+/** Message kinds that contain queued updates. They are sent only within the local availability zone. */
 const gossipKinds: ReadonlySet<MessageKind> = new Set(["Ping", "Ack", "PingRequest", "Nack", "Gossip"]);
 
 export const createMessenger = (dependencies: MessengerDependencies): Messenger => {
--- a/packages/oleandergap-membership/src/neighbours.ts
+++ b/packages/oleandergap-membership/src/neighbours.ts
@@ -1,9 +1,9 @@
 /**
- * The addresses beside the own one, where other nodes may be found.
+ * Lists the addresses adjacent to the address of this node, where other nodes may be found.
  *
- * A node that starts while the platform's store is away has no roster, and no other node knows it. Unless a seed
- * answers, it stays alone until the store is back; one would see a new VM that is never ready and its target without
- * requests, just when others have left.
+ * A node that starts while the object store of the platform is unavailable cannot read a roster, and no other node
+ * knows its address. Unless a seed answers, the node stays isolated until the store is available again: the new VM
+ * never becomes ready and its target receives no requests, possibly just when other VMs have left.
  */
 import { isIPv4 } from "node:net";
 import type { Endpoint } from "./transport.js";
@@ -12,7 +12,7 @@
 const OCTETS = 4;
 const OCTET_MASK = 0xff;
 
-/** Where a node can be asked. */
+/** Endpoint of this node. */
 interface LocalEndpoint {
     readonly address: string;
     readonly controlPort: number;
@@ -24,7 +24,10 @@
 const toAddress = (number: number): string => Array.from({ length: OCTETS }, (_, index) =>
     Math.floor(number / 2 ** (BITS_PER_OCTET * (OCTETS - 1 - index))) & OCTET_MASK).join(".");
 
-/** Up to `span` addresses on each side that differ from the own one in the last part only; none for IPv6. */
+/**
+ * Returns up to `span` addresses on each side that differ from the local address only in the last octet. Returns an
+ * empty list for IPv6 addresses.
+ */
 export const listNeighbours = ({ address, controlPort }: LocalEndpoint, span: number): readonly Endpoint[] => {
     if (span === 0 || !isIPv4(address)) {
         return [];
--- a/packages/oleandergap-membership/src/options.ts
+++ b/packages/oleandergap-membership/src/options.ts
@@ -1,78 +1,95 @@
-/** Settings of the membership, to be mounted into the daemon's settings file. All durations are milliseconds. */
+/** Options of the membership, which are part of the daemon's settings file. All durations are in milliseconds. */
 import { addressSchema, portSchema, zoneNameSchema } from "oleandergap-types";
 import { z } from "zod";
 
 const periodSchema = z.number().int().min(10).max(86_400_000);
 
-/** A node that is asked first when this one starts. It need not be alive, nor differ from this node. */
+/** Node that is contacted first when this node starts. It may be down, and it may be this node itself. */
 export const seedSchema = z.strictObject({
     zone: zoneNameSchema,
     address: addressSchema,
-    /** The seed's control port. */
+    /** Control port of the seed. */
     port: portSchema,
 });
 export type Seed = z.infer<typeof seedSchema>;
 
-/** Each has a default, so that `{}` is valid; docs/MEMBERSHIP.md tells how they were chosen. */
+/** Every option has a default, so `{}` is valid. docs/MEMBERSHIP.md explains the choice of the defaults. */
 export const membershipOptionsSchema = z.strictObject({
-    /** Datagrams of nodes with another cluster name are dropped. */
+    /** Name of the cluster. Datagrams of nodes with a different cluster name are dropped. */
     clusterName: z.string().min(1).max(64).default("oleandergap"),
-    /** One member is probed per period. */
+    /** Interval between two probes. One member is probed in each period. */
     probePeriodMs: periodSchema.default(1000),
-    /** After this time without an answer, other members are asked to probe. Must be well below the period. */
+    /**
+     * Time without an answer after which other members are requested to probe. It must be well below the probe period.
+     */
     ackTimeoutMs: periodSchema.default(300),
-    /** Members that are asked to probe on this node's behalf. */
+    /** Number of members that are requested to probe on behalf of this node. */
     indirectProbes: z.number().int().min(0).max(10).default(3),
-    /** A suspect is declared dead after this many periods, times the decimal logarithm of the zone's size. */
+    /**
+     * Number of probe periods after which a suspect is declared dead, multiplied by the decimal logarithm of the zone
+     * size.
+     */
     suspicionMultiplier: z.number().min(1).max(20).default(2),
-    /** Largest score of the local health; probe period and timeouts stretch by one plus the score. */
+    /** Largest local health score. The probe period and timeouts are multiplied by one plus the score. */
     maxHealthScore: z.number().int().min(0).max(16).default(4),
-    /** A timer that is later than this means that the process itself was paused. */
+    /** A timer that fires later than this delay indicates that the process itself was paused. */
     pauseBoundMs: periodSchema.default(500),
-    /** Updates are pushed this often, as long as there are any. */
+    /** Interval at which queued updates are pushed. */
     gossipPeriodMs: periodSchema.default(200),
-    /** Members that receive each push. */
+    /** Number of members that receive each push. */
     gossipFanout: z.number().int().min(1).max(10).default(3),
-    /** Bytes per second that pushes may use on average, so that a mass change does not flood the zone. */
+    /**
+     * Average number of bytes per second available for pushes, so that a large number of changes does not flood the
+     * zone.
+     */
     gossipBytesPerSecond: z.number().int().min(100).max(1_000_000).default(2000),
-    /** The whole state is compared with one random member this often. */
+    /** Interval at which the complete state is compared with that of a random member. */
     syncPeriodMs: periodSchema.default(30_000),
-    /** Bytes per second that whole-state exchanges may use on average. */
+    /** Average number of bytes per second available for anti-entropy exchanges. */
     syncBytesPerSecond: z.number().int().min(100).max(1_000_000).default(4000),
-    /** Records of members that left or died are kept this long, so that older records do not return. */
+    /** Lifetime of the tombstones of members that left or died. It prevents older records from being accepted again. */
     tombstoneMs: periodSchema.default(3_600_000),
-    /** One unreachable member, seed or roster entry is tried this often. */
+    /** Interval at which one unreachable member, seed or roster entry is tried again. */
     reconnectPeriodMs: periodSchema.default(5000),
-    /** The start waits this long for a first answer of another member. */
+    /** Longest time that the start waits for the first answer of another member. */
     joinTimeoutMs: periodSchema.default(2000),
-    /** Nodes of each other availability zone that are kept as contacts. */
+    /** Number of nodes per remote availability zone that are used as contacts. */
     contactsPerZone: z.number().int().min(1).max(10).default(3),
-    /** One contact in another availability zone is probed this often. */
+    /** Interval between two contact probes to remote availability zones. */
     contactProbePeriodMs: periodSchema.default(2000),
-    /** The roster object is written or read at most this often. */
+    /** Shortest interval between two writes or reads of the roster object. */
     rosterPeriodMs: periodSchema.default(30_000),
     seeds: z.array(seedSchema).max(64).default([]),
     /**
-     * A node that finds nobody asks so many addresses on each side of its own as well, at its own control port; 0 for
-     * networks in which the VMs of a zone are not numbered in a row.
+     * Number of addresses on each side of the local address that a node without known members contacts at its own
+     * control port. Use 0 in networks in which the VMs of a zone have no consecutive addresses.
      */
     neighbourSpan: z.number().int().min(0).max(64).default(0),
 });
 export type MembershipOptions = z.infer<typeof membershipOptionsSchema>;
 
-/** Refresh period plus fetch timeout bound how old another zone's targets may be. */
+/**
+ * Options of the target directory. The sum of the refresh period and the fetch timeout limits the age of the targets of
+ * remote zones.
+ */
 export const targetDirectoryOptionsSchema = z.strictObject({
-    /** Other availability zones are asked this often for the targets of services in use. */
+    /** Interval at which the targets of services in use are requested from remote availability zones. */
     refreshPeriodMs: periodSchema.default(2000),
-    /** Longest wait for another zone's answer. */
+    /** Longest wait for the answer of a remote zone. */
     fetchTimeoutMs: periodSchema.default(1500),
-    /** Longest wait for a contact's word that a zone's targets are unchanged; without it, they are fetched. */
+    /**
+     * Longest wait for a contact to confirm that the targets of its zone are unchanged. After that, the targets are
+     * fetched.
+     */
     confirmTimeoutMs: periodSchema.default(300),
-    /** Targets are fetched after this time even though their digest is unchanged, as two lists may share a digest. */
+    /**
+     * Longest time after which targets are fetched even if their digest is unchanged, because two lists may have the
+     * same digest.
+     */
     fullRefreshMs: periodSchema.default(30_000),
-    /** A service that nobody asked for during this time is no longer refreshed. */
+    /** A service that has not been requested for this time is no longer refreshed. */
     idleMs: periodSchema.default(30_000),
-    /** A service that nobody asked for during this time is forgotten. */
+    /** A service that has not been requested for this time is removed. */
     forgetMs: periodSchema.default(600_000),
 });
 export type TargetDirectoryOptions = z.infer<typeof targetDirectoryOptionsSchema>;
--- a/packages/oleandergap-membership/src/ownTargets.ts
+++ b/packages/oleandergap-membership/src/ownTargets.ts
@@ -1,4 +1,7 @@
-/** The targets of the own availability zone by service, derived from the members and kept until one changes. */
+/**
+ * Groups the targets of the local availability zone by service. The groups are derived from the members and cached
+ * until a member changes.
+ */
 import { formatServiceReference, type Member, type ServiceReference } from "oleandergap-types";
 import { formatCanonicalJson, hashText } from "oleandergap-utils";
 import type { Membership } from "./membershipTypes.js";
@@ -13,11 +16,11 @@
 export interface LocalTargets {
     readonly targetsOf: (service: ServiceReference) => readonly TargetMember[];
     readonly answer: (request: ZoneTargetsRequest) => ZoneTargetsAnswer;
-    /** Digest over all targets. */
+    /** Returns the digest of all targets of the local zone. */
     readonly zoneDigest: () => number;
 }
 
-/** One service's targets; the digest is computed when another zone first asks. */
+/** Targets of one service. The digest is computed when it is first requested by a remote zone. */
 interface ServiceTargets {
     readonly targets: TargetMember[];
     digest: string | undefined;
@@ -48,12 +51,16 @@
         group.targets.push(toTargetMember(member, member.target));
         groups.set(key, group);
     }
-    // Every node of the zone lists the targets in the same order, so that any of them can confirm another's digest.
+    // All nodes of the zone sort the targets in the same way, so that each of them can confirm a digest computed by
+    // another one.
     groups.forEach((group) => group.targets.sort(compareNodeIds));
     return groups;
 };
 
-/** Two 32-bit hashes of different texts: a collision would leave another zone with an old list. */
+/**
+ * Returns a digest of two 32-bit hashes of different texts. A collision would leave a remote zone with an outdated
+ * list.
+ */
 const digestTargets = (targets: readonly TargetMember[]): string => {
     const text = formatCanonicalJson(targets);
     return `${hashText(text).toString(36)}-${hashText(`${text} `).toString(36)}`;
@@ -72,7 +79,10 @@
     targets.length === former.targets.length
     && targets.every((target, index) => isEqualTarget(target, former.targets[index]));
 
-/** Puts the former groups in place of equal ones, so that a change of one service leaves the others' arrays as is. */
+/**
+ * Replaces groups that are equal to a previous one by the previous object, so that a change of one service does not
+ * create new arrays for other services.
+ */
 const reuseEqualGroups = (
     groups: ReadonlyMap<string, ServiceTargets>,
     former: ReadonlyMap<string, ServiceTargets>,
@@ -84,7 +94,7 @@
 
 const NO_SERVICE_TARGETS: ServiceTargets = { targets: [], digest: "none" };
 
-/** What was derived from one list of members. */
+/** Values derived from one list of members. */
 interface DerivedTargets {
     readonly members: readonly Member[];
     readonly groups: ReadonlyMap<string, ServiceTargets>;
@@ -93,7 +103,7 @@
 
 const NO_DERIVED_TARGETS: DerivedTargets = { members: [], groups: new Map(), zoneDigest: 0 };
 
-/** Relies on `members` giving the same array until a member changes. */
+/** Creates the local targets. Requires that `members` returns the same array until a member changes. */
 export const createLocalTargets = (membership: Pick<Membership, "members">): LocalTargets => {
     let derived = NO_DERIVED_TARGETS;
 
--- a/packages/oleandergap-membership/src/payloadGuard.ts
+++ b/packages/oleandergap-membership/src/payloadGuard.ts
@@ -1,10 +1,10 @@
 /**
- * Checks the framing of a MessagePack payload before it is decoded.
+ * Validates the framing of a MessagePack payload before it is decoded.
  *
- * The decoder allocates an array for the length that the payload announces before it reads any element. Six bytes that
- * announce 30 million elements stall a node for a quarter of a second, and a datagram of nested announcements exhausts
- * the heap and ends the process (both seen with msgpackr 1.12). So no container may announce more elements than bytes
- * follow, and only the few types that the codec writes are let through.
+ * The decoder allocates an array of the declared length before it reads any element. With msgpackr 1.12, six bytes that
+ * declare 30 million elements block a node for a quarter of a second, and a datagram of nested declarations exhausts
+ * the heap and terminates the process. Therefore a container must not declare more elements than there are bytes left,
+ * and only the few types that the codec writes are allowed.
  */
 
 const NIL = 0xc0;
@@ -18,7 +18,7 @@
 const FIXSTR_LENGTH_MASK = 0x1f;
 const ARRAY_16 = 0xdc;
 
-/** Fixed sizes after the type byte. */
+/** Sizes in bytes of fixed-size values, without the type byte. */
 const numberSizes: ReadonlyMap<number, number> = new Map([
     [0xca, 4],
     [0xcb, 8],
@@ -28,7 +28,7 @@
     [0xcf, 8],
 ]);
 
-/** Types whose length follows in one or two bytes: texts and binary data. */
+/** Sizes in bytes of the length field of texts and binary data. */
 const lengthSizes: ReadonlyMap<number, number> = new Map([
     [0xc4, 1],
     [0xc5, 2],
@@ -36,11 +36,11 @@
     [0xda, 2],
 ]);
 
-/** One value's type and length. */
+/** Size and number of elements of one value. */
 interface ValueHeader {
-    /** Bytes that the value takes without its elements. */
+    /** Size of the value in bytes, without its elements. */
     readonly size: number;
-    /** Elements that follow it. */
+    /** Number of elements that follow the value. */
     readonly elements: number;
 }
 
@@ -73,7 +73,10 @@
         { size: 1 + lengthSize + readLength(payload, offset + 1, lengthSize), elements: 0 };
 };
 
-/** Whether `payload` is exactly one value made of the allowed types, with lengths that its bytes can hold. */
+/**
+ * Returns whether `payload` consists of exactly one value of the allowed types whose declared lengths fit into the
+ * payload.
+ */
 export const isSafePayload = (payload: Uint8Array): boolean => {
     let offset = 0;
     let remainingValues = 1;
--- a/packages/oleandergap-membership/src/prober.ts
+++ b/packages/oleandergap-membership/src/prober.ts
@@ -1,6 +1,6 @@
 /**
- * Probes one member per period: directly, then through other members, and suspects the member if nobody gets an answer.
- * Members take turns, so that each is probed within a bounded time.
+ * Probes one member per period, first directly and then through other members, and suspects the member if no probe
+ * succeeds. Members are probed in turn, so that each one is probed within a bounded time.
  */
 import type { Clock, Member, Milliseconds, NodeId } from "oleandergap-types";
 import { pickIndex, pickSeveral, type Random } from "oleandergap-utils";
@@ -17,7 +17,7 @@
 
 const SEQUENCE_LIMIT = 2 ** 32;
 
-/** The probe of the current period. */
+/** Probe of the current period. */
 interface Probe {
     readonly sequence: number;
     readonly target: Member;
@@ -28,17 +28,20 @@
 }
 
 export interface Prober {
-    /** Starts, continues or ends probes as the time demands. */
+    /** Starts, continues or ends probes that are due. */
     readonly poll: () => void;
-    /** Asks a suspect once more, directly and through others. */
+    /** Probes a suspect again, both directly and through other members. */
     readonly probeSuspect: (suspect: Member) => void;
-    /** Pings a member without judging it by the answer, and tells it what is said of it. */
+    /**
+     * Pings a member without evaluating the answer. The ping contains the record that this node holds of the member, if
+     * the member is not alive.
+     */
     readonly ping: (target: Member) => void;
     readonly receiveAck: (sequence: number) => void;
     readonly receiveNack: (sequence: number) => void;
-    /** Pings on behalf of another member. */
+    /** Pings a target on behalf of another member. */
     readonly relay: (request: Extract<MessageBody, { kind: "PingRequest" }>, requester: Endpoint) => void;
-    /** Forgets what is under way without judging anyone. */
+    /** Cancels all probes in flight without suspecting their targets. */
     readonly cancelProbes: () => void;
 }
 
@@ -54,16 +57,21 @@
     readonly statistics: Statistics;
 }
 
-/** A member's control endpoint. */
+/** Returns the control endpoint of a member. */
 export const getControlEndpoint = (member: Pick<Member, "address" | "controlPort">): Endpoint => ({
     address: member.address,
     port: member.controlPort,
 });
 
-/** A member that others doubt is told so with each ping, so that it can refute. */
+/**
+ * Adds the record of a member that is not alive to the ping that it receives, so that the member can refute the claim.
+ */
 const createPingPiggyback = (target: Member): PiggybackedData => target.state === "alive" ? {} : { records: [target] };
 
-/** The first probe starts after a random part of a period, so that nodes that start together spread out. */
+/**
+ * Creates a prober. Its first probe starts after a random part of a period, so that nodes that start at the same time
+ * do not probe simultaneously.
+ */
 export const createProber = (dependencies: ProberDependencies): Prober => {
     const { selfId, clock, random, options, table, updates, messenger, health, statistics } = dependencies;
     const relays = createRelays({ clock, table, messenger, ackTimeoutMs: options.ackTimeoutMs });
@@ -112,7 +120,10 @@
         sendPing(target, probe.sequence);
     };
 
-    /** A helper that says nothing at all hints that this node is the one that cannot be reached. */
+    /**
+     * Suspects the target and lowers the local health for each helper that sent no reply at all, because missing
+     * replies indicate that this node itself cannot be reached.
+     */
     const failProbe = ({ target, helpers, nacks }: Probe): void => {
         statistics.countEvent("probeFailed");
         health.adjust(helpers.length > 0 ? helpers.length - nacks : 1);
--- a/packages/oleandergap-membership/src/recordCodec.ts
+++ b/packages/oleandergap-membership/src/recordCodec.ts
@@ -1,4 +1,7 @@
-/** Encodes member records. A record is encoded once and its bytes are reused for each datagram that carries it. */
+/**
+ * Encodes and decodes member records. A record is encoded once, and its bytes are reused for every datagram that
+ * contains it.
+ */
 import {
     addressSchema,
     linkClassSchema,
@@ -13,13 +16,18 @@
 import { Packr } from "msgpackr";
 import { z } from "zod";
 
-/** Largest incarnation taken from the network; leaves room to refute above it with exact numbers. */
+/**
+ * Largest incarnation accepted from the network. It leaves room for higher incarnations that are still exact as
+ * numbers.
+ */
 export const MAX_INCARNATION = 2 ** 52;
 
-/** Incarnations as accepted from the network. */
+/** Schema of incarnations received from the network. */
 export const incarnationSchema = z.number().int().min(0).max(MAX_INCARNATION);
 
-/** Plain arrays and values only: no records, maps or extension types, which the payload guard refuses. */
+/**
+ * MessagePack encoder for plain arrays and values only. The payload guard rejects records, maps and extension types.
+ */
 export const packer = new Packr({ useRecords: false, mapsAsObjects: true });
 
 const memberStates = memberStateSchema.options;
@@ -80,19 +88,19 @@
 
 const encodedRecords = new WeakMap<Member, Uint8Array>();
 
-/** The zone is left out: the datagram names it once for all its records. */
+/** Returns the encoded record without its zone, because the datagram contains the zone once for all its records. */
 export const encodeRecord = (member: Member): Uint8Array => {
     const cached = encodedRecords.get(member);
     if (cached !== undefined) {
         return cached;
     }
-    // The packer returns a view of its reused buffer, which the next call overwrites.
+    // The packer returns a view of its internal buffer, which is overwritten by the next call.
     const encoded = Uint8Array.from(packer.pack(toTuple(member)));
     encodedRecords.set(member, encoded);
     return encoded;
 };
 
-/** The record, or undefined when the value is not one. */
+/** Returns the decoded record, or undefined if the value is not a valid record. */
 export const decodeRecord = (value: unknown, zone: ZoneName): Member | undefined => {
     const parsed = recordTupleSchema.safeParse(value);
     return parsed.success ? fromTuple(parsed.data, zone) : undefined;
--- a/packages/oleandergap-membership/src/rejoiner.ts
+++ b/packages/oleandergap-membership/src/rejoiner.ts
@@ -1,4 +1,4 @@
-/** Finds the zone's other members: at the start, and again after this node or a part of the zone was cut off. */
+/** Finds the other members of the zone at the start, and again after a network partition. */
 import type { Clock, Member, Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import { drawBackoff, pickOne, pickSeveral, type Random } from "oleandergap-utils";
 import { listOtherMembers } from "./memberRound.js";
@@ -13,14 +13,17 @@
 const JOIN_FANOUT = 3;
 const JOIN_RETRY_MS: Milliseconds = 500;
 const MAX_JOIN_RETRY_MS: Milliseconds = 5000;
-/** Attempts without an answer after which the roster is read. */
+/** Number of unanswered attempts after which the roster is read. */
 const ATTEMPTS_BEFORE_ROSTER = 2;
-/** From this attempt on the neighbours are asked as well: the roster usually answers the first one. */
+/** First attempt in which the neighbours are contacted as well. The roster usually answers in the attempt before it. */
 const ATTEMPTS_BEFORE_NEIGHBOURS = 2;
 const MAX_CANDIDATES = 256;
-/** Neighbours on each side that a node without seeds asks before anything else. */
+/** Number of neighbours on each side that a node without seeds contacts before using any other source. */
 const NEAREST_NEIGHBOUR_SPAN = 2;
-/** Time for their answers; several times what a datagram takes between VMs that start at the same moment. */
+/**
+ * Longest wait for the answers of the nearest neighbours. It is several times the latency between VMs that start at the
+ * same time.
+ */
 const NEAREST_TIMEOUT_MS: Milliseconds = 200;
 
 export interface Rejoiner {
@@ -40,7 +43,7 @@
     readonly roster: RosterKeeper | undefined;
 }
 
-/** Candidates start with the seeds of the own zone. */
+/** Creates a rejoiner whose initial candidates are the seeds of the local zone. */
 export const createRejoiner = (dependencies: RejoinerDependencies): Rejoiner => {
     const { self, zone, clock, random, options, table, prober, synchronizer, roster } = dependencies;
     const selfId: NodeId = self.id;
@@ -55,7 +58,7 @@
             const key = formatEndpoint(endpoint);
             if (key !== selfKey && candidates.size < MAX_CANDIDATES && !candidates.has(key)) {
                 candidates.set(key, endpoint);
-                // Whoever is new may stand for a part of the zone that this node does not know.
+                // A new candidate may belong to a part of the zone that is unknown to this node.
                 nextReconnectAt = Math.min(nextReconnectAt, clock.monotonic());
             }
         }
@@ -69,8 +72,9 @@
     };
 
     /**
-     * Where VMs are numbered in a row, those beside this one nearly always belong to its zone and are there: asked
-     * first, they spare the platform two reads a start (97 reads of it by 36 nodes, 15 with it; model in memory).
+     * Contacts the nearest neighbours. If VMs have consecutive addresses, the adjacent VMs nearly always belong to the
+     * same zone and are running. Contacting them first saves about two roster reads per start: 36 nodes read the roster
+     * 15 times instead of 97 times.
      */
     const probeNearestNeighbours = (now: Milliseconds): void => {
         attempts += 1;
@@ -85,7 +89,10 @@
         }
         nextJoinAt = now + JOIN_RETRY_MS * random() + drawBackoff(random, attempts, JOIN_RETRY_MS, MAX_JOIN_RETRY_MS);
         attempts += 1;
-        const knownEndpoints = [...candidates.values(), ...table.listTombstones().filter((member) => member.state === "dead").map(getControlEndpoint)];
+        const knownEndpoints = [
+            ...candidates.values(),
+            ...table.listTombstones().filter((member) => member.state === "dead").map(getControlEndpoint),
+        ];
         pickSeveral(random, knownEndpoints, JOIN_FANOUT).forEach(synchronizer.join);
         if (attempts > ATTEMPTS_BEFORE_ROSTER || knownEndpoints.length === 0) {
             readRoster(signal);
@@ -96,8 +103,8 @@
     };
 
     /**
-     * Tries one member or candidate that seems unreachable. Without it, two halves of a zone that declared each other
-     * dead would never speak again after the cut between them healed; one would see two disjoint member lists.
+     * Contacts one member or candidate that seems unreachable. Otherwise, two parts of a zone that declared each other
+     * dead would never communicate again after the partition has healed, and their member lists would stay disjoint.
      */
     const reconnect = (now: Milliseconds): void => {
         nextReconnectAt = now + options.reconnectPeriodMs * (0.5 + random());
--- a/packages/oleandergap-membership/src/relays.ts
+++ b/packages/oleandergap-membership/src/relays.ts
@@ -1,10 +1,10 @@
-/** Pings that this node sends on behalf of other members, and the answers that it passes on. */
+/** Sends pings on behalf of other members and forwards the answers to them. */
 import type { Clock, Milliseconds, NodeId } from "oleandergap-types";
 import type { MemberTable } from "./memberTable.js";
 import type { Messenger } from "./messenger.js";
 import type { Endpoint } from "./transport.js";
 
-/** A relayed ping is forgotten after this many ack timeouts. */
+/** Lifetime of a relayed ping, as a multiple of the ack timeout. */
 const RELAY_LIFETIME_TIMEOUTS = 4;
 
 interface RelayedPing {
@@ -17,11 +17,11 @@
 }
 
 export interface Relays {
-    /** Remembers that the target's answer to the ping `sequence` is awaited by `requester`. */
+    /** Registers a relayed ping. The answer to the ping `sequence` is forwarded to `requester`. */
     readonly add: (sequence: number, targetId: NodeId, requester: Endpoint, requesterSequence: number) => void;
-    /** Passes an answer on. Returns whether it belonged to a relayed ping. */
+    /** Forwards an answer to the requester. Returns whether the answer belongs to a relayed ping. */
     readonly forwardAck: (sequence: number) => boolean;
-    /** Tells requesters whose target stays silent that this node at least can be reached. */
+    /** Sends a `Nack` to requesters whose target has not answered, to show that this node itself is reachable. */
     readonly poll: () => void;
     readonly clear: () => void;
 }
@@ -33,7 +33,7 @@
     readonly ackTimeoutMs: Milliseconds;
 }
 
-/** Bounded by the pings that others request within four ack timeouts. */
+/** Creates the relays. Their number is limited by the pings that other members request within four ack timeouts. */
 export const createRelays = ({ clock, table, messenger, ackTimeoutMs }: RelayDependencies): Relays => {
     const relays = new Map<number, RelayedPing>();
 
@@ -68,7 +68,7 @@
                 return false;
             }
             relays.delete(sequence);
-            // The requester may still hold the suspicion that the target refuted in its answer.
+            // The requester may still hold the suspicion that the target has refuted in its answer.
             const target = table.get(relay.targetId);
             const piggybacked = target === undefined ? {} : { records: [target] };
             messenger.send(relay.requester, { kind: "Ack", sequence: relay.requesterSequence }, piggybacked);
--- a/packages/oleandergap-membership/src/remoteTargets.ts
+++ b/packages/oleandergap-membership/src/remoteTargets.ts
@@ -1,11 +1,12 @@
 /**
- * The targets of one other availability zone, fetched for the services in use. Each turn first asks a contact by one
- * datagram for the digest of the zone's targets; the fetch over a connection, which costs many times more, is left out
- * when the digest is the one that came with the last fetch. Without that very answer the turn ends in a fetch, so that
- * a lost datagram, a dead contact or one that cannot vouch for its zone costs bytes, and never delays the news.
+ * Maintains the targets of one remote availability zone for the services in use. In each refresh, a contact probe first
+ * requests the digest of the zone's targets in a single datagram. If the digest is equal to that of the last fetch, the
+ * fetch over a connection, which costs many times more, is skipped. Without a matching reply to this very probe, the
+ * refresh falls back to a fetch. A lost datagram, a dead contact or a contact with an incomplete member list therefore
+ * costs bytes but never delays an update.
  *
- * While the zone cannot be reached, what was last fetched is kept: the gates refuse what no longer holds, and an empty
- * list would refuse what still does.
+ * While the zone is unreachable, the last fetched targets are kept. Gates reject requests to targets that no longer
+ * exist, whereas an empty list would also reject requests to those that do.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, ServiceReference, ZoneName } from "oleandergap-types";
@@ -19,7 +20,7 @@
 } from "./targetDirectoryTypes.js";
 import type { ZoneDigest } from "./zoneDigests.js";
 
-/** Shortest time between two fetches, so that contacts that disagree for a while do not cause a storm. */
+/** Shortest time between two fetches. It prevents excessive fetches while contacts temporarily disagree. */
 const MIN_FETCH_INTERVAL_MS: Milliseconds = 500;
 const MIN_PERIOD_FRACTION = 0.75;
 const NO_TARGETS: readonly TargetMember[] = [];
@@ -31,24 +32,24 @@
     targets: readonly TargetMember[];
 }
 
-/** A contact was asked for the zone's digest. */
+/** Contact probe that requested the digest of the zone's targets. */
 interface DigestProbe {
     readonly sequence: number;
     readonly sentAt: Milliseconds;
 }
 
-/** What the lists held were last known to correspond to. */
+/** Digest of the zone's targets at the time of the last fetch. */
 interface FetchedDigest {
     readonly digest: number;
     readonly fetchedAt: Milliseconds;
 }
 
 export interface RemoteTargets {
-    /** The targets as last fetched; marks the service as in use. `key` identifies the service. */
+    /** Returns the last fetched targets and marks the service as in use. `key` identifies the service. */
     readonly targetsOf: (service: ServiceReference, key: string) => readonly TargetMember[];
-    /** Asks a contact or starts a fetch, if one is due. */
+    /** Probes a contact or starts a fetch if one is due. */
     readonly poll: (signal: AbortSignal) => void;
-    /** Takes what a contact of the zone said of the zone's targets; late, doubled and crossed answers do no harm. */
+    /** Processes the digest that a contact sent for its zone. Late, duplicate and reordered replies are tolerated. */
     readonly hearDigest: (received: Pick<ZoneDigest, "sequence" | "digest">) => void;
     readonly size: () => number;
 }
@@ -56,14 +57,14 @@
 export interface RemoteTargetsDependencies {
     readonly zone: ZoneName;
     readonly fetchZone: FetchZone;
-    /** Asks a contact; returns the sequence that its answer will carry, or undefined when no contact is known. */
+    /** Probes a contact. Returns the sequence number of the expected reply, or undefined if no contact is known. */
     readonly probeZone: () => number | undefined;
     readonly clock: Clock;
     readonly random: Random;
     readonly options: TargetDirectoryOptions;
     /** Called after each fetch. */
     readonly onFetched: (succeeded: boolean) => void;
-    /** Called when a fetch was left out. */
+    /** Called when a fetch was skipped. */
     readonly onSkipped: () => void;
 }
 
@@ -77,27 +78,27 @@
     });
 };
 
-/** The answer's digest, if it speaks for every list that was asked for. */
+/** Returns the zone digest of the answer if the answer covers every requested list, otherwise undefined. */
 const selectZoneDigest = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer): number | undefined =>
     answer.services.length === requested.length ? answer.zoneDigest : undefined;
 
-/** At most one fetch is under way at a time. */
+/** Creates the targets of one remote zone. At most one fetch is in flight at a time. */
 export const createRemoteTargets = (dependencies: RemoteTargetsDependencies): RemoteTargets => {
     const { zone, fetchZone, probeZone, clock, random, options, onFetched, onSkipped } = dependencies;
     const services = new Map<string, RemoteService>();
     let nextRefreshAt = clock.monotonic();
     let lastFetchAt = Number.NEGATIVE_INFINITY;
     let isFetching = false;
-    /** The lists may be out of date, whatever a contact confirms. */
-    let isFetchRequired = true;
-    let fetchedDigest: FetchedDigest | undefined;
+    /** Whether a fetch is required even if a contact confirms the digest, because the lists may be outdated. */
+    let needsFetch = true;
+    let lastFetch: FetchedDigest | undefined;
     let pendingProbe: DigestProbe | undefined;
 
-    const drawPeriod = (): Milliseconds =>
+    const getRandomPeriod = (): Milliseconds =>
         options.refreshPeriodMs * (MIN_PERIOD_FRACTION + (1 - MIN_PERIOD_FRACTION) * random());
 
     const requireFetch = (at: Milliseconds): void => {
-        isFetchRequired = true;
+        needsFetch = true;
         pendingProbe = undefined;
         nextRefreshAt = Math.min(nextRefreshAt, at);
     };
@@ -115,10 +116,10 @@
             .filter((remoteService) => now - remoteService.usedAt <= options.idleMs)
             .slice(0, MAX_SERVICES_PER_REQUEST);
 
-    const applyFetched = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer, startedAt: Milliseconds): void => {
+    const applyFetch = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer, sentAt: Milliseconds): void => {
         applyAnswer(requested, answer);
         const digest = selectZoneDigest(requested, answer);
-        fetchedDigest = digest === undefined ? undefined : { digest, fetchedAt: startedAt };
+        lastFetch = digest === undefined ? undefined : { digest, fetchedAt: sentAt };
     };
 
     const fetch = async (requested: readonly RemoteService[], signal: AbortSignal): Promise<void> => {
@@ -132,13 +133,13 @@
         try {
             const answer = await fetchZone(zone, request, limit.signal)();
             if (either.isRight(answer)) {
-                applyFetched(requested, answer.right, startedAt);
+                applyFetch(requested, answer.right, startedAt);
             }
-            isFetchRequired ||= either.isLeft(answer);
+            needsFetch ||= either.isLeft(answer);
             onFetched(either.isRight(answer));
         }
         catch {
-            isFetchRequired = true;
+            needsFetch = true;
             onFetched(false);
         }
         finally {
@@ -148,21 +149,22 @@
     };
 
     const startFetch = (now: Milliseconds, signal: AbortSignal): void => {
-        nextRefreshAt = now + drawPeriod();
+        nextRefreshAt = now + getRandomPeriod();
         pendingProbe = undefined;
         const requested = listServicesInUse(now);
         if (requested.length > 0) {
             isFetching = true;
             lastFetchAt = now;
-            // Whatever asks for a fetch while this one is under way may concern what this one does not bring.
-            isFetchRequired = false;
+            // The flag is cleared before the fetch, because a fetch required from now on may concern data that this
+            // fetch does not return.
+            needsFetch = false;
             void fetch(requested, signal);
         }
     };
 
-    /** Whether a contact's word would do, and one was asked for it. */
+    /** Probes a contact if its confirmation could replace a fetch. Returns whether a probe was sent. */
     const tryProbeContact = (now: Milliseconds): boolean => {
-        const canProbe = !isFetchRequired && fetchedDigest !== undefined && now - fetchedDigest.fetchedAt < options.fullRefreshMs;
+        const canProbe = !needsFetch && lastFetch !== undefined && now - lastFetch.fetchedAt < options.fullRefreshMs;
         const sequence = canProbe && listServicesInUse(now).length > 0 ? probeZone() : undefined;
         pendingProbe = sequence === undefined ? undefined : { sequence, sentAt: now };
         return pendingProbe !== undefined;
@@ -188,13 +190,14 @@
     };
 
     const hearDigest: RemoteTargets["hearDigest"] = ({ sequence, digest }) => {
-        if (fetchedDigest !== undefined && digest !== fetchedDigest.digest) {
+        if (lastFetch !== undefined && digest !== lastFetch.digest) {
             requireFetch(Math.max(clock.monotonic(), lastFetchAt + MIN_FETCH_INTERVAL_MS));
         }
-        // Only the answer to the present question counts: an older one may have been sent before a change.
-        else if (fetchedDigest !== undefined && sequence === pendingProbe?.sequence) {
-            // The next question leaves time for a fetch in its place, should it stay without an answer.
-            nextRefreshAt = pendingProbe.sentAt + Math.max(0, drawPeriod() - options.confirmTimeoutMs);
+        // Only the reply to the pending probe confirms the digest; the reply to an earlier probe may have been sent
+        // before a change.
+        else if (lastFetch !== undefined && sequence === pendingProbe?.sequence) {
+            // The next probe is sent early enough for a fetch to replace it within the period if it is not answered.
+            nextRefreshAt = pendingProbe.sentAt + Math.max(0, getRandomPeriod() - options.confirmTimeoutMs);
             pendingProbe = undefined;
             onSkipped();
         }
@@ -210,7 +213,8 @@
             requireFetch(now);
             return NO_TARGETS;
         }
-        // The digest held stands for the lists in use only; this one was left out of the fetches meanwhile.
+        // The fetched digest covers only the lists of services in use. This service was idle and has not been included
+        // in recent fetches.
         if (now - remoteService.usedAt > options.idleMs) {
             requireFetch(now);
         }
--- a/packages/oleandergap-membership/src/restoreCheck.ts
+++ b/packages/oleandergap-membership/src/restoreCheck.ts
@@ -1,31 +1,34 @@
 /**
- * Tells when an object that this node could write has to be looked at again because the store was restored from a copy.
- * Without it, the object would be missing until its writers look by themselves, many seconds later; one would see new
- * nodes that find nobody.
+ * Determines when this node has to check an object that it may write, because the object store was restored from a
+ * backup. Otherwise, the object would be missing until its regular writers check it many seconds later, and new nodes
+ * would find no other nodes.
  */
 import type { Milliseconds, StoreEra } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 
-/** Within this time the nodes that know of a restore look, one after the other, so that most find the object whole. */
+/**
+ * Time span over which the checks of different nodes are spread after a restore, so that most nodes find the object
+ * already complete.
+ */
 const CHECK_SPREAD_MS: Milliseconds = 300;
-/** Shortest wait after a look that failed; as much again is drawn. */
+/** Minimum delay after a failed check; a random delay of up to the same length is added. */
 const MIN_RETRY_DELAY_MS: Milliseconds = 400;
 
 export interface RestoreCheck {
     readonly isDue: (now: Milliseconds) => boolean;
-    /** The object is as it should be, according to an answer of this era. */
+    /** Records that the object was found or written correctly in this era of the store. */
     readonly markComplete: (era: StoreEra | undefined) => void;
-    /** The look failed: if it was due to a restore, another one is due later. */
+    /** Postpones the check after a failed attempt, if the attempt was caused by a restore. */
     readonly postpone: (now: Milliseconds) => void;
 }
 
 export interface RestoreCheckDependencies {
-    /** The newest era seen in the store's answers. */
+    /** Returns the newest era seen in the answers of the store. */
     readonly readEra: () => StoreEra | undefined;
     readonly random: Random;
 }
 
-/** Never due in the era that it was created or first answered in. */
+/** Creates the check. No check is due in the era at creation or, if that is unknown, in the first era seen. */
 export const createRestoreCheck = ({ readEra, random }: RestoreCheckDependencies): RestoreCheck => {
     let checkedEra = readEra();
     let dueAt: Milliseconds | undefined;
--- a/packages/oleandergap-membership/src/roster.ts
+++ b/packages/oleandergap-membership/src/roster.ts
@@ -1,7 +1,7 @@
 /**
- * The roster: one small object per availability zone in the object store with some of the zone's members, from which a
- * node finds the others when no seed answers. It is a hint only: stale, absent or overwritten, it costs a few datagrams
- * and is never believed about who is alive.
+ * Maintains the rosters. A roster is a small object per availability zone in the object store that lists some members
+ * of the zone. A node uses it to find other members if no seed answers. The roster is only a hint: if it is outdated,
+ * missing or overwritten, it costs a few datagrams, and it is never used to decide which members are alive.
  */
 import * as either from "fp-ts/lib/Either.js";
 import {
@@ -24,14 +24,20 @@
 import { createRestoreCheck } from "./restoreCheck.js";
 import type { Statistics } from "./statistics.js";
 
-/** Members in a roster; few, so that it seldom changes and stays small in a large zone. */
+/**
+ * Largest number of members in a roster. The number is small, so that the roster changes rarely and stays small in a
+ * large zone.
+ */
 export const ROSTER_SIZE = 32;
-/** Members that write the roster. Two, so that it survives a writer that fails; both may write at once. */
+/**
+ * Number of members that write the roster. With two writers, the roster is maintained even if one fails; concurrent
+ * writes are allowed.
+ */
 const WRITER_COUNT = 2;
-/** Without any change, a writer looks whether the roster is still right after this many periods. */
+/** Number of periods after which a writer checks the roster even if the members have not changed. */
 const RECHECK_PERIODS = 20;
 const OBJECT_TIMEOUT_MS: Milliseconds = 5000;
-/** The wait between two reads doubles up to this many times. */
+/** Largest number of times that the delay between two reads is doubled. */
 const MAX_DOUBLINGS = 5;
 
 const rosterSchema = z.strictObject({
@@ -44,10 +50,10 @@
 });
 type Roster = z.infer<typeof rosterSchema>;
 
-/** Key of a zone's roster in the object store. */
+/** Returns the key of a zone's roster in the object store. */
 export const formatRosterKey = (zone: ZoneName): string => `membership/roster/${zone}`;
 
-/** Reads of one zone's roster since a node of the zone was last heard. */
+/** Reads of the roster of one zone since a node of the zone last answered. */
 interface RosterReads {
     readonly count: number;
     readonly nextAt: Milliseconds;
@@ -55,14 +61,17 @@
 
 export interface RosterKeeper {
     /**
-     * Writes the own zone's roster if it is this node's turn and the roster changed, or if this node has heard that the
-     * store was restored from a copy. `receive` is called with what stood in it before: parts of a zone that do not
-     * know each other meet through who writes it.
+     * Writes the roster of the local zone if the roster has changed and this node is one of its writers, or if this
+     * node has detected that the store was restored from a backup. `receive` is called with the previous entries,
+     * because parts of a zone that are unknown to each other can find each other through the writers.
      */
     readonly poll: (receive: (entries: readonly Contact[]) => void, signal: AbortSignal) => void;
-    /** Reads a zone's roster, ever more seldom the more often it was in vain. `receive` is called only with entries. */
+    /**
+     * Reads the roster of a zone, with a backoff that grows with each read. `receive` is called only if a valid roster
+     * was found.
+     */
     readonly read: (zone: ZoneName, receive: (entries: readonly Contact[]) => void, signal: AbortSignal) => void;
-    /** A node of the zone answered: the next read need not wait. */
+    /** Resets the backoff after a node of the zone has answered, so that the next read is not delayed. */
     readonly resetBackoff: (zone: ZoneName) => void;
 }
 
@@ -91,8 +100,8 @@
     left.id < right.id ? -1 : 1;
 
 /**
- * The roster that should be there, given the one that is. Entries of others are kept while there is room: a writer that
- * is cut off from most of its zone would otherwise leave a roster of itself alone.
+ * Returns the roster to write, based on the existing one. Existing entries are kept while there is space: otherwise, a
+ * writer that is partitioned from most of its zone would reduce the roster to itself.
  */
 export const composeRoster = (
     zone: ZoneName,
@@ -106,7 +115,10 @@
     return { zone, members: [...local, ...retained].slice(0, ROSTER_SIZE).sort(compareIds) };
 };
 
-/** Calls to the object store run in the background; a failed one is counted and tried again later. */
+/**
+ * Creates the roster keeper. Calls to the object store run in the background; failed calls are counted and retried
+ * later.
+ */
 export const createRosterKeeper = (dependencies: RosterDependencies): RosterKeeper => {
     const { selfId, zone, clock, random, objectStore, table, periodMs, statistics } = dependencies;
     const reads = new Map<ZoneName, RosterReads>();
@@ -133,8 +145,8 @@
     };
 
     const load = async (rosterZone: ZoneName, signal: AbortSignal): Promise<Roster | undefined | "Failed"> => {
-        const body = await callWithTimeout(signal, (inTime) =>
-            objectStore.get(formatRosterKey(rosterZone), inTime)());
+        const body = await callWithTimeout(signal, (timeoutSignal) =>
+            objectStore.get(formatRosterKey(rosterZone), timeoutSignal)());
         if (either.isLeft(body)) {
             statistics.countEvent("rosterFailed");
             return "Failed";
@@ -161,7 +173,7 @@
             handleFailure();
             return;
         }
-        // Taken before the roster is written: a restore in between may lose it again.
+        // The era is read before the roster is written, because a restore between the two would lose the roster again.
         const era = readEra();
         if (existing !== undefined) {
             receive(toContacts(existing));
@@ -173,7 +185,8 @@
             return;
         }
         const key = formatRosterKey(zone);
-        const written = await callWithTimeout(signal, (inTime) => objectStore.put(key, Buffer.from(text), inTime)());
+        const written = await callWithTimeout(signal, (timeoutSignal) =>
+            objectStore.put(key, Buffer.from(text), timeoutSignal)());
         if (either.isLeft(written)) {
             statistics.countEvent("rosterFailed");
             handleFailure();
@@ -195,7 +208,8 @@
         nextRecheckAt = now + periodMs * RECHECK_PERIODS * (1 + random());
         const ranked = rankByRendezvous(formatRosterKey(zone), table.listActive(), (member) => member.id);
         const rank = ranked.findIndex((member) => member.id === selfId);
-        // Few nodes hear of a restore, by calls of their own; the writers by rank may make none for a long time.
+        // Only the few nodes that happen to call the store notice a restore. The regular writers may not call it for a
+        // long time, so any node that noticed may write.
         if (rank < 0 || rank >= WRITER_COUNT && !isRestored) {
             return;
         }
@@ -215,8 +229,9 @@
         if (now < nextAt) {
             return;
         }
-        // Without doubling and jitter, the nodes of a region that is cut off from another one would read the rosters
-        // of all its zones for as long as the cut lasts, and thousands of them at the same moments.
+        // Without exponential backoff and jitter, the nodes of a partitioned region would read the rosters of all zones
+        // of the other region for the whole duration of the partition, and thousands of nodes would do so
+        // simultaneously.
         const wait = periodMs * 2 ** Math.min(count, MAX_DOUBLINGS) * (1 + random()) / 2;
         reads.set(rosterZone, { count: count + 1, nextAt: now + wait });
         void load(rosterZone, signal)
--- a/packages/oleandergap-membership/src/sealedTransport.ts
+++ b/packages/oleandergap-membership/src/sealedTransport.ts
@@ -1,11 +1,12 @@
 /**
- * Authenticates datagrams with the fleet's key. Without it, whoever reaches the control port could pose as a member:
- * declare others dead, lure requests to an address of its own, or make nodes fetch versions that do not exist.
+ * Authenticates datagrams with the fleet key. Otherwise, anyone who can reach the control port could impersonate a
+ * member: declare other members dead, redirect requests to their own address, or make nodes fetch versions that do not
+ * exist.
  *
- * A seal is a truncated HMAC-SHA256 over the sender's endpoint and the payload, appended to it. The endpoint is covered
- * because nodes answer and call back to where a datagram came from: a copied datagram that is sent again from another
- * address would otherwise make its new sender a contact. It adds no bytes. The receiver is not covered, so that one
- * payload may go to several. Contents are not encrypted.
+ * A seal is a truncated HMAC-SHA256 over the endpoint of the sender and the payload. It is appended to the payload. The
+ * endpoint is included because nodes reply and connect to the source address of a datagram: a copied datagram that is
+ * replayed from another address would otherwise make the attacker a contact. Including the endpoint adds no bytes. The
+ * receiver is not included, so that the same payload can be sent to several receivers. The content is not encrypted.
  */
 import { createHmac, timingSafeEqual, type KeyObject } from "node:crypto";
 import * as either from "fp-ts/lib/Either.js";
@@ -13,16 +14,17 @@
 import { formatEndpoint, type DatagramTransport, type Endpoint } from "./transport.js";
 
 /**
- * Bytes of a seal. A forger can only guess at a running node: 2^64 datagrams, some 5 million years at 100,000 a second.
- * Twice the length would double the cost, which every datagram bears.
+ * Size of a seal in bytes. An attacker can only test guesses against a running node, which takes 2^64 datagrams, or
+ * about 5 million years at 100,000 datagrams per second. A seal of twice the length would double the overhead of every
+ * datagram.
  */
 export const SEAL_BYTES = 8;
 
-/** Counts since the creation; bytes are those of the seals alone. */
+/** Counters since the transport was created. The byte counts cover the seals only. */
 export interface SealStatistics {
     readonly sealBytesSent: number;
     readonly sealBytesReceived: number;
-    /** Datagrams dropped because no accepted key made their seal. */
+    /** Number of datagrams dropped because their seal does not match any accepted key. */
     readonly rejected: number;
 }
 
@@ -42,12 +44,15 @@
         .digest()
         .subarray(0, SEAL_BYTES);
 
-/** Wraps a transport. Both sides must see the sender under the same address: there may be no NAT between nodes. */
+/**
+ * Creates a transport that wraps another one. Both sides must see the sender under the same address, so there must be
+ * no NAT between nodes.
+ */
 export const createSealedTransport = ({ transport, readKeys }: SealedTransportDependencies): SealedTransport => {
     const counts = { sealBytesSent: 0, sealBytesReceived: 0, rejected: 0 };
     let self: Endpoint | undefined;
 
-    /** The payload, or undefined when none of the keys made its seal. */
+    /** Returns the payload without its seal, or undefined if the seal does not match any accepted key. */
     const verifySeal = (sealed: Uint8Array, from: Endpoint): Uint8Array | undefined => {
         const payload = sealed.subarray(0, Math.max(0, sealed.length - SEAL_BYTES));
         const seal = sealed.subarray(payload.length);
--- a/packages/oleandergap-membership/src/stateDigest.ts
+++ b/packages/oleandergap-membership/src/stateDigest.ts
@@ -1,25 +1,31 @@
 /**
- * Digests over the present members, kept up to date with each change, by which two nodes find out cheaply whether they
- * know the same. Records fall into buckets, so that a single difference costs one bucket's records, not the whole list.
+ * Maintains digests of the alive and suspect members, which are updated with each change. Two nodes compare them to
+ * detect cheaply whether they hold the same records. Records are hashed into buckets, so that a single difference only
+ * requires the records of one bucket instead of the complete list.
  */
 import type { Member } from "oleandergap-types";
 import { hashText } from "oleandergap-utils";
 import { BUCKET_COUNT } from "./bodyCodec.js";
 import { isDeadOrLeft } from "./memberRecord.js";
 
-/** Equal for nodes that hold the same present members with equal incarnations and revisions. */
+/**
+ * Digests that are equal on nodes that hold the same alive and suspect members with equal incarnations and revisions.
+ */
 export interface StateDigest {
-    /** Takes a changed record into account. */
+    /** Updates the digests after a record was added, changed or removed. */
     readonly replace: (previous: Member | undefined, next: Member | undefined) => void;
-    /** One digest over everything. */
+    /** Returns one digest of all records. */
     readonly total: () => number;
     readonly buckets: () => readonly number[];
 }
 
-/** The bucket of a member, equal on every node. */
+/** Returns the bucket of a member, which is the same on every node. */
 export const getBucket = (id: string): number => hashText(id) % BUCKET_COUNT;
 
-/** Suspicions are left out: they come and go too often, and end by themselves. */
+/**
+ * Returns the hash of a member. The state is not included, because suspicions change too often and end without any
+ * exchange.
+ */
 const hashMember = (member: Member): number =>
     hashText(`${member.id} ${String(member.incarnation)} ${String(member.revision)}`);
 
--- a/packages/oleandergap-membership/src/statistics.ts
+++ b/packages/oleandergap-membership/src/statistics.ts
@@ -1,7 +1,7 @@
-/** Counts datagrams, bytes and events, to be exported as metrics. */
+/** Counts datagrams, bytes and events for the metrics. */
 import type { MessageKind } from "./messages.js";
 
-/** Traffic of one kind of message. Bytes are UDP payloads, without IP and UDP headers (28 bytes each). */
+/** Traffic of one message kind. Byte counts are UDP payloads without the IP and UDP headers (28 bytes per datagram). */
 export interface KindTraffic {
     sentDatagrams: number;
     sentBytes: number;
@@ -9,7 +9,7 @@
     receivedBytes: number;
 }
 
-/** Why something that arrived, or would have been sent, was dropped. */
+/** Reason why an incoming or outgoing datagram was dropped. */
 export type DropReason =
     | "Malformed"
     | "Oversized"
@@ -19,7 +19,7 @@
     | "OverBudget"
     | "HandlerFailed";
 
-/** Occurrences counted since the start. */
+/** Events that are counted since the start. */
 export type MembershipEvent =
     | "probeSucceeded"
     | "probeFailed"
@@ -33,12 +33,12 @@
     | "rosterFailed"
     | "syncDiffered";
 
-/** A copy; it does not change any more. */
+/** Snapshot of the counters. */
 export interface MembershipStats {
     readonly traffic: Readonly<Record<MessageKind, Readonly<KindTraffic>>>;
     readonly dropped: Readonly<Record<DropReason, number>>;
     readonly events: Readonly<Record<MembershipEvent, number>>;
-    /** Lifeguard's local health score; 0 is healthy. */
+    /** Local health score as defined by Lifeguard; 0 means healthy. */
     readonly healthScore: number;
 }
 
--- a/packages/oleandergap-membership/src/suspicions.ts
+++ b/packages/oleandergap-membership/src/suspicions.ts
@@ -1,17 +1,25 @@
 /**
- * The members that this node suspects, and when it will declare each dead unless the member refutes.
+ * Tracks the members that this node suspects and the deadlines after which they are declared dead unless they refute
+ * the suspicion.
  *
- * Before the time is up, the suspect is asked again several times. Without that, a node that lost the one datagram with
- * a refutation would declare a healthy member dead; under heavy loss one would see members die and return all the time.
+ * Before the deadline, the suspect is probed several times. Otherwise, a node that lost the only datagram with a
+ * refutation would declare a healthy member dead; with heavy packet loss, members would repeatedly be declared dead and
+ * rejoin.
  */
 import type { Clock, Milliseconds, NodeId } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 
-/** Times that a suspect is asked before it is declared dead. */
+/** Number of times that a suspect is probed before it is declared dead. */
 export const SUSPECT_CHECKS = 5;
-/** A node that only heard of the suspicion waits longer than the one that saw the probe fail, by this factor. */
+/**
+ * Factor by which the timeout is extended if the suspicion was reported by another member and not caused by a failed
+ * probe of this node.
+ */
 const REMOTE_SUSPICION_FACTOR = 1.5;
-/** Largest share that a random delay adds, so that not all nodes ask the suspect at once. */
+/**
+ * Largest random extension of the timeout, as a fraction of it, so that the nodes do not all probe the suspect at the
+ * same time.
+ */
 const JITTER_FRACTION = 0.3;
 
 interface Suspicion {
@@ -21,30 +29,33 @@
 }
 
 export interface DueSuspicions {
-    /** Suspects to ask once more. */
+    /** Suspects that have to be probed now. */
     readonly checks: readonly NodeId[];
-    /** Suspects whose time is up. */
+    /** Suspects whose deadline has passed. */
     readonly expired: readonly NodeId[];
 }
 
-/** Keeps times only; who is suspect stands in the member table. */
+/** Stores only the deadlines. The state of the members is stored in the member table. */
 export interface Suspicions {
-    /** Keeps a running suspicion, but shortens its wait when this node now saw a probe fail itself. */
+    /**
+     * Starts a suspicion. A running suspicion is kept, unless it was reported by another member and a probe of this
+     * node has now failed; then its timeout is shortened.
+     */
     readonly start: (id: NodeId, isRemote: boolean) => void;
     readonly end: (id: NodeId) => boolean;
-    /** Grants every suspect a whole new period. */
+    /** Restarts the timeout of every suspicion. */
     readonly restartAll: () => void;
     readonly clear: () => void;
-    /** What is due now; an expired suspicion is removed. */
+    /** Returns the checks and suspicions that are due now. Expired suspicions are removed. */
     readonly collectDue: () => DueSuspicions;
 }
 
 export interface SuspicionDependencies {
     readonly clock: Clock;
     readonly random: Random;
-    /** Time from a failed probe to the declaration of death, at the present size of the zone. */
+    /** Returns the time from a failed probe until the suspect is declared dead, for the current size of the zone. */
     readonly suspicionTimeout: () => Milliseconds;
-    /** Time between two checks. */
+    /** Returns the time between two checks of a suspect. */
     readonly checkInterval: () => Milliseconds;
 }
 
@@ -53,7 +64,8 @@
     const suspicions = new Map<NodeId, Suspicion>();
 
     const createSuspicion = (isRemote: boolean): Suspicion => {
-        const timeout = suspicionTimeout() * (isRemote ? REMOTE_SUSPICION_FACTOR : 1) * (1 + random() * JITTER_FRACTION);
+        const timeout =
+            suspicionTimeout() * (isRemote ? REMOTE_SUSPICION_FACTOR : 1) * (1 + random() * JITTER_FRACTION);
         return { isRemote, deadline: clock.monotonic() + timeout, checksLeft: SUSPECT_CHECKS };
     };
 
