--- a/packages/oleandergap-membership/src/synchronizer.ts
+++ b/packages/oleandergap-membership/src/synchronizer.ts
@@ -1,9 +1,9 @@
 /**
- * Compares the whole state with another member now and then, and exchanges what differs.
+ * Periodically compares the complete state with another member and exchanges the differences (anti-entropy).
  *
- * Updates are pushed a bounded number of times. A node that missed all copies, or was cut off meanwhile, would never
- * hear of the change; one would see nodes whose member lists differ for ever. Comparing digests finds that, for some
- * hundred bytes when the states are equal.
+ * Updates are pushed a limited number of times. A node that missed all copies or was disconnected would never receive
+ * the change, and the member lists of the nodes would stay different. Comparing digests detects this and costs a few
+ * hundred bytes if the states are equal.
  */
 import type { Clock, Member, Milliseconds, NodeId } from "oleandergap-types";
 import { pickOne, type Random } from "oleandergap-utils";
@@ -18,22 +18,26 @@
 import type { Endpoint } from "./transport.js";
 
 /**
- * After its start, and after a difference, a node compares again within twice this time. Many nodes that start at once
- * tell each other in a zone that each still takes for small, with few copies of each update.
+ * Base delay of the first comparison after the start, and of the comparison that follows a difference. With jitter,
+ * both happen within twice this time. If many nodes start at the same time, each of them still assumes a small zone and
+ * sends only a few copies of each update.
  */
 const FOLLOW_UP_MS: Milliseconds = 2000;
 const MIN_PERIOD_FRACTION = 0.75;
-const PERIOD_SPREAD = 0.5;
+const PERIOD_SPREAD_FRACTION = 0.5;
 
 export interface Synchronizer {
     readonly poll: () => void;
-    /** Introduces this node to an endpoint, which answers with all that this node lacks. */
+    /**
+     * Sends the record and bucket digests of this node to an endpoint, which replies with all records that this node
+     * lacks.
+     */
     readonly join: (endpoint: Endpoint) => void;
-    /** Compares states with a node of which this one knows too little. */
+    /** Starts a comparison of the complete state with a node. */
     readonly compareWith: (endpoint: Endpoint) => void;
     readonly receiveStart: (from: Endpoint, digest: number) => void;
     readonly receiveBuckets: (from: Endpoint, digests: readonly number[]) => void;
-    /** Answers with this node's records of the wanted buckets, but for those that the sender just sent. */
+    /** Replies with the records of the requested buckets, except for those that the sender has just sent. */
     readonly receiveRecords: (from: Endpoint, requestedBuckets: readonly number[], received: readonly Member[]) => void;
 }
 
@@ -48,11 +52,15 @@
     readonly statistics: Statistics;
 }
 
-/** All that it sends counts against its byte budget; what does not fit is left to a later comparison. */
+/**
+ * Creates a synchronizer. All datagrams that it sends are counted against a byte budget; what exceeds the budget is
+ * left to a later comparison.
+ */
 export const createSynchronizer = (dependencies: SynchronizerDependencies): Synchronizer => {
     const { selfId, clock, random, options, table, messenger, budget, statistics } = dependencies;
 
-    const drawPeriod = (): Milliseconds => options.syncPeriodMs * (MIN_PERIOD_FRACTION + PERIOD_SPREAD * random());
+    const getRandomPeriod = (): Milliseconds =>
+        options.syncPeriodMs * (MIN_PERIOD_FRACTION + PERIOD_SPREAD_FRACTION * random());
 
     let nextSyncAt = clock.monotonic() + FOLLOW_UP_MS * (1 + random());
 
@@ -95,7 +103,7 @@
         if (now < nextSyncAt) {
             return;
         }
-        nextSyncAt = now + drawPeriod();
+        nextSyncAt = now + getRandomPeriod();
         const peer = pickOne(random, listOtherMembers(table, selfId));
         if (peer !== undefined) {
             compareWith(getControlEndpoint(peer));
--- a/packages/oleandergap-membership/src/targetDirectory.ts
+++ b/packages/oleandergap-membership/src/targetDirectory.ts
@@ -1,4 +1,7 @@
-/** Where the targets of a service are: in the own availability zone from the membership, in others on demand. */
+/**
+ * Lists the targets of a service. The targets of the local availability zone are taken from the membership; those of
+ * remote zones are fetched on demand.
+ */
 import {
     formatServiceReference,
     type Clock,
@@ -14,20 +17,23 @@
 import type { FetchZone, TargetDirectory, TargetMember } from "./targetDirectoryTypes.js";
 import { createTargetLists } from "./targetLists.js";
 
-/** How soon a service that is used for the first time is fetched. */
+/** Polling interval; the longest delay before a service that is used for the first time is fetched. */
 const POLL_MS: Milliseconds = 100;
 
 export interface TargetDirectoryDependencies {
     readonly membership: Pick<Membership, "members" | "self" | "probeZone" | "subscribeZoneDigests">;
     readonly fetchZone: FetchZone;
-    /** The zones of interest of a service, for example those with a weight above 0; the own one only if it is named. */
+    /**
+     * Returns the relevant zones of a service, for example those with a weight above 0. The local zone is relevant only
+     * if it is included.
+     */
     readonly zones: (service: ServiceReference) => readonly ZoneName[];
     readonly clock: Clock;
     readonly random: Random;
     readonly options: TargetDirectoryOptions;
 }
 
-/** Fetches nothing before `start`. */
+/** Creates a target directory, which fetches nothing before `start` is called. */
 export const createTargetDirectory = (dependencies: TargetDirectoryDependencies): TargetDirectory => {
     const { membership, fetchZone, zones, clock, random, options } = dependencies;
     const localZone = membership.self().zone;
@@ -70,7 +76,7 @@
         return joinedLists.join(key, [...local, ...remote]);
     };
 
-    // Subscribed for the membership's life; there is one directory to a membership.
+    // The subscription is never ended, because there is exactly one directory per membership.
     membership.subscribeZoneDigests((digest) => {
         remoteZones.get(digest.zone)?.hearDigest(digest);
     });
--- a/packages/oleandergap-membership/src/targetDirectoryTypes.ts
+++ b/packages/oleandergap-membership/src/targetDirectoryTypes.ts
@@ -1,4 +1,4 @@
-/** What the target directory offers, and the exchange by which zones learn each other's targets. */
+/** Interface of the target directory, and the messages with which zones exchange their targets. */
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import {
     addressSchema,
@@ -12,39 +12,39 @@
 import { z } from "zod";
 import { MAX_TARGETS_DIGEST } from "./targetsDigest.js";
 
-/** Most services in one request to another availability zone. */
+/** Largest number of services in one request to a remote availability zone. */
 export const MAX_SERVICES_PER_REQUEST = 200;
-/** Most targets of one service in an answer. */
+/** Largest number of targets of one service in an answer. */
 export const MAX_TARGETS_PER_SERVICE = 2000;
 
-/** A target, and the node whose gate leads to it. */
+/** Target and the node whose gate forwards requests to it. */
 export const targetMemberSchema = z.strictObject({
     nodeId: nodeIdSchema,
     zone: zoneNameSchema,
     address: addressSchema,
     gatePort: portSchema,
     slots: z.number().int().min(1),
-    /** No new request may be sent to it. */
+    /** Whether the target is leaving. No new requests may be sent to it. */
     leaving: z.boolean(),
-    /** Wall-clock time of its first announcement. */
+    /** Wall-clock time of the first announcement of the target. */
     since: z.number(),
 });
 export type TargetMember = z.infer<typeof targetMemberSchema>;
 
-/** Digest of a service's targets in one zone; compares equal only for equal lists. */
+/** Digest of the targets of a service in one zone. Equal digests indicate equal lists. */
 const targetsDigestSchema = z.string().max(64);
 
-/** Asks a node of another availability zone for that zone's targets. */
+/** Requests the targets of an availability zone from a node of that zone. */
 export const zoneTargetsRequestSchema = z.strictObject({
     zone: zoneNameSchema,
     services: z.array(serviceReferenceSchema.extend({
-        /** Digest of the list that the asker holds. */
+        /** Digest of the list that the requesting node already holds. */
         knownDigest: targetsDigestSchema.optional(),
     })).max(MAX_SERVICES_PER_REQUEST),
 });
 export type ZoneTargetsRequest = z.infer<typeof zoneTargetsRequestSchema>;
 
-/** One answer per service asked for, in the same order. */
+/** Contains one answer per requested service, in the same order. */
 export const zoneTargetsAnswerSchema = z.strictObject({
     services: z.array(z.discriminatedUnion("kind", [
         z.strictObject({ kind: z.literal("Unchanged") }),
@@ -54,46 +54,49 @@
             targets: z.array(targetMemberSchema).max(MAX_TARGETS_PER_SERVICE),
         }),
     ])).max(MAX_SERVICES_PER_REQUEST),
-    /** Digest of all targets of the zone as the answering node knows them, comparable with those of its contacts. */
+    /**
+     * Digest of all targets of the zone that the answering node holds. It can be compared with the digests sent by
+     * contacts of that zone.
+     */
     zoneDigest: z.number().int().min(0).max(MAX_TARGETS_DIGEST).optional(),
 });
 export type ZoneTargetsAnswer = z.infer<typeof zoneTargetsAnswerSchema>;
 
-/** Why another availability zone gave no answer. */
+/** Reason why a remote availability zone did not answer. */
 export interface FetchZoneError {
     readonly kind: "ZoneUnreachable";
     readonly detail: string;
 }
 
-/** Port: asks some node of `zone`. Abandoned when `signal` aborts. */
+/** Port that sends a request to any node of `zone`. The request is abandoned when `signal` aborts. */
 export type FetchZone = (
     zone: ZoneName,
     request: ZoneTargetsRequest,
     signal: AbortSignal,
 ) => TaskEither<FetchZoneError, ZoneTargetsAnswer>;
 
-/** Which targets a service has, as far as this node knows. */
+/** Targets of the services that this node holds. */
 export interface TargetDirectory {
-    /** Refreshes other zones' targets until `signal` aborts. */
+    /** Refreshes the targets of remote zones until `signal` aborts. */
     readonly start: (signal: AbortSignal) => void;
     /**
-     * The targets of a service: the own zone's at once, the other zones' as last fetched. The call marks the service
-     * as in use, so that it is fetched and refreshed. `zones` narrows the zones of interest, the own one included.
-     * The same array as long as nothing changed and the same zones are asked for.
+     * Returns the targets of a service: those of the local zone immediately, those of remote zones as last fetched. The
+     * call marks the service as in use, so that it is fetched and refreshed. `zones` restricts the zones, including the
+     * local one. The same array is returned while nothing has changed and the same zones are requested.
      */
     readonly targetsOf: (service: ServiceReference, zones?: readonly ZoneName[]) => readonly TargetMember[];
-    /** Answers another zone's request from the own zone's members. */
+    /** Answers the request of a remote zone from the members of the local zone. */
     readonly answerZoneTargets: (request: ZoneTargetsRequest) => ZoneTargetsAnswer;
-    /** Digest of the own zone's targets, for `MembershipDependencies.targetsDigest`. */
+    /** Returns the digest of the targets of the local zone, for `MembershipDependencies.targetsDigest`. */
     readonly zoneDigest: () => number;
     readonly stats: () => TargetDirectoryStats;
 }
 
-/** Counted since the start. */
+/** Counters since the start. */
 export interface TargetDirectoryStats {
     readonly fetches: number;
     readonly failedFetches: number;
-    /** Refreshes that a contact's digest made superfluous. */
+    /** Number of refreshes that needed no fetch because a contact confirmed the digest. */
     readonly skippedFetches: number;
     readonly servicesHeld: number;
 }
--- a/packages/oleandergap-membership/src/targetLists.ts
+++ b/packages/oleandergap-membership/src/targetLists.ts
@@ -1,4 +1,7 @@
-/** Joins the targets of several availability zones into one list, and gives the same array until a part changes. */
+/**
+ * Joins the targets of several availability zones into one list. The same array is returned until one of the parts
+ * changes.
+ */
 import type { TargetMember } from "./targetDirectoryTypes.js";
 
 type TargetArray = readonly TargetMember[];
@@ -9,7 +12,10 @@
 }
 
 export interface TargetLists {
-    /** Parts count as unchanged when they are the same arrays in the same order. `key` identifies the service. */
+    /**
+     * Joins the parts. The parts are considered unchanged if they are the same arrays in the same order. `key`
+     * identifies the service.
+     */
     readonly join: (key: string, parts: readonly TargetArray[]) => TargetArray;
 }
 
@@ -18,7 +24,10 @@
 const isSameParts = (left: readonly TargetArray[], right: readonly TargetArray[]): boolean =>
     left.length === right.length && left.every((part, index) => part === right[index]);
 
-/** Keeps the last list of each key; keys are services of the table, so there are few. */
+/**
+ * Creates the joined lists. The last list of each key is cached; keys are services of the routing table, so their
+ * number is small.
+ */
 export const createTargetLists = (): TargetLists => {
     const lists = new Map<string, JoinedList>();
     return {
--- a/packages/oleandergap-membership/src/targetsDigest.ts
+++ b/packages/oleandergap-membership/src/targetsDigest.ts
@@ -1,21 +1,21 @@
-/** One digest over all targets of an availability zone, equal on all nodes that know the same targets. */
+/** Computes a digest of all targets of an availability zone, which is equal on all nodes that hold the same targets. */
 import { createHash } from "node:crypto";
 import type { Member } from "oleandergap-types";
 import { formatCanonicalJson } from "oleandergap-utils";
 
-/** Largest digest: 52 bits, which a number holds exactly. */
+/** Largest digest: 52 bits, which a number represents exactly. */
 export const MAX_TARGETS_DIGEST = 2 ** 52 - 1;
 
 const WORD_RANGE = 2 ** 32;
 const HIGH_BITS_MASK = 0xf_ffff;
 
-/** The two words of a member's hash; a list's words are those of its members combined by exclusive or. */
+/** The two words of a hash. The words of a list are the words of its members combined with XOR. */
 interface HashWords {
     readonly high: number;
     readonly low: number;
 }
 
-/** A member's record is replaced when it changes, so a hash holds for as long as its record is referred to. */
+/** Cached hashes. A changed member gets a new record object, so a hash is valid as long as its record is referenced. */
 const hashes = new WeakMap<Member, HashWords>();
 
 const computeHash = ({ id, address, gatePort, target }: Member): HashWords => {
@@ -33,7 +33,10 @@
     return computed;
 };
 
-/** Does not depend on the order of the members; suspicions and incarnations do not count. */
+/**
+ * Returns the digest of the targets. It does not depend on the order of the members, their suspicions or their
+ * incarnations.
+ */
 export const digestZoneTargets = (members: readonly Member[]): number => {
     let high = 0;
     let low = 0;
--- a/packages/oleandergap-membership/src/testing/freezableClock.ts
+++ b/packages/oleandergap-membership/src/testing/freezableClock.ts
@@ -1,10 +1,13 @@
-/** The clock of one node in a test, whose timers stand still while the node is frozen, as with SIGSTOP. */
+/**
+ * Clock of one node in a test. Its timers do not fire while the node is frozen, like those of a process stopped with
+ * SIGSTOP.
+ */
 import type { Clock } from "oleandergap-types";
 
-/** Time goes on while it is frozen; only timers wait. */
+/** Clock whose timers can be suspended. The time itself continues to advance. */
 export interface FreezableClock extends Clock {
     readonly freeze: () => void;
-    /** Runs, in order, all timers that fell due meanwhile. The time itself never stood still. */
+    /** Resumes the timers and runs, in order, all timers that became due while the clock was frozen. */
     readonly thaw: () => void;
 }
 
--- a/packages/oleandergap-membership/src/testing/index.ts
+++ b/packages/oleandergap-membership/src/testing/index.ts
@@ -1,3 +1,3 @@
-/** Fakes for tests that need several nodes in one process. */
+/** Fakes for tests that run several nodes in one process. */
 export * from "./freezableClock.js";
 export * from "./memoryNetwork.js";
--- a/packages/oleandergap-membership/src/testing/memoryNetwork.ts
+++ b/packages/oleandergap-membership/src/testing/memoryNetwork.ts
@@ -1,36 +1,39 @@
-/** A network in memory for tests: loses, delays, duplicates, cuts and freezes by a seed and a clock moved by hand. */
+/**
+ * In-memory network for tests that can lose, delay, duplicate and hold back datagrams, controlled by a seed and a
+ * manual clock.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { formatEndpoint, type DatagramTransport, type Endpoint, type ReceiveDatagram } from "../transport.js";
 
-/** Datagrams that wait at a frozen node, as a socket buffer would hold them; further ones are lost. */
+/** Number of datagrams buffered for a frozen node, like in a socket buffer. Further datagrams are lost. */
 const FROZEN_BUFFER_DATAGRAMS = 300;
 
-/** What happens to the datagrams of one direction of one pair of nodes. */
+/** Behaviour of the network for datagrams from one node to another. */
 export interface LinkBehaviour {
-    /** Share of datagrams that are lost; 1 cuts the direction. */
+    /** Fraction of datagrams that are lost; 1 disconnects this direction. */
     readonly loss: number;
-    /** Share of datagrams that arrive twice. */
+    /** Fraction of datagrams that are delivered twice. */
     readonly duplication: number;
     readonly minimumDelayMs: Milliseconds;
     readonly maximumDelayMs: Milliseconds;
 }
 
-export type DescribeLink = (from: Endpoint, to: Endpoint) => LinkBehaviour;
+export type GetLinkBehaviour = (from: Endpoint, to: Endpoint) => LinkBehaviour;
 
-/** Delivers everything once, after a millisecond. */
+/** Delivers each datagram once, after one millisecond. */
 export const perfectLink: LinkBehaviour = { loss: 0, duplication: 0, minimumDelayMs: 1, maximumDelayMs: 1 };
 
-/** All nodes of a test share one. */
+/** Network that is shared by all nodes of a test. */
 export interface MemoryNetwork {
     readonly createTransport: (endpoint: Endpoint) => DatagramTransport;
-    /** Replaces the behaviour of all links from now on. */
-    readonly setLinks: (describeLink: DescribeLink) => void;
-    /** Holds the datagrams to an endpoint back, until `thaw`. */
+    /** Replaces the behaviour of all links for datagrams sent from now on. */
+    readonly setLinks: (getLinkBehaviour: GetLinkBehaviour) => void;
+    /** Buffers the datagrams to an endpoint until `thaw` is called. */
     readonly freeze: (endpoint: Endpoint) => void;
     readonly thaw: (endpoint: Endpoint) => void;
-    /** Hands a payload to an endpoint as if it had come from another one. */
+    /** Delivers a payload to an endpoint with a given source endpoint. */
     readonly inject: (from: Endpoint, to: Endpoint, payload: Uint8Array) => void;
 }
 
@@ -40,13 +43,13 @@
     readonly payload: Uint8Array;
 }
 
-/** Deterministic for a seeded `random` and a clock moved by hand. */
+/** Creates a network that is deterministic with a seeded `random` and a manual clock. */
 export const createMemoryNetwork = (clock: Clock, random: Random): MemoryNetwork => {
     const receivers = new Map<string, ReceiveDatagram>();
     const frozenBuffers = new Map<string, Delivery[]>();
-    /** Deliveries by the time at which they are due: one timer per time, however many datagrams. */
+    /** Pending deliveries by due time. There is one timer per time, regardless of the number of datagrams. */
     const deliveriesByTime = new Map<Milliseconds, Delivery[]>();
-    let describeLink: DescribeLink = () => perfectLink;
+    let getLinkBehaviour: GetLinkBehaviour = () => perfectLink;
 
     const deliver = (delivery: Delivery): void => {
         const key = formatEndpoint(delivery.to);
@@ -74,7 +77,7 @@
     };
 
     const send = (delivery: Delivery): void => {
-        const link = describeLink(delivery.from, delivery.to);
+        const link = getLinkBehaviour(delivery.from, delivery.to);
         if (random() < link.loss) {
             return;
         }
@@ -103,8 +106,8 @@
                 }
             },
         }),
-        setLinks: (describe) => {
-            describeLink = describe;
+        setLinks: (getBehaviour) => {
+            getLinkBehaviour = getBehaviour;
         },
         freeze: (endpoint) => {
             frozenBuffers.set(formatEndpoint(endpoint), []);
--- a/packages/oleandergap-membership/src/ticker.ts
+++ b/packages/oleandergap-membership/src/ticker.ts
@@ -1,10 +1,10 @@
 /**
- * The one timer of the membership, which notices when the process itself was paused.
+ * Single timer of the membership, which also detects that the process was paused.
  *
- * A process that was stopped (SIGSTOP, a paused VM, a long collection) finds all its timeouts expired when it resumes,
- * while the answers that arrived meanwhile still wait in the socket. Judging by those timeouts would declare the whole
- * zone dead; one would see a mass of suspicions from one node right after a gap in its log. A timer that fires far too
- * late shows the pause before any timeout is judged, because all of them are judged from this one timer.
+ * When a stopped process (SIGSTOP, a paused VM, a long garbage collection) resumes, all its timeouts have expired while
+ * the answers received during the pause are still in the socket buffer. Evaluating the timeouts would declare the whole
+ * zone dead, which appears as a large number of suspicions by one node after a gap in its log. A timer that fires far
+ * too late reveals the pause before any timeout is evaluated, because all timeouts are evaluated in this timer.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 
@@ -15,14 +15,14 @@
 export interface TickerDependencies {
     readonly clock: Clock;
     readonly tickMs: Milliseconds;
-    /** A tick that is later than this is a pause. */
+    /** Delay of a tick above which a pause is assumed. */
     readonly pauseBoundMs: Milliseconds;
     readonly onTick: () => void;
-    /** Called before the tick that came too late. */
+    /** Called before the delayed tick is processed. */
     readonly onPause: (duration: Milliseconds) => void;
 }
 
-/** Each tick is scheduled after the last one ended, so ticks never pile up. */
+/** Creates a ticker. Each tick is scheduled after the previous one has finished, so ticks never accumulate. */
 export const createTicker = ({ clock, tickMs, pauseBoundMs, onTick, onPause }: TickerDependencies): Ticker => ({
     start: (signal) => {
         let cancel = (): void => undefined;
--- a/packages/oleandergap-membership/src/udpTransport.ts
+++ b/packages/oleandergap-membership/src/udpTransport.ts
@@ -6,13 +6,13 @@
 import type { Logger } from "oleandergap-logger";
 import type { DatagramTransport, Endpoint, ReceiveDatagram, TransportError } from "./transport.js";
 
-/** Holds a burst of some hundred datagrams while the process is busy. */
+/** Size of the receive buffer in bytes, which holds a burst of several hundred datagrams while the process is busy. */
 const RECEIVE_BUFFER_BYTES = 1_048_576;
 
 export interface UdpTransportOptions {
-    /** Address to bind; datagrams leave from it, so that others see it as the sender's. */
+    /** Address to bind. It is also the source address of sent datagrams. */
     readonly address: string;
-    /** Port to bind; 0 lets the system choose one. */
+    /** Port to bind; with 0, the operating system selects one. */
     readonly port: number;
     readonly logger: Logger;
 }
@@ -39,7 +39,10 @@
     }
 };
 
-/** Binds exclusively: a second process on the same port is an error, not a silent sharing of datagrams. */
+/**
+ * Creates a UDP transport that binds exclusively: a second process on the same port fails instead of silently receiving
+ * part of the datagrams.
+ */
 export const createUdpTransport = (options: UdpTransportOptions): DatagramTransport => {
     let socket: Socket | undefined;
 
@@ -54,12 +57,12 @@
         const bound = await bind(opened, options);
         if (either.isLeft(bound) || signal.aborted) {
             opened.close();
-            return either.isLeft(bound) ? bound : either.left({ kind: "BindFailed", detail: "stopped meanwhile" });
+            return either.isLeft(bound) ? bound : either.left({ kind: "BindFailed", detail: "aborted while binding" });
         }
         socket = opened;
         enlargeBuffer(opened, options.logger);
-        // A datagram refused by its receiver's host surfaces as an error event of the socket; without a listener it
-        // would end the process.
+        // A datagram that is rejected by the host of its receiver causes an error event on the socket, which would
+        // terminate the process without a listener.
         opened.on("error", (error) => {
             options.logger.debug("socket error", { detail: error.message });
         });
--- a/packages/oleandergap-membership/src/updateQueue.ts
+++ b/packages/oleandergap-membership/src/updateQueue.ts
@@ -1,11 +1,12 @@
 /**
- * Member records that still have to be told to others. Each is sent a bounded number of times, the least told first,
- * so that the traffic of one change is bounded and a mass of changes cannot hold back a new one.
+ * Queue of member records that still have to be sent to other members. Each record is sent a limited number of times,
+ * those sent least often first, so that the traffic of one change is limited and a large number of changes does not
+ * delay a new one.
  */
 import type { Member, NodeId } from "oleandergap-types";
 import { measureRecordBytes } from "./datagramCodec.js";
 
-/** Transmissions of one update per natural logarithm of the zone's size. */
+/** Number of transmissions of one update, as a multiple of the natural logarithm of the zone size. */
 const TRANSMISSIONS_PER_LOGARITHM = 3;
 
 interface QueuedUpdate {
@@ -14,22 +15,26 @@
 }
 
 export interface UpdateQueue {
-    /** Replaces an older update of the same member. */
+    /** Adds an update and replaces an older update of the same member. */
     readonly add: (member: Member) => void;
-    /** Takes updates that fit into `room` bytes, at most `maximum`, and counts them as told once more. */
+    /**
+     * Returns at most `maxRecords` updates that fit into `maxBytes` bytes, and counts one transmission for each of
+     * them.
+     */
     readonly take: (maxBytes: number, maxRecords?: number) => readonly Member[];
     readonly size: () => number;
     readonly clear: () => void;
 }
 
 /**
- * Times that one update is sent. With each of n nodes sending 3 ln n copies, a node receives as many on average, and
- * the chance that any node is missed stays below 1 in n squared, even when a third of the datagrams is lost.
+ * Returns the number of transmissions of one update. If each of n nodes sends 3 ln n copies, a node receives the same
+ * number on average, and the probability that any node is missed stays below 1 in n squared, even with a datagram loss
+ * of one third.
  */
 export const computeTransmissionLimit = (zoneSize: number): number =>
     Math.ceil(TRANSMISSIONS_PER_LOGARITHM * Math.log(zoneSize + 1));
 
-/** `zoneSize` is read at each use, so that the limit follows the zone. */
+/** Creates a queue. `zoneSize` is called at each use, so that the transmission limit follows the size of the zone. */
 export const createUpdateQueue = (zoneSize: () => number): UpdateQueue => {
     const updates = new Map<NodeId, QueuedUpdate>();
 
@@ -38,15 +43,15 @@
             return [];
         }
         const limit = computeTransmissionLimit(zoneSize());
-        const candidates = [...updates.values()].sort((remainingBytes, right) => remainingBytes.transmissions - right.transmissions);
+        const candidates = [...updates.values()].sort((left, right) => left.transmissions - right.transmissions);
         const taken: Member[] = [];
-        let left = maxBytes;
+        let remainingBytes = maxBytes;
         for (const update of candidates) {
             const size = measureRecordBytes(update.member);
-            if (size > left || taken.length >= maxRecords) {
+            if (size > remainingBytes || taken.length >= maxRecords) {
                 break;
             }
-            left -= size;
+            remainingBytes -= size;
             taken.push(update.member);
             update.transmissions += 1;
             if (update.transmissions >= limit) {
@@ -58,7 +63,8 @@
 
     return {
         add: (member) => {
-            // Deleted first, so that a renewed update moves behind the others of equal count in the map's order.
+            // The existing entry is deleted first, so that the renewed update is inserted behind others with the same
+            // transmission count.
             updates.delete(member.id);
             updates.set(member.id, { member, transmissions: 0 });
         },
--- a/packages/oleandergap-membership/src/zoneDigests.ts
+++ b/packages/oleandergap-membership/src/zoneDigests.ts
@@ -1,14 +1,14 @@
 /**
- * Carries one digest over all targets of an availability zone to the nodes of the others, in the answers to contact
- * probes. A node that holds a zone's targets thereby learns for a few bytes whether they changed.
+ * Exchanges digests of all targets of an availability zone in the replies to contact probes. A node that holds the
+ * targets of a remote zone detects changes at the cost of a few bytes.
  */
 import type { ZoneName } from "oleandergap-types";
 import type { Unsubscribe } from "./membershipTypes.js";
 
-/** What a node of another availability zone said of its zone's targets. */
+/** Target digest of a remote availability zone, as sent by one of its nodes. */
 export interface ZoneDigest {
     readonly zone: ZoneName;
-    /** The probe that it answers, as returned by `probeZone`. */
+    /** Sequence number of the answered probe, as returned by `probeZone`. */
     readonly sequence: number;
     readonly digest: number;
 }
@@ -16,7 +16,10 @@
 export type ReceiveZoneDigest = (digest: ZoneDigest) => void;
 
 export interface ZoneDigests {
-    /** Digest of the own availability zone's targets; undefined while this node cannot vouch for it. */
+    /**
+     * Returns the digest of the targets of the local availability zone, or undefined while the member list of this node
+     * is not yet complete enough.
+     */
     readonly getLocal: () => number | undefined;
     readonly receive: ReceiveZoneDigest;
     readonly subscribe: (listener: ReceiveZoneDigest) => Unsubscribe;
