--- a/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
@@ -1,6 +1,6 @@
-// Symptom: resting nodes of five zones send as many probes to other zones' contacts as all their other datagrams.
-// Sequence: each zone is probed for the digest of its targets once a second, and in its turn as a contact as well.
-// Cause: the turn did not look when the zone was probed last. Counted here: probes sent.
+// Guards against probing a zone twice: each zone was probed once per second for the digest of its targets and again in
+// its regular round, because the round ignored earlier probes. Idle nodes then sent as many contact probes as all other
+// datagrams together.
 import { expect } from "chai";
 import type { Clock, Milliseconds, ZoneName } from "oleandergap-types";
 import { createManualClock, createSeededRandom } from "oleandergap-utils";
@@ -16,7 +16,7 @@
 interface Harness {
     readonly contactBook: ContactBook;
     readonly countProbes: () => number;
-    /** Ticks for `duration`, and calls `eachTick` with the time since the start. */
+    /** Runs ticks for `duration` and calls `eachTick` with the time elapsed since the start. */
     readonly run: (duration: Milliseconds, eachTick?: (passed: Milliseconds) => void) => Promise<void>;
 }
 
@@ -54,13 +54,13 @@
 };
 
 describe("createContactBook", () => {
-    it("probes each zone in turn when nobody else does", async () => {
+    it("probes each zone in its round if there are no other probes", async () => {
         const { countProbes, run } = createHarness();
         await run(10_000);
         expect(countProbes()).to.be.within(15, 27);
     });
 
-    it("does not probe a zone in its turn that was probed just before", async () => {
+    it("skips the round of a zone that was probed shortly before", async () => {
         const { contactBook, countProbes, run } = createHarness();
         let probesOutsideRounds = 0;
         await run(10_000, (passed) => {
@@ -69,7 +69,7 @@
                 probesOutsideRounds += OTHER_ZONES.length;
             }
         });
-        // Without that, 20 more.
+        // Probing these zones in their rounds as well would add 20 probes.
         expect(countProbes() - probesOutsideRounds).to.be.at.most(4);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/datagramCodec.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/datagramCodec.test.ts
@@ -58,7 +58,7 @@
 };
 
 describe("createDatagramCodec", () => {
-    it("decodes what it encoded, for every kind of message", () => {
+    it("decodes the datagrams that it encodes for every kind of message", () => {
         for (const body of bodies) {
             const records = [member, withoutTarget(member)];
             const decoded = codec.decode(encode(body, records));
@@ -66,10 +66,10 @@
         }
     });
 
-    it("bears a datagram that announces far more than it holds, with little memory", () => {
-        // Symptom: a node ends for lack of memory.
-        // Sequence: a datagram of 1,170 bytes nests announcements of arrays of 65,535 elements.
-        // Cause: the decoder allocates the announced length before it reads the elements.
+    it("rejects a datagram that declares more elements than it contains, without allocating much memory", () => {
+        // Guards against a node that runs out of memory: the decoder allocates arrays of the declared length before it
+        // reads the elements. Here, a datagram of 1,170 bytes contains nested declarations of arrays of 65,535
+        // elements.
         const script = `
             const { createDatagramCodec } = await import(${JSON.stringify(codecModule)});
             const nested = Buffer.concat(Array.from({ length: 390 }, () => Buffer.from([0xdc, 0xff, 0xff])));
@@ -88,17 +88,16 @@
         }
     });
 
-    it("names the reason of a drop", () => {
+    it("returns the reason for dropping a datagram", () => {
         const foreign = createDatagramCodec("other").open(parts).finish();
         expect(codec.decode(foreign)).to.deep.equal(either.left("OtherCluster"));
         expect(codec.decode(new Uint8Array(MAX_DATAGRAM_BYTES + 1))).to.deep.equal(either.left("Oversized"));
         expect(codec.decode(new Uint8Array(0))).to.deep.equal(either.left("Malformed"));
     });
 
-    it("never throws on cut, changed or random payloads", () => {
-        // Symptom: a node ends, or stops answering, after a broken datagram.
-        // Sequence: a datagram arrives cut short, with flipped bytes, or from another program.
-        // Cause: the decoder throws, or a value of a wrong type gets past it.
+    it("does not throw for truncated, modified or random payloads", () => {
+        // Guards against a node that crashes or stops answering because the decoder throws or lets a value of a wrong
+        // type pass. The datagrams are truncated, contain flipped bits or come from another program.
         const whole = encode(parts.body, [member]);
         for (let length = 0; length < whole.length; length++) {
             expect(codec.decode(whole.subarray(0, length))).to.deep.equal(either.left("Malformed"));
@@ -116,10 +115,9 @@
 });
 
 describe("isSafePayload", () => {
-    it("refuses payloads that announce more than they hold", () => {
-        // Symptom: a node stalls for a quarter of a second or ends for lack of memory.
-        // Sequence: a datagram of a few bytes announces an array of millions of elements, or nests such announcements.
-        // Cause: the decoder allocates the announced length before it reads the elements.
+    it("rejects payloads that declare more elements than they contain", () => {
+        // Guards against a node that blocks or runs out of memory: the decoder allocates the declared length before it
+        // reads the elements, and a datagram of a few bytes can declare millions of elements or nest such declarations.
         const nested = Buffer.concat(Array.from({ length: 390 }, () => Buffer.from([0xdc, 0xff, 0xff])));
         expect(isSafePayload(Buffer.from([0xdd, 0x01, 0xff, 0xff, 0xff, 1]))).to.equal(false);
         expect(isSafePayload(Buffer.from([0xdc, 0xff, 0xff, 1]))).to.equal(false);
@@ -127,7 +125,7 @@
         expect(isSafePayload(Buffer.from([0xc5, 0xff, 0xff, 1]))).to.equal(false);
     });
 
-    it("lets through what the packer writes from plain arrays", () => {
+    it("accepts what the packer writes for plain arrays", () => {
         const leaf = fc.oneof(
             fc.nat(),
             fc.maxSafeNat(),
--- a/packages/oleandergap-membership/src/__tests__/fleetKey.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/fleetKey.test.ts
@@ -6,7 +6,7 @@
 const localEndpoint = { address: "10.0.0.1", port: 17_082 };
 
 describe("parseFleetKeys", () => {
-    it("refuses no key, a short one and more than two, and shows none of them", () => {
+    it("rejects a missing key, a short key and more than two keys, and does not reveal any of them", () => {
         for (const text of ["", " \n", "short-and-guessable", `${OLD_KEY}\nshort-and-guessable`, `${OLD_KEY}\n${NEW_KEY}\n${OLD_KEY}`]) {
             const keys = parseFleetKeys(text);
 
@@ -17,7 +17,7 @@
 });
 
 describe("isPeerAuthorized", () => {
-    it("accepts what each accepted key makes for this node", () => {
+    it("accepts authorizations created for this node with any accepted key", () => {
         const keys = parseKeys(NEW_KEY, OLD_KEY);
 
         expect(isPeerAuthorized(keys, localEndpoint, createPeerAuthorization(parseKeys(NEW_KEY), localEndpoint)))
@@ -31,28 +31,27 @@
         )).to.equal(false);
     });
 
-    it("takes an IPv6 address for the same in each spelling", () => {
+    it("accepts every notation of the same IPv6 address", () => {
         const authorization = createPeerAuthorization(parseKeys(NEW_KEY), { address: "fd00:0:0:0:0:0:0:1", port: 1 });
 
         expect(isPeerAuthorized(parseKeys(NEW_KEY), { address: "fd00::1", port: 1 }, authorization)).to.equal(true);
     });
 
-    it("refuses everything else, the key itself and what holds for another node included", () => {
-        // Symptom: a stranger drains a target.
-        // Sequence: a node is lured into a call to the stranger's address, who passes the received header on.
-        // Cause: what proves a node to one address proves it to all.
-        const otherNodeAuthorization = createPeerAuthorization(parseKeys(NEW_KEY), { ...localEndpoint, port: 9 });
-        const validAuthorization = createPeerAuthorization(parseKeys(NEW_KEY), localEndpoint);
-        for (const invalidAuthorization of [
+    it("rejects all other authorizations, including the key itself and an authorization for another node", () => {
+        // Guards against an attacker who tricks a node into calling the attacker's address and reuses the received
+        // header to drain a target at another node. An authorization must therefore be valid for one address only.
+        const otherNodeHeader = createPeerAuthorization(parseKeys(NEW_KEY), { ...localEndpoint, port: 9 });
+        const validHeader = createPeerAuthorization(parseKeys(NEW_KEY), localEndpoint);
+        for (const invalidHeader of [
             undefined,
             "",
             "Bearer ",
             `Bearer ${NEW_KEY}`,
-            otherNodeAuthorization,
-            validAuthorization.slice(0, -2),
-            `${validAuthorization}AA`,
+            otherNodeHeader,
+            validHeader.slice(0, -2),
+            `${validHeader}AA`,
         ]) {
-            expect(isPeerAuthorized(parseKeys(NEW_KEY), localEndpoint, invalidAuthorization), String(invalidAuthorization))
+            expect(isPeerAuthorized(parseKeys(NEW_KEY), localEndpoint, invalidHeader), String(invalidHeader))
                 .to.equal(false);
         }
     });
--- a/packages/oleandergap-membership/src/__tests__/memberRecord.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/memberRecord.test.ts
@@ -40,7 +40,7 @@
 
 const withoutState = ({ state: _state, ...rest }: Member): string => formatCanonicalJson(rest);
 
-/** Looks at all records at once instead of one after the other. */
+/** Reference implementation that merges all records at once instead of one after the other. */
 const mergeNaively = (records: readonly Member[]): Member => {
     const highest = Math.max(...records.map((record) => record.incarnation));
     const current = records.filter((record) => record.incarnation === highest);
@@ -56,7 +56,7 @@
 };
 
 describe("mergeRecords", () => {
-    it("equals the naive merge, in whatever order and however often records arrive", () => {
+    it("returns the same result as the reference merge for any order and repetition of records", () => {
         const arrivals = fc.array(recordArbitrary, { minLength: 1, maxLength: 6 })
             .chain((records) => fc.tuple(
                 fc.constant(records),
@@ -68,7 +68,7 @@
         }), { numRuns: 500 });
     });
 
-    it("returns the held record itself when nothing is new", () => {
+    it("returns the existing record itself if the incoming record changes nothing", () => {
         fc.assert(fc.property(recordArbitrary, (record) => {
             expect(mergeRecords(record, { ...record })).to.equal(record);
         }));
@@ -97,10 +97,9 @@
         return { table, updates };
     };
 
-    it("never brings a lower incarnation, or an earlier revision of the same one, back", () => {
-        // Symptom: a member that restarted, or left, reappears as it was before.
-        // Sequence: updates of several incarnations arrive late, twice and crossed, by gossip and whole-state exchange.
-        // Cause: a record is taken because it came last, not because it is later.
+    it("never replaces a record by one with a lower incarnation or an earlier revision of the same incarnation", () => {
+        // Guards against a member that reappears in a former state after it restarted or left. This happens if late,
+        // duplicate or reordered updates are accepted because they arrived last and not because they are newer.
         const arrival = fc.tuple(recordArbitrary, fc.constantFrom("Gossip" as const, "Sync" as const));
         fc.assert(fc.property(fc.array(arrival, { minLength: 1, maxLength: 10 }), (arrivals) => {
             const { table, updates } = createUpdates();
@@ -118,7 +117,7 @@
         }), { numRuns: 500 });
     });
 
-    it("refutes above any claim about this node", () => {
+    it("refutes a claim about this node with a higher incarnation", () => {
         const { table, updates } = createUpdates();
         const self = table.get("self");
         expect(self).to.not.equal(undefined);
@@ -128,7 +127,7 @@
         expect(table.get("self")).to.include({ incarnation: 41, state: "alive" });
     });
 
-    it("keeps a member alive that a whole-state exchange calls dead, until it was asked", () => {
+    it("downgrades a claim of death from an anti-entropy exchange until the member can refute it", () => {
         const { table, updates } = createUpdates();
         updates.apply(aliveRecord, "Gossip");
         expect(updates.apply({ ...aliveRecord, state: "dead" }, "Sync")).to.equal("Contested");
--- a/packages/oleandergap-membership/src/__tests__/membership.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membership.test.ts
@@ -16,7 +16,7 @@
     Object.values(stats.traffic).reduce((sum, traffic) => sum + traffic.sentBytes + traffic.receivedBytes, 0);
 
 describe("createMembership", () => {
-    it("tells every member of a change of a target within two seconds", async () => {
+    it("announces a change of a target to every member within two seconds", async () => {
         const cluster = createTestCluster(1);
         const nodes = await cluster.startZone(40);
         nodes[3]?.membership.setTarget(createTarget("grant-filer"));
@@ -28,7 +28,7 @@
         }
     });
 
-    it("removes a member that leaves from every list at once, not after a suspicion", async () => {
+    it("removes a leaving member from all member lists immediately, without a suspicion", async () => {
         const cluster = createTestCluster(2);
         const nodes = await cluster.startZone(20);
         const leaving = nodes[3]?.membership.leave();
@@ -40,7 +40,7 @@
         expect(nodes[0]?.membership.member("node-3")?.state).to.equal("left");
     });
 
-    it("costs the same per node at rest in a small and a larger zone", async () => {
+    it("has the same idle traffic per node in a small and a larger zone", async () => {
         const rates: number[] = [];
         for (const size of [10, 40]) {
             const cluster = createTestCluster(3);
@@ -55,7 +55,7 @@
         expect(Math.abs((rates[0] ?? 0) - (rates[1] ?? 0))).to.be.below(20);
     });
 
-    it("does not pass on what a joining member learns of the others", async () => {
+    it("does not gossip the records that a joining member receives", async () => {
         const cluster = createTestCluster(10);
         await cluster.startZone(40);
         const joiner = cluster.startNode(40);
@@ -64,7 +64,7 @@
         expect(joiner.membership.stats().traffic.Gossip.sentBytes).to.be.below(3000);
     });
 
-    it("carries heads to members and to contacts in other zones, both ways, whoever is ahead", async () => {
+    it("exchanges heads with members and with contacts in remote zones in both directions", async () => {
         const cluster = createTestCluster(4);
         const heads = new Map<number, Head>();
         const startNode = (index: number, zone: string): ReturnType<typeof cluster.startNode> =>
@@ -92,7 +92,7 @@
         }
     });
 
-    it("exchanges heads with the answer to a probe, whoever of the two is ahead", async () => {
+    it("exchanges heads with the reply to a probe, regardless of which node has the newer ones", async () => {
         for (const [proberHead, answererHead] of [[7, 1], [1, 7]] as const) {
             const cluster = createTestCluster(8);
             const receivedSequences: number[] = [];
@@ -110,7 +110,7 @@
         }
     });
 
-    it("pushes heads to one member, who learns whom they are from", async () => {
+    it("pushes heads to one member together with the identity of the sender", async () => {
         const cluster = createTestCluster(5);
         const nodes = await cluster.startZone(2);
         const received: [Contact, readonly Head[]][] = [];
@@ -127,7 +127,7 @@
         expect(received).to.deep.equal([[{ id: "node-0", zone: "zone-a", address, controlPort }, [createHead(9)]]]);
     });
 
-    it("finds contacts in another zone and replaces those that die", async () => {
+    it("finds contacts in a remote zone and replaces dead contacts", async () => {
         const cluster = createTestCluster(6);
         const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
         const nodesA = [0, 1, 2].map((index) => cluster.startNode(index, { zone: "zone-a", seeds }));
@@ -150,7 +150,7 @@
         expect(listMemberIds(nodesA[1] ?? cluster.startNode(99))).to.deep.equal(listNodeIds(nodesA));
     });
 
-    it("names a contact last that did not answer another part, and no other one first each time", async () => {
+    it("lists an unresponsive contact last and shuffles the other contacts", async () => {
         const cluster = createTestCluster(9);
         const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
         const requester = cluster.startNode(0, { zone: "zone-a", seeds });
@@ -165,7 +165,7 @@
         expect(new Set(orders.map((order) => order[0])).size).to.equal(2);
     });
 
-    it("keeps the known contacts of a zone that is cut off, and uses them when it returns", async () => {
+    it("keeps the contacts of a disconnected zone", async () => {
         const cluster = createTestCluster(7);
         const seeds = [createSeed(0, "zone-a"), createSeed(10, "zone-b")];
         const [requester] = [0, 1].map((index) => cluster.startNode(index, { zone: "zone-a", seeds }));
--- a/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
@@ -18,11 +18,10 @@
 
 const isLowerHalf = (endpoint: Endpoint): boolean => Number(endpoint.address.split(".")[3]) <= ZONE_SIZE / 2;
 
-describe("createMembership when nodes fail", () => {
-    it("tells all survivors of a killed member within the bound, and of no other", async () => {
-        // Symptom: requests go to a VM that is gone.
-        // Sequence: a process is killed without a word.
-        // Cause: nobody probes it, or the suspicion never ends.
+describe("createMembership with failing nodes", () => {
+    it("lets all survivors detect a killed member within the bound and declare no other member dead", async () => {
+        // Guards against requests to a VM that no longer exists, because no node probes it or because the suspicion
+        // never ends. The process is killed without announcing that it leaves.
         const cluster = createTestCluster(1);
         const nodes = await cluster.startZone(ZONE_SIZE);
         const [killedNode, ...survivors] = nodes;
@@ -33,10 +32,10 @@
         expect(new Set(listObservedDeaths(survivors))).to.deep.equal(new Set([killedNode?.id]));
     });
 
-    it("readmits a member that was frozen for long, and nobody is declared dead by it", async () => {
-        // Symptom: after one process was stopped and resumed, it takes the whole zone for dead, and says so.
-        // Sequence: SIGSTOP for longer than every timeout, then SIGCONT; timers run before the waiting datagrams.
-        // Cause: timeouts that passed during the pause are taken for silence of the others.
+    it("readmits a member after a long freeze without false deaths", async () => {
+        // Guards against a resumed process that declares the whole zone dead. After SIGSTOP for longer than every
+        // timeout and SIGCONT, timers run before the buffered datagrams are read, and expired timeouts look like
+        // missing answers.
         const cluster = createTestCluster(2);
         const nodes = await cluster.startZone(ZONE_SIZE);
         const frozen = nodes[5];
@@ -56,10 +55,10 @@
         expect(frozen?.membership.stats().events.paused).to.equal(2);
     });
 
-    it("tells a member that speaks again that it was declared dead", async () => {
-        // Symptom: a member that resumed pings the others and gets answers, but stays out of their lists.
-        // Sequence: a process is stopped until the others declare it dead, and what was sent to it meanwhile is lost.
-        // Cause: whoever answers its ping keeps to itself what it holds of the sender.
+    it("informs a member that sends again that it was declared dead", async () => {
+        // Guards against a resumed member that gets answers to its pings but stays excluded from the member lists,
+        // because the receivers of its pings do not send it their record of it. All datagrams sent to it while it was
+        // stopped are lost.
         const cluster = createTestCluster(14);
         const hour = 3_600_000;
         const nodes = await cluster.startZone(3, { options: { reconnectPeriodMs: hour, syncPeriodMs: hour } });
@@ -73,10 +72,9 @@
         expect(await measureUntil(cluster, 20_000, () => haveSameMembers(nodes))).to.be.below(10_000);
     });
 
-    it("does not suspect the member whose probe was under way when it was paused", async () => {
-        // Symptom: right after a pause, a node suspects the member that it was probing.
-        // Sequence: a ping is sent, the process stops before the answer arrives, and resumes when the period is over.
-        // Cause: time in which the process could not listen counts against others.
+    it("does not suspect a member whose probe was in flight during a pause", async () => {
+        // Guards against a suspicion caused by a pause of the local process: it stops after sending a ping, before the
+        // answer arrives, and resumes after the probe period.
         const cluster = createTestCluster(11);
         const nodes = await cluster.startZone(6);
         const paused = nodes[5];
@@ -95,11 +93,10 @@
         expect(paused?.membership.stats().events).to.include({ paused: 1, suspicionStarted: 0 });
     });
 
-    it("declares nobody dead by a suspicion that was under way when it was paused", async () => {
-        // Symptom: right after a pause, a node declares a healthy member dead.
-        // Sequence: a suspicion runs; the process stops before the refutation arrives, resumes when the time is over,
-        // and its network a little later.
-        // Cause: time in which the process could not listen counts against others.
+    it("does not declare a suspect dead whose suspicion was running during a pause", async () => {
+        // Guards against a healthy member that is declared dead because of a pause of the local process: it stops
+        // during a suspicion before the refutation arrives and resumes after the deadline, and its network resumes a
+        // little later.
         const cluster = createTestCluster(11);
         const nodes = await cluster.startZone(6);
         const paused = nodes[5];
@@ -120,10 +117,10 @@
         expect(haveSameMembers(nodes)).to.equal(true);
     });
 
-    it("settles after half of the zone was killed and restarted at once", async () => {
-        // Symptom: restarted nodes stay unknown, or their former selves return.
-        // Sequence: every second process is killed; a second later all are back at the same addresses.
-        // Cause: records of the former process win, or the joins are lost in the storm.
+    it("converges after half of the zone was killed and restarted at the same time", async () => {
+        // Guards against restarted nodes that stay unknown or are replaced by their previous records, because those
+        // records win or the join messages are lost. Every second process is killed and restarts one second later at
+        // the same address.
         const cluster = createTestCluster(5);
         const nodes = await cluster.startZone(ZONE_SIZE);
         const previousIncarnations = new Map(nodes.map((node) => [node.id, node.membership.self().incarnation]));
@@ -144,10 +141,10 @@
         }
     });
 
-    it("joins both halves of a zone again after a cut, without a mass death at the meeting", async () => {
-        // Symptom: two halves go on as two zones after the network healed, or every target vanishes when they meet.
-        // Sequence: a zone is cut in two, each half declares the other dead, the cut heals.
-        // Cause: nobody tries the dead again, or old claims of death are believed about members that answer.
+    it("merges both halves of a zone after a partition without mass deaths", async () => {
+        // Guards against two halves that stay separate after a partition has healed, because no node contacts dead
+        // members again, and against all targets disappearing when the halves reconnect, because old claims of death
+        // are accepted.
         const cluster = createTestCluster(6);
         const nodes = await cluster.startZone(ZONE_SIZE);
         cluster.network.setLinks((from, to) =>
@@ -160,10 +157,9 @@
         expect(listObservedDeaths(nodes).length).to.equal(deathsBefore);
     });
 
-    it("replaces a member whose address another one took over", async () => {
-        // Symptom: a VM was replaced and two nodes seem to stand at one address, or neither does.
-        // Sequence: a process is killed; another one with a new id, and a clock that is behind, starts at its address.
-        // Cause: records are told apart by id alone, or the wall clock alone decides who came later.
+    it("replaces a member whose address was taken over by another member", async () => {
+        // Guards against two members, or none, at the address of a replaced VM. The replacement has a new id and a wall
+        // clock that is behind, so neither the id nor the wall clock alone can decide which of them is newer.
         const cluster = createTestCluster(8);
         const nodes = await cluster.startZone(12);
         const previousNode = nodes[4];
@@ -175,10 +171,9 @@
         expect(passed).to.be.below(2500);
     });
 
-    it("drops and counts whatever is not a datagram of its own zone and cluster", async () => {
-        // Symptom: a node ends, or members of another zone appear in its list.
-        // Sequence: noise, overlong payloads and another zone's gossip arrive.
-        // Cause: what arrives is believed.
+    it("drops and counts datagrams that do not belong to its zone and cluster", async () => {
+        // Guards against a node that crashes or lists members of a remote zone after it received invalid payloads,
+        // oversized payloads or gossip of that zone.
         const cluster = createTestCluster(9);
         const [node] = await cluster.startZone(3);
         const foreignNode = cluster.startNode(50, { zone: "zone-b", seeds: [createSeed(0, "zone-b")] });
@@ -194,7 +189,7 @@
         expect(node?.membership.member(foreignNode.id)).to.equal(undefined);
     });
 
-    it("goes on when a listener throws", async () => {
+    it("continues to work after a listener has thrown an error", async () => {
         const cluster = createTestCluster(10);
         const failingNode = cluster.startNode(0, {
             piggyback: {
--- a/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
@@ -15,12 +15,11 @@
 
 const ZONE_SIZE = 24;
 
-describe("createMembership on a bad network", () => {
-    it("asks a suspect again before it declares it dead", async () => {
-        // Symptom: a node that lost one refutation declares a healthy member dead.
-        // Sequence: a node is isolated and suspects another; when the two can speak again, its next regular probe of
-        // the suspect would come too late.
-        // Cause: a suspicion ends by time alone.
+describe("createMembership on an unreliable network", () => {
+    it("probes a suspect again before declaring it dead", async () => {
+        // Guards against a healthy member that is declared dead because one refutation was lost. An isolated node
+        // suspects another one; after they can communicate again, the next regular probe of the suspect would be too
+        // late.
         for (const seed of [12, 13, 14]) {
             const cluster = createTestCluster(seed);
             const nodes = await cluster.startZone(16, { options: { maxHealthScore: 0 } });
@@ -43,10 +42,9 @@
         }
     });
 
-    it("learns by comparison of a change whose updates were all lost", async () => {
-        // Symptom: one node keeps routing to a target that left long ago.
-        // Sequence: a node misses every copy of an update, because it could not be reached for a second and a half.
-        // Cause: updates are pushed a bounded number of times and never again.
+    it("detects a change whose updates were all lost by an anti-entropy exchange", async () => {
+        // Guards against a node that keeps routing to a target that left. Updates are pushed a limited number of times,
+        // and the node misses all copies because it is unreachable for 1.5 seconds.
         const cluster = createTestCluster(13);
         const nodes = await cluster.startZone(12);
         const unreachableAddress = createEndpoint(6).address;
@@ -61,9 +59,8 @@
     });
 
     it("declares no responsive member dead while 30% of all datagrams are lost", async () => {
-        // Symptom: healthy members vanish and return on a bad network.
-        // Sequence: probes, their answers and refutations are lost at random, for minutes.
-        // Cause: one lost refutation is enough for a node to declare its sender dead.
+        // Guards against healthy members that disappear and return because a single lost refutation is enough to
+        // declare a member dead. Probes, answers and refutations are lost at random for minutes.
         const cluster = createTestCluster(3);
         const nodes = await cluster.startZone(ZONE_SIZE);
         cluster.network.setLinks(() => createLossyLink(0.3));
@@ -74,10 +71,10 @@
         expect(await measureUntil(cluster, 40_000, () => haveSameMembers(nodes))).to.be.below(40_000);
     }).timeout(60_000);
 
-    it("bears a member that hears badly but is heard well, and a pair that cannot speak", async () => {
-        // Symptom: one member with a faulty receiver makes the zone doubt everybody.
-        // Sequence: 60% of what is sent to node 7 is lost, and nodes 1 and 2 do not reach each other at all.
-        // Cause: direct probes alone decide, or the faulty member's own judgement is believed.
+    it("tolerates a member that receives badly but sends well, and a pair of disconnected members", async () => {
+        // Guards against one member with a faulty receiver that makes the zone suspect healthy members, because only
+        // direct probes count or its own suspicions are accepted. 60% of the datagrams to node 7 are lost, and nodes 1
+        // and 2 cannot reach each other.
         const cluster = createTestCluster(4);
         const nodes = await cluster.startZone(ZONE_SIZE);
         const [, one, two] = nodes;
@@ -96,10 +93,9 @@
         expect(listObservedDeaths(nodes)).to.deep.equal([]);
     });
 
-    it("never goes back to a lower incarnation while datagrams are late, doubled and crossed", async () => {
-        // Symptom: a restarted member flickers between its old and its new record.
-        // Sequence: members restart and leave while datagrams take up to three seconds and arrive twice.
-        // Cause: the record that came last is kept.
+    it("never accepts a lower incarnation while datagrams are delayed, duplicated and reordered", async () => {
+        // Guards against a restarted member that alternates between its old and its new record because the record that
+        // arrived last is kept. Members restart and leave while datagrams take up to three seconds and arrive twice.
         const cluster = createTestCluster(7);
         const nodes = await cluster.startZone(12);
         const highest = new Map<string, number>();
--- a/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
@@ -12,15 +12,15 @@
 const OLD_DIGEST = 7;
 const NEW_DIGEST = 8;
 
-/** A zone whose one contact is played by the test. */
+/** Zone with a single contact that is simulated by the test. */
 interface FakeZone {
     readonly clock: ManualClock;
     readonly remote: RemoteTargets;
     readonly requests: ZoneTargetsRequest[];
     readonly questions: number[];
-    /** Digest that fetches bring; undefined makes them fail. */
+    /** Zone digest returned by fetches, or undefined to let fetches fail. */
     fetchedDigest: number | undefined;
-    /** Digest that the contact gives; undefined keeps it silent. */
+    /** Zone digest sent by the contact, or undefined if the contact does not answer. */
     contactDigest: number | undefined;
     fetchDelayMs: number;
 }
@@ -76,7 +76,7 @@
     return zone;
 };
 
-/** Uses the service throughout the time, as requests do. */
+/** Requests the targets of the service repeatedly for the duration, like a stream of requests. */
 const useServiceFor = async (zone: FakeZone, duration: number): Promise<void> => {
     for (let passed = 0; passed < duration; passed += 1000) {
         zone.remote.targetsOf(service, "grant-filer");
@@ -85,7 +85,7 @@
 };
 
 describe("createRemoteTargets", () => {
-    it("fetches once and then only asks a contact while the digest stays the same", async () => {
+    it("fetches once and then only probes a contact while the digest is unchanged", async () => {
         const zone = createFakeZone();
         await useServiceFor(zone, 25_000);
         expect(zone.requests).to.have.length(1);
@@ -93,18 +93,17 @@
         expect(zone.remote.targetsOf(service, "grant-filer")).to.equal(targets);
     });
 
-    it("fetches after half a minute even though the digest is the same", async () => {
-        // Symptom: a zone's change is never seen. Sequence: the list after the change has the digest of the one before.
-        // Cause: a digest of 52 bits is taken for the list itself.
+    it("fetches after 30 seconds even if the digest is unchanged", async () => {
+        // Guards against a change that is never detected because the new list has the same 52-bit digest as the old
+        // one.
         const zone = createFakeZone();
         await useServiceFor(zone, 70_000);
         expect(zone.requests).to.have.length(3);
     });
 
-    it("fetches when the contact stays silent, within the period of a refresh", async () => {
-        // Symptom: a leaving target goes on getting work from other zones.
-        // Sequence: the asked contact is dead, cut off or not ready, or the datagram is lost; a target leaves.
-        // Cause: no news is taken for no change.
+    it("fetches within the refresh period if the contact does not answer", async () => {
+        // Guards against a leaving target that still receives requests from other zones because a missing answer is
+        // treated as an unchanged digest. The contact is dead, disconnected or not ready, or the datagram is lost.
         const zone = createFakeZone();
         await useServiceFor(zone, 3000);
         zone.contactDigest = undefined;
@@ -112,7 +111,7 @@
         expect(zone.requests.length).to.be.within(5, 7);
     });
 
-    it("fetches at once when a contact tells of another digest, and not in a storm", async () => {
+    it("fetches immediately if a contact sends a different digest, but limits the rate of fetches", async () => {
         const zone = createFakeZone();
         await useServiceFor(zone, 3000);
         zone.remote.hearDigest({ sequence: 0, digest: NEW_DIGEST });
@@ -125,10 +124,9 @@
         expect(zone.requests.length).to.be.within(5, 7);
     });
 
-    it("takes no late answer to an earlier question for the present state", async () => {
-        // Symptom: a change is seen a period late, or never while answers come late.
-        // Sequence: a contact's answer is sent before a change and arrives after the next question was asked.
-        // Cause: any equal digest confirms, whenever it was sent.
+    it("ignores a late answer to an earlier probe", async () => {
+        // Guards against a change that is detected late or never: an answer that was sent before the change and arrives
+        // after the next probe was sent must not confirm the digest.
         const zone = createFakeZone();
         await useServiceFor(zone, 1000);
         zone.contactDigest = undefined;
@@ -140,10 +138,10 @@
         expect(zone.requests).to.have.length(2);
     });
 
-    it("fetches a service that comes into use while another fetch is under way or confirmed", async () => {
-        // Symptom: requests for a service are refused for want of a target for half a minute.
-        // Sequence: it is first called while the fetch for another one is under way, whose digest then is confirmed.
-        // Cause: the digest stands for the zone, the lists only for the services that were asked for.
+    it("fetches a service that comes into use while another fetch is in flight or confirmed", async () => {
+        // Guards against requests that are rejected for 30 seconds because of missing targets. The service is first
+        // used during the fetch for another service; the digest is then confirmed for the zone, but the lists only
+        // cover the requested services.
         const zone = createFakeZone();
         zone.fetchDelayMs = 250;
         zone.remote.targetsOf(service, "grant-filer");
@@ -158,10 +156,9 @@
         expect(zone.requests.slice(before).map((request) => request.services.length)).to.deep.equal([2]);
     });
 
-    it("goes on fetching after a failure although the old digest is confirmed", async () => {
-        // Symptom: a change that was told is never fetched.
-        // Sequence: a contact tells of a change; the fetch fails; another contact, which is behind, confirms the old.
-        // Cause: the failed fetch is taken for done.
+    it("continues to fetch after a failed fetch even if a contact confirms the old digest", async () => {
+        // Guards against a change that is never fetched: a contact announces a change, the fetch fails, and another
+        // contact with older data confirms the old digest.
         const zone = createFakeZone();
         await useServiceFor(zone, 3000);
         zone.fetchedDigest = undefined;
--- a/packages/oleandergap-membership/src/__tests__/roster.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/roster.test.ts
@@ -50,10 +50,10 @@
 };
 
 describe("composeRoster", () => {
-    it("keeps others' entries while there is room, but not those of members that left", () => {
-        // Symptom: new nodes find only one isolated node, and start a zone of their own with it.
-        // Sequence: a node that is cut off from its zone, but not from the platform, takes itself for the writer.
-        // Cause: it replaces the roster by the members that it still knows.
+    it("keeps existing entries while there is space, except those of members that left", () => {
+        // Guards against new nodes that only find one isolated node and form a separate zone with it. A node that is
+        // partitioned from its zone, but not from the object store, considers itself the writer and replaces the roster
+        // by the members it still knows.
         const self: Member = {
             id: "node-0",
             zone: "zone-a",
@@ -72,12 +72,15 @@
 
 type RosterCopy = ReadonlyMap<string, Uint8Array>;
 
-/** A store that is restored from copies, and the era that each node has seen in its answers. */
+/** Store that can be restored from copies and that tracks the latest era seen by each node. */
 interface RestoredStore {
     readonly roster: RosterStore;
-    /** `readNews` tells whether the node has heard of the present era by another call. */
+    /**
+     * Opens the store for one node. `hasSeenEra` returns whether the node has seen the current era in the answer to
+     * another call.
+     */
     readonly openForNode: (now: () => number, hasSeenEra: () => boolean) => ObjectStore;
-    /** When calls were made since the last restore. */
+    /** Returns the times of the calls since the last restore. */
     readonly callTimes: () => readonly number[];
     readonly restore: (copy: RosterCopy) => void;
 }
@@ -86,19 +89,19 @@
     const roster = createRosterStore();
     let era = 1;
     let callTimes: number[] = [];
-    const openAt: RestoredStore["openForNode"] = (now, hasSeenEra) => {
+    const openForNode: RestoredStore["openForNode"] = (now, hasSeenEra) => {
         let seen = era;
-        const noteCall = (): void => {
+        const recordCall = (): void => {
             seen = era;
             callTimes.push(now());
         };
         return {
             get: (key, signal) => {
-                noteCall();
+                recordCall();
                 return roster.store.get(key, signal);
             },
             put: (key, body, signal) => {
-                noteCall();
+                recordCall();
                 return roster.store.put(key, body, signal);
             },
             list: roster.store.list,
@@ -110,7 +113,7 @@
     };
     return {
         roster,
-        openForNode: openAt,
+        openForNode,
         callTimes: () => callTimes,
         restore: (copy) => {
             roster.objects.clear();
@@ -127,7 +130,7 @@
 describe("createRosterKeeper after a restore of the store", () => {
     const ZONES = 3;
     const READERS_PER_ZONE = 4;
-    /** When a node that follows the store hears of the restore: its feed was under way for up to this long. */
+    /** Longest time after which a node that reads from the store sees the new era in an answer. */
     const FEED_INTERVAL_MS = 1000;
 
     interface RosterFleet {
@@ -164,7 +167,7 @@
     };
 
     for (const [size, zoneCount] of [[60, 3], [195, 13]] as const) {
-        it(`holds all of ${size} nodes again within two seconds, by few calls that do not come at once`, async () => {
+        it(`rewrites the rosters of ${size} nodes within two seconds by few calls spread over time`, async () => {
             const { cluster, store, restore } = await startFleet(size, zoneCount);
             const completeObjects = new Map(store.roster.objects);
             expect(completeObjects.size).to.equal(zoneCount);
@@ -176,7 +179,7 @@
         });
     }
 
-    it("is written again by a node that is no writer by rank, and after a second restore as well", async () => {
+    it("lets a node that is not a regular writer write the roster, also after a second restore", async () => {
         const { cluster, store, restore } = await startFleet(60);
         const completeObjects = new Map(store.roster.objects);
         restore(new Map());
@@ -186,7 +189,7 @@
         expect(store.roster.objects).to.deep.equal(completeObjects);
     });
 
-    it("is tried again when the store is away just then", async () => {
+    it("retries if the store is unavailable after the restore", async () => {
         const { cluster, store, restore } = await startFleet(12);
         const completeObjects = new Map(store.roster.objects);
         restore(new Map());
@@ -198,7 +201,7 @@
         expect(store.roster.objects).to.deep.equal(completeObjects);
     });
 
-    it("is left alone when the copy holds it whole", async () => {
+    it("does not write if the copy contains the complete roster", async () => {
         const { cluster, store, restore } = await startFleet(12);
         const writes = store.roster.counts.writes;
         restore(new Map(store.roster.objects));
@@ -208,10 +211,9 @@
 });
 
 describe("createRosterKeeper", () => {
-    it("lets a new node find its zone while the platform is away", async () => {
-        // Symptom: the substitutes of two released targets receive no request for eight seconds.
-        // Sequence: the platform's store goes down; new VMs start, without seeds and without a roster.
-        // Cause: a node that nobody names and that can read no roster had no address to ask.
+    it("lets a new node find its zone while the object store is unavailable", async () => {
+        // Guards against replacement VMs that receive no requests for eight seconds. The store is down when they start,
+        // so without seeds and roster they have no address to contact, and no other node knows them.
         const cluster = createTestCluster(1);
         const roster = createRosterStore();
         const overrides = { seeds: [], objectStore: roster.store, options: { neighbourSpan: 16 } };
@@ -224,7 +226,7 @@
         expect(nodes.map(listMemberIds)).to.deep.equal(nodes.map(() => listNodeIds([...nodes, newNode])));
     });
 
-    it("lets nodes without any seed find each other, and writes only on change", async () => {
+    it("lets nodes without seeds find each other and writes only after changes", async () => {
         const cluster = createTestCluster(1);
         const roster = createRosterStore();
         const nodes = Array.from({ length: 8 }, (_, index) =>
@@ -238,10 +240,10 @@
         expect(roster.counts.reads - reads).to.be.within(2, 8);
     });
 
-    it("finds another zone by its roster alone, and asks for it ever more seldom while nobody answers", async () => {
-        // Symptom: the platform is read all the time by every node of a region that is cut off from another one.
-        // Sequence: no seed of the other zone is known; its roster names nodes that do not answer for an hour.
-        // Cause: the roster is read at a fixed period as long as the zone is silent.
+    it("finds a remote zone by its roster and backs off while the zone does not answer", async () => {
+        // Guards against excessive reads by the nodes of a region that is partitioned from another one, if the roster
+        // were read at a fixed period. No seed of the remote zone is known, and the nodes in its roster do not answer
+        // for an hour.
         const cluster = createTestCluster(3);
         const roster = createRosterStore();
         const other = cluster.startNode(10, { zone: "zone-b", seeds: [], objectStore: roster.store });
@@ -256,11 +258,10 @@
         expect(requester.membership.contactsOf("zone-b").map((contact) => contact.id)).to.deep.equal([other.id]);
     });
 
-    it("is read for another zone by few, who pass on what they found", async () => {
-        // Symptom: when a fleet of five zones starts, half of its calls to the platform read other zones' rosters.
-        // Sequence: all nodes start without seeds; each learns the other zones' names from the table and reads the
-        //   roster of each.
-        // Cause: what one node of a zone had read was not passed on.
+    it("lets a few members read the rosters of remote zones and pass on the contacts", async () => {
+        // Guards against a fleet start in which half of the calls to the store are reads of the rosters of remote
+        // zones. All nodes start without seeds and get the zone names from the routing table; without sharing, each
+        // node would read every roster.
         const cluster = createTestCluster(5);
         const roster = createRosterStore();
         const nodes: TestNode[] = [];
@@ -283,16 +284,16 @@
             expect(membership.zones().filter((zone) => membership.contactsOf(zone).length === 0), id).to.deep.equal([]);
         }
         const { reads, writes } = roster.counts;
-        // Each node reads its own zone's roster once or twice to find its zone, and each writer before it writes.
+        // Each node reads the roster of its own zone once or twice to find its zone, and each writer reads it before a
+        // write.
         expect(reads).to.be.at.most(2 * nodes.length + writes + 24);
         await cluster.clock.advance(20_000);
         expect(roster.counts.reads - reads).to.be.at.most(12);
     });
 
-    it("is not needed by a node whose neighbours are there", async () => {
-        // Symptom: each start of a node costs the platform a read or two, hundreds when a fleet starts.
-        // Sequence: nodes without seeds start; each reads the roster of its zone before it asks anybody.
-        // Cause: the neighbours' addresses, which cost nothing, were asked only after the roster had been in vain.
+    it("does not read the roster if the neighbours answer", async () => {
+        // Guards against one or two roster reads per node start, hundreds when a fleet starts. Nodes without seeds must
+        // contact the neighbouring addresses, which cost nothing, before they read the roster.
         const cluster = createTestCluster(6);
         const roster = createRosterStore();
         const options = { neighbourSpan: 16, rosterPeriodMs: 1000 };
@@ -300,18 +301,17 @@
         const nodes = Array.from({ length: 20 }, (_, index) => cluster.startNode(index, overrides));
         await cluster.clock.advance(3000);
         nodes.forEach(({ membership }) => expect(membership.members()).to.have.length(20));
-        // What is left are the writers' looks before they write.
+        // The remaining reads are those of the writers before they write.
         expect(roster.counts.reads).to.be.at.most(8);
         const lateNode = cluster.startNode(150, overrides);
         await cluster.clock.advance(2000);
         expect(listMemberIds(lateNode)).to.have.length(21);
     });
 
-    it("joins the parts of a zone that find each other by no neighbour", async () => {
-        // Symptom: half of a zone's targets get no request from the other half's nodes, for as long as nobody restarts.
-        // Sequence: a fleet starts; the addresses of a zone have a gap; each part finds itself by its neighbours.
-        // Cause: a node that knows one member does not read the roster any more, and who writes it did not look who
-        //   else stood in it.
+    it("merges parts of a zone that cannot find each other as neighbours", async () => {
+        // Guards against targets that get no requests from half of the nodes of their zone. The addresses of the zone
+        // have a gap, so each part only finds itself. A node that knows one member no longer reads the roster, so the
+        // writers have to use the entries they find in it.
         const cluster = createTestCluster(8);
         const roster = createRosterStore();
         const options = { neighbourSpan: 16, rosterPeriodMs: 1000 };
@@ -321,14 +321,13 @@
         nodes.forEach((node) => expect(listMemberIds(node), node.id).to.have.length(nodes.length));
     });
 
-    it("does no harm when it is stale, broken or out of reach", async () => {
-        // Symptom: nodes that know each other by seeds fail, or stand alone, because of the platform.
-        // Sequence: the roster names only dead addresses, then is no JSON, then the object store is down.
-        // Cause: the roster is believed, or waited for.
+    it("tolerates an outdated, invalid or unavailable roster", async () => {
+        // Guards against nodes that know each other from seeds but fail or stay isolated because of the roster. It
+        // first contains only dead addresses, then is not valid JSON, and then the object store is unavailable.
         const cluster = createTestCluster(2);
         const roster = createRosterStore();
-        const stale = { zone: "zone-a", members: [{ id: "old", address: "10.9.9.9", controlPort: 17_082 }] };
-        roster.objects.set(formatRosterKey("zone-a"), Buffer.from(JSON.stringify(stale)));
+        const outdatedRoster = { zone: "zone-a", members: [{ id: "old", address: "10.9.9.9", controlPort: 17_082 }] };
+        roster.objects.set(formatRosterKey("zone-a"), Buffer.from(JSON.stringify(outdatedRoster)));
         const nodes = [0, 1, 2, 3].map((index) => cluster.startNode(index, { objectStore: roster.store }));
         await cluster.clock.advance(60_000);
         roster.objects.set(formatRosterKey("zone-a"), Buffer.from("{"));
--- a/packages/oleandergap-membership/src/__tests__/sealedTransport.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/sealedTransport.test.ts
@@ -32,7 +32,7 @@
     return peer;
 };
 
-/** Everything that `transport` sends also goes to `copies`. */
+/** Wraps a transport and adds each sent datagram to `copies`. */
 const copySentDatagrams = (transport: DatagramTransport, copies: Uint8Array[]): DatagramTransport => ({
     open: transport.open,
     send: (to, sent) => {
@@ -41,7 +41,7 @@
     },
 });
 
-/** The sealed form of `payload` as `from` would send it. */
+/** Returns the sealed form of `payload` as sent by `from`. */
 const sealFrom = async (from: Endpoint, keys: FleetKeys): Promise<Uint8Array> => {
     const copies: Uint8Array[] = [];
     const transport = createSealedTransport({
@@ -57,7 +57,7 @@
     bytes.map((byte, position) => position === index ? byte ^ 1 : byte);
 
 describe("createSealedTransport", () => {
-    it("carries payloads between holders of the key, within the size of a datagram", async () => {
+    it("transmits payloads between holders of the key within the maximum datagram size", async () => {
         const cluster = createTestCluster(1);
         const sender = await startPeer(cluster, senderEndpoint, parseKeys(NEW_KEY));
         const receiver = await startPeer(cluster, receiverEndpoint, parseKeys(NEW_KEY));
@@ -70,10 +70,9 @@
         expect(MAX_DATAGRAM_BYTES + SEAL_BYTES).to.be.at.most(1200);
     });
 
-    it("drops and counts what no holder of the key sent from that address", async () => {
-        // Symptom: a stranger's datagrams declare members dead, or make the stranger a contact.
-        // Sequence: they come unsealed, forged, cut short, sealed with another key, or copied and sent from elsewhere.
-        // Cause: what reaches the control port is believed.
+    it("drops and counts datagrams that were not sent by a holder of the key from the given address", async () => {
+        // Guards against an attacker whose datagrams declare members dead or make the attacker a contact. The datagrams
+        // have no seal, a forged or truncated one, one of another key, or are copied and sent from another address.
         const cluster = createTestCluster(1);
         const receiver = await startPeer(cluster, receiverEndpoint, parseKeys(NEW_KEY));
         const sealed = await sealFrom(senderEndpoint, parseKeys(NEW_KEY));
@@ -95,10 +94,10 @@
         expect(receiver.received).to.deep.equal([payload]);
     });
 
-    it("loses nothing while the key is replaced, and refuses the old one afterwards", async () => {
-        // Symptom: during a rotation a part of the fleet is declared dead.
-        // Sequence: nodes take the new key one after the other.
-        // Cause: a node seals with a key before the others accept it, or refuses the old one while it is in use.
+    it("loses no datagrams during a key rotation and rejects the old key afterwards", async () => {
+        // Guards against members that are declared dead during a key rotation, because a node uses a key before the
+        // others accept it or rejects the old key while it is still in use. The nodes get the new key one after the
+        // other.
         const cluster = createTestCluster(1);
         const first = await startPeer(cluster, senderEndpoint, parseKeys(OLD_KEY));
         const second = await startPeer(cluster, receiverEndpoint, parseKeys(OLD_KEY));
@@ -119,11 +118,9 @@
         expect(second.received.length).to.equal(6);
     });
 
-    it("bears the replay of a whole former life: a restarted member stays alive to the others", async () => {
-        // Symptom: a member that runs is held for gone.
-        // Sequence: a member's datagrams are copied, its farewell too; it restarts; the copies are sent again under its
-        // own address, with seals that are right.
-        // Cause: an old record replaces a newer one.
+    it("keeps a restarted member alive when all datagrams of its previous process are replayed", async () => {
+        // Guards against an old record that replaces a newer one. All datagrams of a member, including its leave
+        // announcement, are copied and sent again from its own address, with valid seals, after it has restarted.
         const cluster = createTestCluster(3);
         const copies: Uint8Array[] = [];
         const wrapTransport = (transport: DatagramTransport): DatagramTransport =>
--- a/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
@@ -16,7 +16,7 @@
     readonly cluster: TestCluster;
     readonly nodesA: readonly TestNode[];
     readonly nodesB: readonly TestNode[];
-    /** Directory of the first node of zone A. */
+    /** Target directory of the first node of zone A. */
     readonly directory: TargetDirectory;
     readonly answers: ZoneTargetsAnswer[];
     readonly link: { isCut: boolean };
@@ -69,7 +69,7 @@
     directory.targetsOf(service).map(({ nodeId, leaving }) => `${nodeId}${leaving ? " leaving" : ""}`);
 
 describe("createTargetDirectory", () => {
-    it("gives the own zone's targets at once, and another zone's once it was asked", async () => {
+    it("returns the targets of the local zone immediately and those of a remote zone after a fetch", async () => {
         const { cluster, directory, answers } = await startTwoZones(1);
         expect(answers).to.deep.equal([]);
         expect(listTargets(directory)).to.deep.equal(["node-3"]);
@@ -79,7 +79,7 @@
         expect(directory.targetsOf({ ...service, partner: "kushiro" })).to.deep.equal([]);
     });
 
-    it("transfers an unchanged list once, and stops asking when the service is out of use", async () => {
+    it("transfers an unchanged list once and stops fetching when the service is no longer used", async () => {
         const { cluster, directory, answers } = await startTwoZones(2);
         listTargets(directory);
         await cluster.clock.advance(20_000);
@@ -91,10 +91,10 @@
         expect(answers.length).to.equal(answerCount);
     });
 
-    it("shows a leaving target as such in both zones within five seconds", async () => {
-        // Symptom: a target that is leaving still receives new requests.
-        // Sequence: it announces its leaving to its node; nodes of both zones go on routing.
-        // Cause: the news waits for a slow round of probes, or the other zone's list is kept too long.
+    it("lists a leaving target as leaving in both zones within five seconds", async () => {
+        // Guards against a leaving target that still receives new requests, because the update waits for a slow probe
+        // round or the list of the remote zone is cached for too long. The target announces to its node that it is
+        // leaving.
         for (const seed of [3, 4, 5]) {
             const { cluster, nodesA, nodesB, directory } = await startTwoZones(seed);
             listTargets(directory);
@@ -106,10 +106,10 @@
         }
     });
 
-    it("keeps what it knows of a zone that cannot be reached, and catches up when it can", async () => {
-        // Symptom: requests are refused for want of targets although those of the other zone go on serving.
-        // Sequence: the zones are cut apart, or the asked node hangs; the cut heals after a target has left.
-        // Cause: a failed fetch empties the list, or stops the fetching.
+    it("keeps the targets of an unreachable zone and updates them when it is reachable again", async () => {
+        // Guards against rejected requests although targets of the remote zone still work, because a failed fetch
+        // clears the list or stops further fetches. The zones are partitioned, and a target leaves before the partition
+        // heals.
         const { cluster, nodesB, directory, link } = await startTwoZones(6);
         listTargets(directory);
         await cluster.clock.advance(3000);
--- a/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
@@ -30,13 +30,13 @@
     readonly cluster: TestCluster;
     readonly nodeA: TestNode;
     readonly nodesB: readonly TestNode[];
-    /** Directory of that node of zone A. */
+    /** Target directory of `nodeA`. */
     readonly directory: TargetDirectory;
-    /** Whether all nodes of zone B vouch for their digest. */
+    /** Whether all nodes of zone B send the digest of their zone. */
     readonly ready: { isReady: boolean };
 }
 
-/** Two zones whose nodes tell digests; fetches go to the contacts as the membership names them. */
+/** Starts two zones whose nodes send target digests. Fetches use the contacts of the membership. */
 const startTwoZones = async (seed: number): Promise<TwoZones> => {
     const cluster = createTestCluster(seed);
     const random = createSeededRandom(seed);
@@ -109,7 +109,7 @@
     const naive = (list: readonly Member[]): string =>
         list.map(({ id, target }) => JSON.stringify([id, target])).sort().join();
 
-    it("is equal exactly when the targets are, in any order", () => {
+    it("returns equal digests exactly for equal targets in any order", () => {
         fastCheck.assert(fastCheck.property(members, members, (left, right) => {
             expect(digestZoneTargets(left) === digestZoneTargets(right)).to.equal(naive(left) === naive(right));
             const otherwise = [...left].reverse().map((member): Member =>
@@ -119,8 +119,8 @@
     });
 });
 
-describe("createTargetDirectory with digests of contacts", () => {
-    it("fetches nothing while nothing changes, and gives the same array", async () => {
+describe("createTargetDirectory with target digests of contacts", () => {
+    it("fetches nothing and returns the same array while nothing changes", async () => {
         const { cluster, directory } = await startTwoZones(1);
         const { fetches } = directory.stats();
         const before = directory.targetsOf(service);
@@ -130,18 +130,18 @@
         expect(before.map(({ nodeId }) => nodeId)).to.deep.equal(["node-3", "node-43"]);
     });
 
-    it("shows a leaving target of the other zone within five seconds", async () => {
-        // Symptom: a target that is leaving still receives new requests from other zones.
-        // Sequence: it announces its leaving; some contacts have heard of it and others have not yet.
-        // Cause: the fetch is left out for too long, or the word of one that is behind counts for all.
+    it("lists a leaving target of the remote zone as leaving within five seconds", async () => {
+        // Guards against a leaving target that still receives new requests from remote zones, because fetches are
+        // skipped for too long or the confirmation of one outdated contact is accepted. Some contacts have already
+        // received the update and others have not.
         for (const seed of [3, 4, 5, 6, 7, 8]) {
             expect(await measureLeaving(await startTwoZones(seed))).to.be.at.most(5000);
         }
     });
 
-    it("shows it as soon when half of the datagrams between the zones are lost, or all", async () => {
-        // Symptom and sequence as above, but contact probes or their answers are lost on the way.
-        // Cause: a question without an answer is asked again instead of being replaced by a fetch.
+    it("lists it within the same time if half or all of the datagrams between the zones are lost", async () => {
+        // Guards against the same failure, here with lost contact probes or replies: an unanswered probe must be
+        // replaced by a fetch, not by another probe.
         for (const loss of [0.5, 1]) {
             const zones = await startTwoZones(9);
             const isB = ({ address }: { readonly address: string }): boolean =>
@@ -151,9 +151,10 @@
         }
     });
 
-    it("shows it as soon when contacts die, and while none vouches for its digest", async () => {
-        // Symptom and sequence as above, but contacts were killed just before, or have just restarted.
-        // Cause: a dead contact is waited for; a node that knows little confirms, or is asked on and on.
+    it("lists it within the same time if contacts die or no contact sends a digest", async () => {
+        // Guards against the same failure, here with contacts that were just killed or restarted: a dead contact must
+        // not delay the update, and a node with an incomplete member list must neither confirm a digest nor be probed
+        // repeatedly.
         const zones = await startTwoZones(10);
         zones.nodesB.slice(8).forEach((node) => {
             node.kill();
@@ -164,10 +165,9 @@
         expect(await measureLeaving(zonesWithoutDigest)).to.be.at.most(5000);
     });
 
-    it("asks another contact each time", async () => {
-        // Symptom: a zone's change is not seen although nodes that know it can be reached.
-        // Sequence: one contact hears nothing of its zone any more, and goes on confirming the old digest.
-        // Cause: always the same contact is asked.
+    it("probes different contacts in turn", async () => {
+        // Guards against a change that is never detected because the same contact is always probed, and that contact is
+        // disconnected from its zone and keeps confirming the old digest.
         const { cluster, nodeA, nodesB } = await startTwoZones(13);
         const countProbesReceived = (): number[] =>
             nodesB.map(({ membership }) => membership.stats().traffic.ContactProbe.receivedDatagrams);
@@ -180,8 +180,9 @@
         expect(probesReceived.filter((count) => count >= 2)).to.have.length.at.least(3);
     });
 
-    it("catches up after a contact was cut off from its own zone", async () => {
-        // Symptom and cause as above.
+    it("detects a change while a contact is disconnected from its own zone", async () => {
+        // Guards against the same failure, here with a contact that is partitioned from its zone but still answers
+        // probes.
         const zones = await startTwoZones(12);
         const isLost = ({ address }: { readonly address: string }): boolean =>
             address === createEndpoint(FIRST_B).address;
--- a/packages/oleandergap-membership/src/__tests__/testZone.ts
+++ b/packages/oleandergap-membership/src/__tests__/testZone.ts
@@ -1,4 +1,4 @@
-/** A zone of nodes over the network in memory, for the tests of the membership. */
+/** Test cluster of nodes on an in-memory network, for the tests of the membership. */
 import { createLogger } from "oleandergap-logger";
 import type { Head, Member, MemberTarget, ObjectStore } from "oleandergap-types";
 import { createManualClock, createSeededRandom, type ManualClock } from "oleandergap-utils";
@@ -26,7 +26,7 @@
     readonly clock: FreezableClock;
     readonly membership: Membership;
     readonly kill: () => void;
-    /** Members seen as dead while they were not killed, in the order seen. */
+    /** Members that this node observed as dead, in order of observation. */
     readonly observedDeaths: Member[];
 }
 
@@ -34,7 +34,7 @@
     readonly clock: ManualClock;
     readonly network: MemoryNetwork;
     readonly startNode: (index: number, overrides?: NodeOverrides) => TestNode;
-    /** Starts nodes 0 to `count - 1`, of which node 0 is everybody's seed, and lets them find each other. */
+    /** Starts nodes 0 to `count - 1`, all with node 0 as seed, and waits until they have found each other. */
     readonly startZone: (count: number, overrides?: NodeOverrides) => Promise<TestNode[]>;
 }
 
@@ -47,9 +47,9 @@
     readonly objectStore?: ObjectStore;
     readonly targetsDigest?: () => number | undefined;
     readonly fetchContacts?: FetchContacts;
-    /** How far the node's wall clock is ahead of the others'. */
+    /** Offset in milliseconds of the node's wall clock to that of the other nodes. */
     readonly clockOffsetMs?: number;
-    /** Put between the node and the network. */
+    /** Wraps the transport between the node and the network. */
     readonly wrapTransport?: (transport: DatagramTransport) => DatagramTransport;
 }
 
@@ -126,13 +126,13 @@
     return { clock, network, startNode, startZone };
 };
 
-/** Ids that a node takes for alive or suspect, sorted. */
+/** Returns the sorted ids of the members that the node considers alive or suspect. */
 export const listMemberIds = (node: TestNode): readonly string[] =>
     node.membership.members().map((member) => member.id).sort();
 
 export const listNodeIds = (nodes: readonly TestNode[]): readonly string[] => nodes.map((node) => node.id).sort();
 
-/** Ids that a node holds alive, sorted. */
+/** Returns the sorted ids of the members that the node considers alive. */
 export const listAliveIds = (node: TestNode): readonly string[] =>
     node.membership.members().filter((member) => member.state === "alive").map((member) => member.id).sort();
 
@@ -143,7 +143,7 @@
     maximumDelayMs: 20,
 });
 
-/** Time until `condition` holds, in steps; `limit` when it does not. */
+/** Returns the time until `condition` is true, measured in steps, or `limit` if it does not become true before. */
 export const measureUntil = async (cluster: TestCluster, limit: number, condition: () => boolean): Promise<number> => {
     for (let elapsedMs = 0; elapsedMs < limit; elapsedMs += STEP_MS) {
         if (condition()) {
--- a/packages/oleandergap-membership/src/__tests__/udpTransport.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/udpTransport.test.ts
@@ -18,7 +18,7 @@
 };
 
 describe("createUdpTransport", () => {
-    it("delivers a datagram with its sender's endpoint, and nothing after its end", async () => {
+    it("delivers a datagram with the endpoint of its sender, and none after it was closed", async () => {
         const end = new AbortController();
         const received = new Promise<[Uint8Array, Endpoint]>((resolve) => {
             void openTransport((payload, from) => {
@@ -34,7 +34,7 @@
         end.abort();
     });
 
-    it("reports a port that is taken, gives it back at its end, and bears sending while it is closed", async () => {
+    it("reports a port in use, releases it when closed, and ignores datagrams sent while closed", async () => {
         const end = new AbortController();
         const { transport, endpoint } = await openTransport(() => undefined, end.signal);
         const second = createUdpTransport({ ...endpoint, logger });
