--- a/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
@@ -8,8 +8,8 @@
 import type { Messenger } from "../messenger.js";
 import { membershipOptionsSchema } from "../options.js";
 
-const OWN_ZONE: ZoneName = "zone-a";
-const OTHER_ZONES: readonly ZoneName[] = ["zone-b", "zone-c", "zone-d", "zone-e"];
+const LOCAL_ZONE: ZoneName = "zone-a";
+const REMOTE_ZONES: readonly ZoneName[] = ["zone-b", "zone-c", "zone-d", "zone-e"];
 const TICK_MS: Milliseconds = 100;
 const PERIOD_MS: Milliseconds = 500;
 
@@ -17,7 +17,7 @@
     readonly contactBook: ContactBook;
     readonly countProbes: () => number;
     /** Runs ticks for `duration` and calls `eachTick` with the time elapsed since the start. */
-    readonly run: (duration: Milliseconds, eachTick?: (passed: Milliseconds) => void) => Promise<void>;
+    readonly run: (duration: Milliseconds, eachTick?: (elapsedMs: Milliseconds) => void) => Promise<void>;
 }
 
 const createHarness = (): Harness => {
@@ -32,20 +32,20 @@
     };
     const contactBook = createContactBook({
         selfId: "node-a",
-        localZone: OWN_ZONE,
+        localZone: LOCAL_ZONE,
         clock: clock satisfies Clock,
         random: createSeededRandom(7),
         options: membershipOptionsSchema.parse({ contactProbePeriodMs: PERIOD_MS }),
         messenger,
         sources: { find: () => undefined, resetBackoff: () => undefined },
     });
-    const markAllLive = (): void => OTHER_ZONES.forEach((zone, index) =>
+    const markAllLive = (): void => REMOTE_ZONES.forEach((zone, index) =>
         contactBook.markLive({ id: `node-${zone}`, zone, address: `10.0.${index}.1`, controlPort: 7000 }));
     const { signal } = new AbortController();
     const run: Harness["run"] = async (duration, eachTick = () => undefined) => {
-        for (let passed = 0; passed < duration; passed += TICK_MS) {
+        for (let elapsedMs = 0; elapsedMs < duration; elapsedMs += TICK_MS) {
             markAllLive();
-            eachTick(passed);
+            eachTick(elapsedMs);
             contactBook.poll(signal);
             await clock.advance(TICK_MS);
         }
@@ -63,10 +63,10 @@
     it("skips the round of a zone that was probed shortly before", async () => {
         const { contactBook, countProbes, run } = createHarness();
         let probesOutsideRounds = 0;
-        await run(10_000, (passed) => {
-            if (passed % 800 === 0) {
-                OTHER_ZONES.forEach((zone) => contactBook.probeZone(zone));
-                probesOutsideRounds += OTHER_ZONES.length;
+        await run(10_000, (elapsedMs) => {
+            if (elapsedMs % 800 === 0) {
+                REMOTE_ZONES.forEach((zone) => contactBook.probeZone(zone));
+                probesOutsideRounds += REMOTE_ZONES.length;
             }
         });
         // Probing these zones in their rounds as well would add 20 probes.
--- a/packages/oleandergap-membership/src/__tests__/memberRecord.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/memberRecord.test.ts
@@ -41,7 +41,7 @@
 const withoutState = ({ state: _state, ...rest }: Member): string => formatCanonicalJson(rest);
 
 /** Reference implementation that merges all records at once instead of one after the other. */
-const mergeNaively = (records: readonly Member[]): Member => {
+const mergeAllAtOnce = (records: readonly Member[]): Member => {
     const highest = Math.max(...records.map((record) => record.incarnation));
     const current = records.filter((record) => record.incarnation === highest);
     const latest = Math.max(...current.map((record) => record.revision));
@@ -64,7 +64,7 @@
             ));
         fc.assert(fc.property(arrivals, ([records, repeated]) => {
             const merged = [...records, ...repeated].reduce(mergeRecords);
-            expect(merged).to.deep.equal(mergeNaively(records));
+            expect(merged).to.deep.equal(mergeAllAtOnce(records));
         }), { numRuns: 500 });
     });
 
@@ -98,7 +98,7 @@
     };
 
     it("never replaces a record by one with a lower incarnation or an earlier revision of the same incarnation", () => {
-        // Guards against a member that reappears in a former state after it restarted or left. This happens if late,
+        // Guards against a member that reappears in an earlier state after it restarted or left. This happens if late,
         // duplicate or reordered updates are accepted because they arrived last and not because they are newer.
         const arrival = fc.tuple(recordArbitrary, fc.constantFrom("Gossip" as const, "Sync" as const));
         fc.assert(fc.property(fc.array(arrival, { minLength: 1, maxLength: 10 }), (arrivals) => {
--- a/packages/oleandergap-membership/src/__tests__/membership.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membership.test.ts
@@ -74,9 +74,9 @@
                 piggyback: {
                     heads: () => [heads.get(index) ?? createHead(1)],
                     receiveHeads: (_from, received) => {
-                        const ahead = received.find((head) => head.sequence > (heads.get(index)?.sequence ?? 1));
-                        if (ahead !== undefined) {
-                            heads.set(index, ahead);
+                        const newerHead = received.find((head) => head.sequence > (heads.get(index)?.sequence ?? 1));
+                        if (newerHead !== undefined) {
+                            heads.set(index, newerHead);
                         }
                     },
                 },
@@ -96,15 +96,15 @@
         for (const [proberHead, answererHead] of [[7, 1], [1, 7]] as const) {
             const cluster = createTestCluster(8);
             const receivedSequences: number[] = [];
-            const piggybackOf = (sequence: number): HeadPiggyback => ({
+            const createPiggyback = (sequence: number): HeadPiggyback => ({
                 heads: () => [createHead(sequence)],
                 receiveHeads: (_from, heads) => {
                     receivedSequences.push(...heads.map((head) => head.sequence));
                 },
             });
             const slowProbeOptions = { probePeriodMs: 3_600_000 };
-            cluster.startNode(0, { piggyback: piggybackOf(answererHead), options: slowProbeOptions });
-            cluster.startNode(1, { piggyback: piggybackOf(proberHead) });
+            cluster.startNode(0, { piggyback: createPiggyback(answererHead), options: slowProbeOptions });
+            cluster.startNode(1, { piggyback: createPiggyback(proberHead) });
             await cluster.clock.advance(3000);
             expect(receivedSequences).to.include(7);
         }
@@ -156,12 +156,12 @@
         const requester = cluster.startNode(0, { zone: "zone-a", seeds });
         [10, 11, 12].forEach((index) => cluster.startNode(index, { zone: "zone-b", seeds }));
         await cluster.clock.advance(30_000);
-        const [silent] = requester.membership.contactsOf("zone-b");
-        if (silent !== undefined) {
-            requester.membership.reportSilent(silent);
+        const [unresponsive] = requester.membership.contactsOf("zone-b");
+        if (unresponsive !== undefined) {
+            requester.membership.reportUnresponsive(unresponsive);
         }
         const orders = Array.from({ length: 20 }, () => requester.membership.contactsOf("zone-b").map(({ id }) => id));
-        expect(orders.map((order) => order[2])).to.deep.equal(orders.map(() => silent?.id));
+        expect(orders.map((order) => order[2])).to.deep.equal(orders.map(() => unresponsive?.id));
         expect(new Set(orders.map((order) => order[0])).size).to.equal(2);
     });
 
--- a/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
@@ -26,9 +26,9 @@
         const nodes = await cluster.startZone(ZONE_SIZE);
         const [killedNode, ...survivors] = nodes;
         killedNode?.kill();
-        const passed = await measureUntil(cluster, 15_000, () =>
+        const elapsedMs = await measureUntil(cluster, 15_000, () =>
             survivors.every((node) => listMemberIds(node).join() === listNodeIds(survivors).join()));
-        expect(passed).to.be.at.most(10_000);
+        expect(elapsedMs).to.be.at.most(10_000);
         expect(new Set(listObservedDeaths(survivors))).to.deep.equal(new Set([killedNode?.id]));
     });
 
@@ -141,7 +141,7 @@
         }
     });
 
-    it("merges both halves of a zone after a partition without mass deaths", async () => {
+    it("merges both halves of a zone after a partition without declaring more members dead", async () => {
         // Guards against two halves that stay separate after a partition has healed, because no node contacts dead
         // members again, and against all targets disappearing when the halves reconnect, because old claims of death
         // are accepted.
@@ -166,9 +166,9 @@
         previousNode?.kill();
         const replacement = cluster.startNode(4, { id: "node-4-new", clockOffsetMs: -3_600_000 });
         const current = nodes.map((node) => node === previousNode ? replacement : node);
-        const passed = await measureUntil(cluster, 20_000, () =>
+        const elapsedMs = await measureUntil(cluster, 20_000, () =>
             current.every((node) => listMemberIds(node).join() === listNodeIds(current).join()));
-        expect(passed).to.be.below(2500);
+        expect(elapsedMs).to.be.below(2500);
     });
 
     it("drops and counts datagrams that do not belong to its zone and cluster", async () => {
@@ -178,8 +178,8 @@
         const [node] = await cluster.startZone(3);
         const foreignNode = cluster.startNode(50, { zone: "zone-b", seeds: [createSeed(0, "zone-b")] });
         await cluster.clock.advance(10_000);
-        const overlong = new Uint8Array(MAX_DATAGRAM_BYTES + 1);
-        const invalidPayloads = [new Uint8Array(0), Uint8Array.of(0xdd, 1, 255, 255, 255), overlong];
+        const oversizedPayload = new Uint8Array(MAX_DATAGRAM_BYTES + 1);
+        const invalidPayloads = [new Uint8Array(0), Uint8Array.of(0xdd, 1, 255, 255, 255), oversizedPayload];
         for (const payload of invalidPayloads) {
             cluster.network.inject(foreignNode.endpoint, createEndpoint(0), payload);
         }
--- a/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
@@ -50,7 +50,7 @@
             const zoneDigest = zone.fetchedDigest;
             await clock.sleep(zone.fetchDelayMs, signal);
             return zoneDigest === undefined ?
-                taskEither.left({ kind: "ZoneUnreachable" as const, detail: "cut" })() :
+                taskEither.left({ kind: "ZoneUnreachable" as const, detail: "unreachable" })() :
                 taskEither.right({
                     services: request.services.map(() => ({ kind: "Changed" as const, digest: "d", targets })),
                     zoneDigest,
@@ -78,9 +78,9 @@
 
 /** Requests the targets of the service repeatedly for the duration, like a stream of requests. */
 const useServiceFor = async (zone: FakeZone, duration: number): Promise<void> => {
-    for (let passed = 0; passed < duration; passed += 1000) {
+    for (let elapsedMs = 0; elapsedMs < duration; elapsedMs += 1000) {
         zone.remote.targetsOf(service, "grant-filer");
-        await zone.clock.advance(Math.min(1000, duration - passed));
+        await zone.clock.advance(Math.min(1000, duration - elapsedMs));
     }
 };
 
--- a/packages/oleandergap-membership/src/__tests__/roster.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/roster.test.ts
@@ -53,7 +53,7 @@
     it("keeps existing entries while there is space, except those of members that left", () => {
         // Guards against new nodes that only find one isolated node and form a separate zone with it. A node that is
         // partitioned from its zone, but not from the object store, considers itself the writer and replaces the roster
-        // by the members it still knows.
+        // by the members that remain in its member list.
         const self: Member = {
             id: "node-0",
             zone: "zone-a",
@@ -213,7 +213,7 @@
 describe("createRosterKeeper", () => {
     it("lets a new node find its zone while the object store is unavailable", async () => {
         // Guards against replacement VMs that receive no requests for eight seconds. The store is down when they start,
-        // so without seeds and roster they have no address to contact, and no other node knows them.
+        // so without seeds and roster they have no address to contact, and no other node has their address.
         const cluster = createTestCluster(1);
         const roster = createRosterStore();
         const overrides = { seeds: [], objectStore: roster.store, options: { neighbourSpan: 16 } };
@@ -310,8 +310,8 @@
 
     it("merges parts of a zone that cannot find each other as neighbours", async () => {
         // Guards against targets that get no requests from half of the nodes of their zone. The addresses of the zone
-        // have a gap, so each part only finds itself. A node that knows one member no longer reads the roster, so the
-        // writers have to use the entries they find in it.
+        // have a gap, so each part only finds itself. A node that has found one member no longer reads the roster, so
+        // the writers have to use the entries they find in it.
         const cluster = createTestCluster(8);
         const roster = createRosterStore();
         const options = { neighbourSpan: 16, rosterPeriodMs: 1000 };
--- a/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
@@ -19,7 +19,7 @@
     /** Target directory of the first node of zone A. */
     readonly directory: TargetDirectory;
     readonly answers: ZoneTargetsAnswer[];
-    readonly link: { isCut: boolean };
+    readonly link: { isPartitioned: boolean };
 }
 
 const startTwoZones = async (seed: number): Promise<TwoZones> => {
@@ -31,7 +31,7 @@
     const nodesA = start(0, "zone-a");
     const nodesB = start(40, "zone-b");
     const answers: ZoneTargetsAnswer[] = [];
-    const link = { isCut: false };
+    const link = { isPartitioned: false };
     const createDirectory = (node: TestNode, fetchZone: FetchZone): TargetDirectory =>
         createTargetDirectory({
             membership: node.membership,
@@ -45,9 +45,9 @@
         createDirectory(node, () => taskEither.left({ kind: "ZoneUnreachable", detail: "not asked" })));
     const fetchZone: FetchZone = (_zone, request) => async () => {
         await cluster.clock.sleep(5, new AbortController().signal);
-        const answer = link.isCut ? undefined : pickOne(random, servers)?.answerZoneTargets(request);
+        const answer = link.isPartitioned ? undefined : pickOne(random, servers)?.answerZoneTargets(request);
         if (answer === undefined) {
-            return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "cut" })();
+            return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "unreachable" })();
         }
         answers.push(answer);
         return taskEither.right(answer)();
@@ -113,11 +113,11 @@
         const { cluster, nodesB, directory, link } = await startTwoZones(6);
         listTargets(directory);
         await cluster.clock.advance(3000);
-        link.isCut = true;
+        link.isPartitioned = true;
         await cluster.clock.advance(60_000);
         expect(listTargets(directory)).to.deep.equal(["node-3", "node-43"]);
         nodesB[3]?.membership.setTarget(undefined);
-        link.isCut = false;
+        link.isPartitioned = false;
         await cluster.clock.advance(5000);
         expect(listTargets(directory)).to.deep.equal(["node-3"]);
         expect(directory.stats().failedFetches).to.be.greaterThan(0);
--- a/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
@@ -57,7 +57,7 @@
         });
     const nodesA = start(0, "zone-a");
     const nodesB = start(FIRST_B, "zone-b");
-    const fetchFor = (node: TestNode): FetchZone => (zone, request) => async () => {
+    const createFetchZone = (node: TestNode): FetchZone => (zone, request) => async () => {
         await cluster.clock.sleep(5, new AbortController().signal);
         const contact = pickOne(random, node.membership.contactsOf(zone).filter(({ id }) => !killed.has(id)));
         const answer = directories.get(contact?.id ?? "")?.answerZoneTargets(request);
@@ -68,7 +68,7 @@
     for (const node of [...nodesA, ...nodesB]) {
         directories.set(node.id, createTargetDirectory({
             membership: node.membership,
-            fetchZone: fetchFor(node),
+            fetchZone: createFetchZone(node),
             zones: () => ["zone-a", "zone-b"],
             clock: cluster.clock,
             random,
@@ -106,12 +106,13 @@
         id, zone: "zone-a", address: "10.0.0.1", controlPort: 1, gatePort: 2, incarnation: slots, state: "alive",
         revision: 0, target: { ...createTarget("grant-filer", leaving), slots },
     })));
-    const naive = (list: readonly Member[]): string =>
+    const formatTargets = (list: readonly Member[]): string =>
         list.map(({ id, target }) => JSON.stringify([id, target])).sort().join();
 
     it("returns equal digests exactly for equal targets in any order", () => {
         fastCheck.assert(fastCheck.property(members, members, (left, right) => {
-            expect(digestZoneTargets(left) === digestZoneTargets(right)).to.equal(naive(left) === naive(right));
+            expect(digestZoneTargets(left) === digestZoneTargets(right))
+                .to.equal(formatTargets(left) === formatTargets(right));
             const otherwise = [...left].reverse().map((member): Member =>
                 ({ ...member, incarnation: 9, state: "suspect" }));
             expect(digestZoneTargets(otherwise)).to.equal(digestZoneTargets(left));
@@ -184,12 +185,12 @@
         // Guards against the same failure, here with a contact that is partitioned from its zone but still answers
         // probes.
         const zones = await startTwoZones(12);
-        const isLost = ({ address }: { readonly address: string }): boolean =>
+        const isDisconnected = ({ address }: { readonly address: string }): boolean =>
             address === createEndpoint(FIRST_B).address;
         const isA = ({ address }: { readonly address: string }): boolean =>
             Number(address.split(".").at(-1)) <= FIRST_B;
         zones.cluster.network.setLinks((from, to) =>
-            (isLost(from) || isLost(to)) && !isA(from) && !isA(to) ? createLossyLink(1) : perfectLink);
+            (isDisconnected(from) || isDisconnected(to)) && !isA(from) && !isA(to) ? createLossyLink(1) : perfectLink);
         expect(await measureLeaving(zones)).to.be.at.most(8000);
     });
 });
--- a/packages/oleandergap-membership/src/datagramHandler.ts
+++ b/packages/oleandergap-membership/src/datagramHandler.ts
@@ -17,7 +17,7 @@
 import type { ZoneDigests } from "./zoneDigests.js";
 
 /**
- * Estimated size, in bytes, of a ping that sends a member the record that others hold of it. Counted against the byte
+ * Estimated size, in bytes, of a ping that informs a member of a claim about it. The size is counted against the byte
  * budget.
  */
 const NOTIFICATION_PING_BYTES = 200;
@@ -43,9 +43,9 @@
     readonly statistics: Statistics;
 }
 
-const hasNewerHeads = (local: readonly Head[], remote: readonly Head[]): boolean =>
-    local.some((head) => {
-        const other = remote.find((candidate) => candidate.partner === head.partner);
+const hasNewerHeads = (localHeads: readonly Head[], remoteHeads: readonly Head[]): boolean =>
+    localHeads.some((head) => {
+        const other = remoteHeads.find((candidate) => candidate.partner === head.partner);
         return other === undefined || other.sequence < head.sequence;
     });
 
@@ -62,8 +62,8 @@
     const applyRecords = (datagram: Datagram): boolean => {
         let isSenderOutdated = false;
         for (const record of datagram.records) {
-            const isFirstHand = record.id === datagram.id;
-            const source = datagram.body.kind === "SyncRecords" && !isFirstHand ? "Sync" : "Gossip";
+            const isRecordOfSender = record.id === datagram.id;
+            const source = datagram.body.kind === "SyncRecords" && !isRecordOfSender ? "Sync" : "Gossip";
             const outcome = updates.apply(record, source);
             isSenderOutdated ||= record.id === self().id && record.incarnation < self().incarnation;
             if (outcome === "Contested" && budget.canSpend()) {
@@ -164,12 +164,12 @@
     };
 
     return (datagram, from) => {
-        const local = self();
-        if (datagram.id === local.id && datagram.zone === local.zone) {
+        const localMember = self();
+        if (datagram.id === localMember.id && datagram.zone === localMember.zone) {
             statistics.countDropped("OwnEcho");
             return;
         }
-        const isLocalZone = datagram.zone === local.zone;
+        const isLocalZone = datagram.zone === localMember.zone;
         if (!isLocalZone && !crossZoneKinds.has(datagram.body.kind)) {
             statistics.countDropped("OtherZone");
             return;
--- a/packages/oleandergap-membership/src/measure/measureMembers.ts
+++ b/packages/oleandergap-membership/src/measure/measureMembers.ts
@@ -1,8 +1,8 @@
 /**
  * Runs members over real UDP on loopback in one process and measures the cost of an idle member and the time until an
- * update and a death are known to all members. Run as `node
- * packages/oleandergap-membership/lib/measure/measureMembers.js 60 20` for 60 members and 20 idle seconds. Prints one
- * JSON object.
+ * update and a death are known to all members. Prints one JSON object.
+ *
+ * Run as `node packages/oleandergap-membership/lib/measure/measureMembers.js 60 20` for 60 members and 20 idle seconds.
  */
 import { createLogger } from "oleandergap-logger";
 import { createSeededRandom, createSystemClock } from "oleandergap-utils";
@@ -107,9 +107,9 @@
 const members = await startMembers(count);
 await clock.sleep(SETTLE_MS, neverAborted);
 const joinedCount = members.filter(({ membership }) => membership.members().length === count).length;
-const rest = await measureIdle(members, seconds);
-const events = await measureEvents(members);
+const idleResults = await measureIdle(members, seconds);
+const eventResults = await measureEvents(members);
 members.forEach(({ abortController }) => {
     abortController.abort();
 });
-console.log(JSON.stringify({ members: count, seconds, joined: joinedCount, ...rest, ...events }));
+console.log(JSON.stringify({ members: count, seconds, joined: joinedCount, ...idleResults, ...eventResults }));
--- a/packages/oleandergap-membership/src/measure/measureRefresh.ts
+++ b/packages/oleandergap-membership/src/measure/measureRefresh.ts
@@ -1,8 +1,9 @@
 /**
  * Measures the idle cost per node of tracking the targets of remote availability zones, and the time until a leaving
- * target is known in them, on an in-memory network with a manual clock. Run as `node
- * packages/oleandergap-membership/lib/measure/measureRefresh.js 9 6 10 digests` for 9 zones of 6 nodes and 10 services
- * in use. With `fetches` instead of `digests`, contacts are not probed, so each refresh is a fetch.
+ * target is known in them, on an in-memory network with a manual clock.
+ *
+ * Run as `node packages/oleandergap-membership/lib/measure/measureRefresh.js 9 6 10 digests` for 9 zones of 6 nodes and
+ * 10 services in use. With `fetches` instead of `digests`, contacts are not probed, so each refresh is a fetch.
  */
 import * as taskEither from "fp-ts/lib/TaskEither.js";
 import { createLogger } from "oleandergap-logger";
@@ -25,7 +26,7 @@
 const CALL_HEADER_BYTES = 223;
 const CONTROL_PORT = 17_082;
 const SETTLE_MS = 40_000;
-const REST_MS = 120_000;
+const IDLE_MS = 120_000;
 const WATCH_STEP_MS = 50;
 const WATCH_LIMIT_MS = 20_000;
 const LEAVING_ROUNDS = 10;
@@ -122,8 +123,8 @@
 
 const measureIdle = async (): Promise<object> => {
     const before = { ...traffic, datagramBytes: countDatagramBytes() };
-    await clock.advance(REST_MS);
-    const nodeSeconds = nodes.length * REST_MS / MILLISECONDS_PER_SECOND;
+    await clock.advance(IDLE_MS);
+    const nodeSeconds = nodes.length * IDLE_MS / MILLISECONDS_PER_SECOND;
     return {
         datagramBytesSentPerNodeAndSecond: Math.round((countDatagramBytes() - before.datagramBytes) / nodeSeconds),
         callBytesPerNodeAndSecond: Math.round((traffic.callBytes - before.callBytes) / nodeSeconds),
@@ -146,16 +147,16 @@
     const { id } = leavingNode.membership.self();
     const isLeavingKnown = ({ directory }: RunningNode): boolean =>
         directory.targetsOf(target).some(({ nodeId, leaving }) => nodeId === id && leaving);
-    let half = WATCH_LIMIT_MS;
+    let halfMs = WATCH_LIMIT_MS;
     for (let elapsedMs = 0; elapsedMs < WATCH_LIMIT_MS; elapsedMs += WATCH_STEP_MS) {
         const knownCount = others.filter(isLeavingKnown).length;
-        half = knownCount * 2 >= others.length ? Math.min(half, elapsedMs) : half;
+        halfMs = knownCount * 2 >= others.length ? Math.min(halfMs, elapsedMs) : halfMs;
         if (knownCount === others.length) {
-            return { halfMs: half, allMs: elapsedMs };
+            return { halfMs, allMs: elapsedMs };
         }
         await clock.advance(WATCH_STEP_MS);
     }
-    return { halfMs: half, allMs: WATCH_LIMIT_MS };
+    return { halfMs, allMs: WATCH_LIMIT_MS };
 };
 
 zoneNames.forEach((_, zoneIndex) => {
@@ -165,7 +166,7 @@
 });
 keepServicesInUse();
 await clock.advance(SETTLE_MS);
-const rest = await measureIdle();
+const idleResults = await measureIdle();
 const leaving: { readonly halfMs: number; readonly allMs: number }[] = [];
 for (let round = 0; round < LEAVING_ROUNDS; round++) {
     leaving.push(await measureLeaving(round));
@@ -176,7 +177,7 @@
     nodesPerZone,
     services: serviceCount,
     asksContacts,
-    ...rest,
+    ...idleResults,
     leavingKnownToHalfMs: leaving.map(({ halfMs }) => halfMs),
     leavingKnownToAllMs: leaving.map(({ allMs }) => allMs),
 })}\n`);
--- a/packages/oleandergap-membership/src/memberUpdates.ts
+++ b/packages/oleandergap-membership/src/memberUpdates.ts
@@ -114,9 +114,9 @@
 
     const applyToSelf = (record: Member): ApplyOutcome => {
         const self = getSelf();
-        const isWrong = record.incarnation > self.incarnation ||
+        const isFalseClaim = record.incarnation > self.incarnation ||
             record.incarnation === self.incarnation && mergeRecords(self, record) !== self;
-        if (!isWrong || self.state === "left") {
+        if (!isFalseClaim || self.state === "left") {
             return "Unchanged";
         }
         if (!haveSameEndpoint(self, record)) {
--- a/packages/oleandergap-membership/src/membership.ts
+++ b/packages/oleandergap-membership/src/membership.ts
@@ -46,7 +46,7 @@
 ): void => {
     const { clock, logger, options, self } = dependencies;
     parts.statistics.countEvent("paused");
-    logger.warn("this process was paused; restarting pending probes and suspicions", { durationMs: duration });
+    logger.warn("this process was paused; cancelling its probes and restarting its suspicions", { durationMs: duration });
     parts.health.adjust(PAUSE_HEALTH_PENALTY);
     parts.prober.cancelProbes();
     parts.suspicions.restartAll();
@@ -163,7 +163,7 @@
         member: table.get,
         self: parts.self,
         setTarget: (target) => {
-            updates.changeSelf(({ target: _former, ...self }) => ({
+            updates.changeSelf(({ target: _previousTarget, ...self }) => ({
                 ...self,
                 revision: self.revision + 1,
                 ...(target === undefined ? {} : { target }),
@@ -180,7 +180,7 @@
         },
         join: parts.rejoiner.addCandidates,
         contactsOf: contacts.contactsOf,
-        reportSilent: contacts.markUnresponsive,
+        reportUnresponsive: contacts.markUnresponsive,
         addZones: contacts.addZones,
         probeZone: contacts.probeZone,
         subscribeZoneDigests: parts.zoneDigests.subscribe,
--- a/packages/oleandergap-membership/src/membershipTypes.ts
+++ b/packages/oleandergap-membership/src/membershipTypes.ts
@@ -114,7 +114,7 @@
      * Reports that a contact did not answer another component. The contact is listed last until its next datagram
      * arrives.
      */
-    readonly reportSilent: (contact: Contact) => void;
+    readonly reportUnresponsive: (contact: Contact) => void;
     /** Adds availability zones, for example those of the routing table, so that contacts in them are searched for. */
     readonly addZones: (zones: readonly ZoneName[]) => void;
     /**
--- a/packages/oleandergap-membership/src/neighbours.ts
+++ b/packages/oleandergap-membership/src/neighbours.ts
@@ -1,9 +1,9 @@
 /**
  * Lists the addresses adjacent to the address of this node, where other nodes may be found.
  *
- * A node that starts while the object store of the platform is unavailable cannot read a roster, and no other node
- * knows its address. Unless a seed answers, the node stays isolated until the store is available again: the new VM
- * never becomes ready and its target receives no requests, possibly just when other VMs have left.
+ * A node that starts while the object store of the platform is unavailable cannot read a roster, and no other node has
+ * its address. Unless a seed answers, the node stays isolated until the store is available again: the new VM never
+ * becomes ready and its target receives no requests, possibly just when other VMs have left.
  */
 import { isIPv4 } from "node:net";
 import type { Endpoint } from "./transport.js";
@@ -19,7 +19,7 @@
 }
 
 const toNumber = (address: string): number =>
-    address.split(".").reduce((number, part) => number * (OCTET_MASK + 1) + Number(part), 0);
+    address.split(".").reduce((number, octet) => number * (OCTET_MASK + 1) + Number(octet), 0);
 
 const toAddress = (number: number): string => Array.from({ length: OCTETS }, (_, index) =>
     Math.floor(number / 2 ** (BITS_PER_OCTET * (OCTETS - 1 - index))) & OCTET_MASK).join(".");
@@ -33,10 +33,10 @@
         return [];
     }
     const localNumber = toNumber(address);
-    const first = localNumber - (localNumber & OCTET_MASK);
+    const blockStart = localNumber - (localNumber & OCTET_MASK);
     const endpoints: Endpoint[] = [];
     for (let number = localNumber - span; number <= localNumber + span; number++) {
-        const isInSameBlock = number > first && number < first + OCTET_MASK;
+        const isInSameBlock = number > blockStart && number < blockStart + OCTET_MASK;
         if (number !== localNumber && isInSameBlock) {
             endpoints.push({ address: toAddress(number), port: controlPort });
         }
--- a/packages/oleandergap-membership/src/ownTargets.ts
+++ b/packages/oleandergap-membership/src/ownTargets.ts
@@ -75,9 +75,9 @@
     && left.leaving === right.leaving
     && left.since === right.since;
 
-const isEqualGroup = ({ targets }: ServiceTargets, former: ServiceTargets): boolean =>
-    targets.length === former.targets.length
-    && targets.every((target, index) => isEqualTarget(target, former.targets[index]));
+const isEqualGroup = ({ targets }: ServiceTargets, previous: ServiceTargets): boolean =>
+    targets.length === previous.targets.length
+    && targets.every((target, index) => isEqualTarget(target, previous.targets[index]));
 
 /**
  * Replaces groups that are equal to a previous one by the previous object, so that a change of one service does not
@@ -85,11 +85,11 @@
  */
 const reuseEqualGroups = (
     groups: ReadonlyMap<string, ServiceTargets>,
-    former: ReadonlyMap<string, ServiceTargets>,
+    previous: ReadonlyMap<string, ServiceTargets>,
 ): ReadonlyMap<string, ServiceTargets> =>
     new Map([...groups].map(([key, group]) => {
-        const formerGroup = former.get(key);
-        return [key, formerGroup !== undefined && isEqualGroup(group, formerGroup) ? formerGroup : group];
+        const previousGroup = previous.get(key);
+        return [key, previousGroup !== undefined && isEqualGroup(group, previousGroup) ? previousGroup : group];
     }));
 
 const NO_SERVICE_TARGETS: ServiceTargets = { targets: [], digest: "none" };
--- a/packages/oleandergap-membership/src/prober.ts
+++ b/packages/oleandergap-membership/src/prober.ts
@@ -33,8 +33,8 @@
     /** Probes a suspect again, both directly and through other members. */
     readonly probeSuspect: (suspect: Member) => void;
     /**
-     * Pings a member without evaluating the answer. The ping contains the record that this node holds of the member, if
-     * the member is not alive.
+     * Pings a member without evaluating the answer. If the state of the given record is not alive, the ping contains
+     * the record, so that the member can refute it.
      */
     readonly ping: (target: Member) => void;
     readonly receiveAck: (sequence: number) => void;
--- a/packages/oleandergap-membership/src/rejoiner.ts
+++ b/packages/oleandergap-membership/src/rejoiner.ts
@@ -108,19 +108,19 @@
      */
     const reconnect = (now: Milliseconds): void => {
         nextReconnectAt = now + options.reconnectPeriodMs * (0.5 + random());
-        const presentKeys = new Set(table.listActive().map((member) => formatEndpoint(getControlEndpoint(member))));
-        const dead = table.listTombstones().filter((member) =>
-            member.state === "dead" && !presentKeys.has(formatEndpoint(getControlEndpoint(member))));
-        const absent = [...candidates.entries()].filter(([key]) => !presentKeys.has(key));
-        const choice = pickOne(random, [
-            ...dead.map((member) => () => {
+        const activeKeys = new Set(table.listActive().map((member) => formatEndpoint(getControlEndpoint(member))));
+        const deadMembers = table.listTombstones().filter((member) =>
+            member.state === "dead" && !activeKeys.has(formatEndpoint(getControlEndpoint(member))));
+        const absentCandidates = [...candidates.entries()].filter(([key]) => !activeKeys.has(key));
+        const reconnectOne = pickOne(random, [
+            ...deadMembers.map((member) => () => {
                 prober.ping(member);
             }),
-            ...absent.map(([, endpoint]) => () => {
+            ...absentCandidates.map(([, endpoint]) => () => {
                 synchronizer.compareWith(endpoint);
             }),
         ]);
-        choice?.();
+        reconnectOne?.();
     };
 
     addCandidates(options.seeds.filter((seed) => seed.zone === zone));
--- a/packages/oleandergap-membership/src/remoteTargets.ts
+++ b/packages/oleandergap-membership/src/remoteTargets.ts
@@ -129,9 +129,9 @@
                 digest === undefined ? service : { ...service, knownDigest: digest }),
         };
         const startedAt = clock.monotonic();
-        const limit = startTimeLimit(clock, options.fetchTimeoutMs, signal);
+        const timeLimit = startTimeLimit(clock, options.fetchTimeoutMs, signal);
         try {
-            const answer = await fetchZone(zone, request, limit.signal)();
+            const answer = await fetchZone(zone, request, timeLimit.signal)();
             if (either.isRight(answer)) {
                 applyFetch(requested, answer.right, startedAt);
             }
@@ -143,7 +143,7 @@
             onFetched(false);
         }
         finally {
-            limit.cancel();
+            timeLimit.cancel();
             isFetching = false;
         }
     };
@@ -155,8 +155,8 @@
         if (requested.length > 0) {
             isFetching = true;
             lastFetchAt = now;
-            // The flag is cleared before the fetch, because a fetch required from now on may concern data that this
-            // fetch does not return.
+            // The flag is cleared before the fetch starts. If it is set again while the fetch is in flight, another
+            // fetch follows, because this one may not return the required data.
             needsFetch = false;
             void fetch(requested, signal);
         }
--- a/packages/oleandergap-membership/src/roster.ts
+++ b/packages/oleandergap-membership/src/roster.ts
@@ -109,10 +109,10 @@
     hasLeft: (id: NodeId) => boolean,
     existing: Roster | undefined,
 ): Roster => {
-    const local = ranked.slice(0, ROSTER_SIZE).map(({ id, address, controlPort }) => ({ id, address, controlPort }));
-    const localIds = new Set(local.map((entry) => entry.id));
-    const retained = (existing?.members ?? []).filter((entry) => !localIds.has(entry.id) && !hasLeft(entry.id));
-    return { zone, members: [...local, ...retained].slice(0, ROSTER_SIZE).sort(compareIds) };
+    const selected = ranked.slice(0, ROSTER_SIZE).map(({ id, address, controlPort }) => ({ id, address, controlPort }));
+    const selectedIds = new Set(selected.map((entry) => entry.id));
+    const retained = (existing?.members ?? []).filter((entry) => !selectedIds.has(entry.id) && !hasLeft(entry.id));
+    return { zone, members: [...selected, ...retained].slice(0, ROSTER_SIZE).sort(compareIds) };
 };
 
 /**
@@ -138,9 +138,9 @@
         signal: AbortSignal,
         call: (signal: AbortSignal) => Promise<Result>,
     ): Promise<Result> => {
-        const limit = startTimeLimit(clock, OBJECT_TIMEOUT_MS, signal);
-        const result = await call(limit.signal);
-        limit.cancel();
+        const timeLimit = startTimeLimit(clock, OBJECT_TIMEOUT_MS, signal);
+        const result = await call(timeLimit.signal);
+        timeLimit.cancel();
         return result;
     };
 
@@ -232,8 +232,8 @@
         // Without exponential backoff and jitter, the nodes of a partitioned region would read the rosters of all zones
         // of the other region for the whole duration of the partition, and thousands of nodes would do so
         // simultaneously.
-        const wait = periodMs * 2 ** Math.min(count, MAX_DOUBLINGS) * (1 + random()) / 2;
-        reads.set(rosterZone, { count: count + 1, nextAt: now + wait });
+        const delay = periodMs * 2 ** Math.min(count, MAX_DOUBLINGS) * (1 + random()) / 2;
+        reads.set(rosterZone, { count: count + 1, nextAt: now + delay });
         void load(rosterZone, signal)
             .then((roster) => {
                 if (roster !== undefined && roster !== "Failed" && roster.zone === rosterZone) {
--- a/packages/oleandergap-membership/src/sealedTransport.ts
+++ b/packages/oleandergap-membership/src/sealedTransport.ts
@@ -53,7 +53,7 @@
     let self: Endpoint | undefined;
 
     /** Returns the payload without its seal, or undefined if the seal does not match any accepted key. */
-    const verifySeal = (sealed: Uint8Array, from: Endpoint): Uint8Array | undefined => {
+    const verifyAndRemoveSeal = (sealed: Uint8Array, from: Endpoint): Uint8Array | undefined => {
         const payload = sealed.subarray(0, Math.max(0, sealed.length - SEAL_BYTES));
         const seal = sealed.subarray(payload.length);
         if (seal.length !== SEAL_BYTES) {
@@ -67,7 +67,7 @@
     return {
         open: (receive, signal) => async () => {
             const opened = await transport.open((sealed, from) => {
-                const payload = verifySeal(sealed, from);
+                const payload = verifyAndRemoveSeal(sealed, from);
                 if (payload === undefined) {
                     counts.rejected += 1;
                     return;
