--- a/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
@@ -1,6 +1,6 @@
-// Symptom: resting nodes of five zones send as many probes to other zones' contacts as all their other datagrams.
-// Sequence: each zone is probed for the digest of its targets once a second, and in its turn as a contact as well.
-// Cause: the turn did not look when the zone was probed last. Counted here: probes sent.
+// Guards against probing a zone twice: each zone was probed once per second for the digest of its targets and again in
+// its regular round, because the round ignored earlier probes. Idle nodes then sent as many contact probes as all other
+// datagrams together.
 import { expect } from "chai";
 import type { Clock, Milliseconds, ZoneName } from "oleandergap-types";
 import { createManualClock, createSeededRandom } from "oleandergap-utils";
@@ -8,16 +8,16 @@
 import type { Messenger } from "../messenger.js";
 import { membershipOptionsSchema } from "../options.js";
 
-const OWN_ZONE: ZoneName = "zone-a";
-const OTHER_ZONES: readonly ZoneName[] = ["zone-b", "zone-c", "zone-d", "zone-e"];
+const LOCAL_ZONE: ZoneName = "zone-a";
+const REMOTE_ZONES: readonly ZoneName[] = ["zone-b", "zone-c", "zone-d", "zone-e"];
 const TICK_MS: Milliseconds = 100;
 const PERIOD_MS: Milliseconds = 500;
 
 interface Harness {
-    readonly book: ContactBook;
+    readonly contactBook: ContactBook;
     readonly countProbes: () => number;
-    /** Ticks for `duration`, and calls `eachTick` with the time since the start. */
-    readonly run: (duration: Milliseconds, eachTick?: (passed: Milliseconds) => void) => Promise<void>;
+    /** Runs ticks for `duration` and calls `eachTick` with the time elapsed since the start. */
+    readonly run: (duration: Milliseconds, eachTick?: (elapsedMs: Milliseconds) => void) => Promise<void>;
 }
 
 const createHarness = (): Harness => {
@@ -30,46 +30,46 @@
         },
         sendRecords: () => undefined,
     };
-    const book = createContactBook({
+    const contactBook = createContactBook({
         selfId: "node-a",
-        ownZone: OWN_ZONE,
+        localZone: LOCAL_ZONE,
         clock: clock satisfies Clock,
         random: createSeededRandom(7),
         options: membershipOptionsSchema.parse({ contactProbePeriodMs: PERIOD_MS }),
         messenger,
         sources: { find: () => undefined, resetBackoff: () => undefined },
     });
-    const hearAll = (): void => OTHER_ZONES.forEach((zone, index) =>
-        book.hear({ id: `node-${zone}`, zone, address: `10.0.${index}.1`, controlPort: 7000 }));
+    const markAllLive = (): void => REMOTE_ZONES.forEach((zone, index) =>
+        contactBook.markLive({ id: `node-${zone}`, zone, address: `10.0.${index}.1`, controlPort: 7000 }));
     const { signal } = new AbortController();
     const run: Harness["run"] = async (duration, eachTick = () => undefined) => {
-        for (let passed = 0; passed < duration; passed += TICK_MS) {
-            hearAll();
-            eachTick(passed);
-            book.poll(signal);
+        for (let elapsedMs = 0; elapsedMs < duration; elapsedMs += TICK_MS) {
+            markAllLive();
+            eachTick(elapsedMs);
+            contactBook.poll(signal);
             await clock.advance(TICK_MS);
         }
     };
-    return { book, countProbes: () => probes, run };
+    return { contactBook, countProbes: () => probes, run };
 };
 
 describe("createContactBook", () => {
-    it("probes each zone in turn when nobody else does", async () => {
+    it("probes each zone in its round if there are no other probes", async () => {
         const { countProbes, run } = createHarness();
         await run(10_000);
         expect(countProbes()).to.be.within(15, 27);
     });
 
-    it("does not probe a zone in its turn that was probed just before", async () => {
-        const { book, countProbes, run } = createHarness();
-        let asked = 0;
-        await run(10_000, (passed) => {
-            if (passed % 800 === 0) {
-                OTHER_ZONES.forEach((zone) => book.probeZone(zone));
-                asked += OTHER_ZONES.length;
+    it("skips the round of a zone that was probed shortly before", async () => {
+        const { contactBook, countProbes, run } = createHarness();
+        let probesOutsideRounds = 0;
+        await run(10_000, (elapsedMs) => {
+            if (elapsedMs % 800 === 0) {
+                REMOTE_ZONES.forEach((zone) => contactBook.probeZone(zone));
+                probesOutsideRounds += REMOTE_ZONES.length;
             }
         });
-        // Without that, 20 more.
-        expect(countProbes() - asked).to.be.at.most(4);
+        // Probing these zones in their rounds as well would add 20 probes.
+        expect(countProbes() - probesOutsideRounds).to.be.at.most(4);
     });
 });
--- a/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
@@ -12,35 +12,35 @@
 import { digestZoneTargets } from "../targetsDigest.js";
 import { perfectLink } from "../testing/index.js";
 import {
-    createTestWorld,
-    endpointOfIndex,
-    lossy,
+    createTestCluster,
+    createEndpoint,
+    createLossyLink,
     measureUntil,
-    seedOfIndex,
-    targetOf,
+    createSeed,
+    createTarget,
     type TestNode,
-    type TestWorld,
+    type TestCluster,
 } from "./testZone.js";
 
 const service = { partner: "halloway", service: "grant-filer" };
 const FIRST_B = 40;
 const ZONE_SIZE = 16;
 
-interface Zones {
-    readonly world: TestWorld;
+interface TwoZones {
+    readonly cluster: TestCluster;
     readonly nodeA: TestNode;
     readonly nodesB: readonly TestNode[];
-    /** Directory of that node of zone A. */
+    /** Target directory of `nodeA`. */
     readonly directory: TargetDirectory;
-    /** Whether all nodes of zone B vouch for their digest. */
+    /** Whether all nodes of zone B send the digest of their zone. */
     readonly ready: { isReady: boolean };
 }
 
-/** Two zones whose nodes tell digests; fetches go to the contacts as the membership names them. */
-const startZones = async (seed: number): Promise<Zones> => {
-    const world = createTestWorld(seed);
+/** Starts two zones whose nodes send target digests. Fetches use the contacts of the membership. */
+const startTwoZones = async (seed: number): Promise<TwoZones> => {
+    const cluster = createTestCluster(seed);
     const random = createSeededRandom(seed);
-    const seeds = [seedOfIndex(0, "zone-a"), seedOfIndex(FIRST_B, "zone-b")];
+    const seeds = [createSeed(0, "zone-a"), createSeed(FIRST_B, "zone-b")];
     const directories = new Map<string, TargetDirectory>();
     const killed = new Set<string>();
     const ready = { isReady: true };
@@ -49,7 +49,7 @@
             const id = `node-${String(first + index)}`;
             const targetsDigest = (): number | undefined =>
                 ready.isReady ? directories.get(id)?.zoneDigest() : undefined;
-            const node = world.startNode(first + index, { id, zone, seeds, targetsDigest });
+            const node = cluster.startNode(first + index, { id, zone, seeds, targetsDigest });
             return { ...node, kill: () => {
                 killed.add(id);
                 node.kill();
@@ -57,20 +57,20 @@
         });
     const nodesA = start(0, "zone-a");
     const nodesB = start(FIRST_B, "zone-b");
-    const fetchFor = (node: TestNode): FetchZone => (zone, request) => async () => {
-        await world.clock.sleep(5, new AbortController().signal);
+    const createFetchZone = (node: TestNode): FetchZone => (zone, request) => async () => {
+        await cluster.clock.sleep(5, new AbortController().signal);
         const contact = pickOne(random, node.membership.contactsOf(zone).filter(({ id }) => !killed.has(id)));
         const answer = directories.get(contact?.id ?? "")?.answerZoneTargets(request);
         return answer === undefined ?
-            taskEither.left({ kind: "ZoneUnreachable" as const, detail: "nobody" })() :
+            taskEither.left({ kind: "ZoneUnreachable" as const, detail: "no contact" })() :
             taskEither.right(answer)();
     };
     for (const node of [...nodesA, ...nodesB]) {
         directories.set(node.id, createTargetDirectory({
             membership: node.membership,
-            fetchZone: fetchFor(node),
+            fetchZone: createFetchZone(node),
             zones: () => ["zone-a", "zone-b"],
-            clock: world.clock,
+            clock: cluster.clock,
             random,
             options: targetDirectoryOptionsSchema.parse({}),
         }));
@@ -81,20 +81,20 @@
         throw new Error("no nodes");
     }
     directory.start(new AbortController().signal);
-    nodesA[3]?.membership.setTarget(targetOf("grant-filer"));
-    nodesB[3]?.membership.setTarget(targetOf("grant-filer"));
-    await world.clock.advance(15_000);
+    nodesA[3]?.membership.setTarget(createTarget("grant-filer"));
+    nodesB[3]?.membership.setTarget(createTarget("grant-filer"));
+    await cluster.clock.advance(15_000);
     directory.targetsOf(service);
-    await world.clock.advance(3000);
-    return { world, nodeA, nodesB, directory, ready };
+    await cluster.clock.advance(3000);
+    return { cluster, nodeA, nodesB, directory, ready };
 };
 
 const isLeavingKnown = (directory: TargetDirectory): boolean =>
     directory.targetsOf(service, ["zone-b"]).some(({ leaving }) => leaving);
 
-const measureLeaving = async ({ world, nodesB, directory }: Zones): Promise<number> => {
-    nodesB[3]?.membership.setTarget(targetOf("grant-filer", true));
-    return measureUntil(world, 20_000, () => isLeavingKnown(directory));
+const measureLeaving = async ({ cluster, nodesB, directory }: TwoZones): Promise<number> => {
+    nodesB[3]?.membership.setTarget(createTarget("grant-filer", true));
+    return measureUntil(cluster, 20_000, () => isLeavingKnown(directory));
 };
 
 describe("digestZoneTargets", () => {
@@ -104,14 +104,15 @@
         leaving: fastCheck.boolean(),
     }), { selector: ({ id }) => id, maxLength: 8 }).map((drawn) => drawn.map(({ id, slots, leaving }): Member => ({
         id, zone: "zone-a", address: "10.0.0.1", controlPort: 1, gatePort: 2, incarnation: slots, state: "alive",
-        revision: 0, target: { ...targetOf("grant-filer", leaving), slots },
+        revision: 0, target: { ...createTarget("grant-filer", leaving), slots },
     })));
-    const naive = (list: readonly Member[]): string =>
+    const formatTargets = (list: readonly Member[]): string =>
         list.map(({ id, target }) => JSON.stringify([id, target])).sort().join();
 
-    it("is equal exactly when the targets are, in any order", () => {
+    it("returns equal digests exactly for equal targets in any order", () => {
         fastCheck.assert(fastCheck.property(members, members, (left, right) => {
-            expect(digestZoneTargets(left) === digestZoneTargets(right)).to.equal(naive(left) === naive(right));
+            expect(digestZoneTargets(left) === digestZoneTargets(right))
+                .to.equal(formatTargets(left) === formatTargets(right));
             const otherwise = [...left].reverse().map((member): Member =>
                 ({ ...member, incarnation: 9, state: "suspect" }));
             expect(digestZoneTargets(otherwise)).to.equal(digestZoneTargets(left));
@@ -119,76 +120,77 @@
     });
 });
 
-describe("createTargetDirectory with digests of contacts", () => {
-    it("fetches nothing while nothing changes, and gives the same array", async () => {
-        const { world, directory } = await startZones(1);
+describe("createTargetDirectory with target digests of contacts", () => {
+    it("fetches nothing and returns the same array while nothing changes", async () => {
+        const { cluster, directory } = await startTwoZones(1);
         const { fetches } = directory.stats();
         const before = directory.targetsOf(service);
-        await world.clock.advance(20_000);
+        await cluster.clock.advance(20_000);
         expect(directory.stats().fetches - fetches).to.be.at.most(1);
         expect(directory.targetsOf(service)).to.equal(before);
         expect(before.map(({ nodeId }) => nodeId)).to.deep.equal(["node-3", "node-43"]);
     });
 
-    it("shows a leaving target of the other zone within five seconds", async () => {
-        // Symptom: a target that is leaving still receives new requests from other zones.
-        // Sequence: it announces its leaving; some contacts have heard of it and others have not yet.
-        // Cause: the fetch is left out for too long, or the word of one that is behind counts for all.
+    it("lists a leaving target of the remote zone as leaving within five seconds", async () => {
+        // Guards against a leaving target that still receives new requests from remote zones, because fetches are
+        // skipped for too long or the confirmation of one outdated contact is accepted. Some contacts have already
+        // received the update and others have not.
         for (const seed of [3, 4, 5, 6, 7, 8]) {
-            expect(await measureLeaving(await startZones(seed))).to.be.at.most(5000);
+            expect(await measureLeaving(await startTwoZones(seed))).to.be.at.most(5000);
         }
     });
 
-    it("shows it as soon when half of the datagrams between the zones are lost, or all", async () => {
-        // Symptom and sequence as above, but contact probes or their answers are lost on the way.
-        // Cause: a question without an answer is asked again instead of being replaced by a fetch.
+    it("lists it within the same time if half or all of the datagrams between the zones are lost", async () => {
+        // Guards against the same failure, here with lost contact probes or replies: an unanswered probe must be
+        // replaced by a fetch, not by another probe.
         for (const loss of [0.5, 1]) {
-            const zones = await startZones(9);
+            const zones = await startTwoZones(9);
             const isB = ({ address }: { readonly address: string }): boolean =>
                 Number(address.split(".").at(-1)) > FIRST_B;
-            zones.world.network.setLinks((from, to) => isB(from) === isB(to) ? perfectLink : lossy(loss));
+            zones.cluster.network.setLinks((from, to) => isB(from) === isB(to) ? perfectLink : createLossyLink(loss));
             expect(await measureLeaving(zones)).to.be.at.most(5000);
         }
     });
 
-    it("shows it as soon when contacts die, and while none vouches for its digest", async () => {
-        // Symptom and sequence as above, but contacts were killed just before, or have just restarted.
-        // Cause: a dead contact is waited for; a node that knows little confirms, or is asked on and on.
-        const zones = await startZones(10);
+    it("lists it within the same time if contacts die or no contact sends a digest", async () => {
+        // Guards against the same failure, here with contacts that were just killed or restarted: a dead contact must
+        // not delay the update, and a node with an incomplete member list must neither confirm a digest nor be probed
+        // repeatedly.
+        const zones = await startTwoZones(10);
         zones.nodesB.slice(8).forEach((node) => {
             node.kill();
         });
         expect(await measureLeaving(zones)).to.be.at.most(5000);
-        const unready = await startZones(11);
-        unready.ready.isReady = false;
-        expect(await measureLeaving(unready)).to.be.at.most(5000);
+        const zonesWithoutDigest = await startTwoZones(11);
+        zonesWithoutDigest.ready.isReady = false;
+        expect(await measureLeaving(zonesWithoutDigest)).to.be.at.most(5000);
     });
 
-    it("asks another contact each time", async () => {
-        // Symptom: a zone's change is not seen although nodes that know it can be reached.
-        // Sequence: one contact hears nothing of its zone any more, and goes on confirming the old digest.
-        // Cause: always the same contact is asked.
-        const { world, nodeA, nodesB } = await startZones(13);
-        const countAsked = (): number[] =>
+    it("probes different contacts in turn", async () => {
+        // Guards against a change that is never detected because the same contact is always probed, and that contact is
+        // disconnected from its zone and keeps confirming the old digest.
+        const { cluster, nodeA, nodesB } = await startTwoZones(13);
+        const countProbesReceived = (): number[] =>
             nodesB.map(({ membership }) => membership.stats().traffic.ContactProbe.receivedDatagrams);
-        const before = countAsked();
+        const before = countProbesReceived();
         for (let turn = 0; turn < 30; turn++) {
             nodeA.membership.probeZone("zone-b");
-            await world.clock.advance(10);
+            await cluster.clock.advance(10);
         }
-        const asked = countAsked().map((count, index) => count - (before[index] ?? 0));
-        expect(asked.filter((count) => count >= 2)).to.have.length.at.least(3);
+        const probesReceived = countProbesReceived().map((count, index) => count - (before[index] ?? 0));
+        expect(probesReceived.filter((count) => count >= 2)).to.have.length.at.least(3);
     });
 
-    it("catches up after a contact was cut off from its own zone", async () => {
-        // Symptom and cause as above.
-        const zones = await startZones(12);
-        const isLost = ({ address }: { readonly address: string }): boolean =>
-            address === endpointOfIndex(FIRST_B).address;
+    it("detects a change while a contact is disconnected from its own zone", async () => {
+        // Guards against the same failure, here with a contact that is partitioned from its zone but still answers
+        // probes.
+        const zones = await startTwoZones(12);
+        const isDisconnected = ({ address }: { readonly address: string }): boolean =>
+            address === createEndpoint(FIRST_B).address;
         const isA = ({ address }: { readonly address: string }): boolean =>
             Number(address.split(".").at(-1)) <= FIRST_B;
-        zones.world.network.setLinks((from, to) =>
-            (isLost(from) || isLost(to)) && !isA(from) && !isA(to) ? lossy(1) : perfectLink);
+        zones.cluster.network.setLinks((from, to) =>
+            (isDisconnected(from) || isDisconnected(to)) && !isA(from) && !isA(to) ? createLossyLink(1) : perfectLink);
         expect(await measureLeaving(zones)).to.be.at.most(8000);
     });
 });
--- a/packages/oleandergap-membership/src/contactBook.ts
+++ b/packages/oleandergap-membership/src/contactBook.ts
@@ -1,6 +1,7 @@
 /**
- * A few nodes of each other availability zone, over which configuration heads cross zones and other zones' targets are
- * fetched. One contact is probed per period, whatever the number of zones or nodes.
+ * Maintains a few contact nodes in each remote availability zone. Configuration heads are exchanged with them, and the
+ * targets of their zone are fetched from them. One contact is probed per period, regardless of the number of zones or
+ * nodes.
  */
 import type { Clock, Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import { pickIndex, pickOne, pickSeveral, type Random } from "oleandergap-utils";
@@ -8,58 +9,68 @@
 import type { Contact } from "./membershipTypes.js";
 import type { Messenger } from "./messenger.js";
 import type { MembershipOptions } from "./options.js";
-import { endpointOf } from "./prober.js";
+import { getControlEndpoint } from "./prober.js";
 
-/** Contacts remembered per zone, live and unanswered ones together. */
-const MAX_KNOWN_PER_ZONE = 12;
-/** A contact with more unanswered probes in a row is not counted on, and gives way when there are too many. */
-const MAX_MISSES = 2;
+/** Largest number of contacts stored per zone, including contacts that do not answer. */
+const MAX_CONTACTS_PER_ZONE = 12;
+/**
+ * A contact with more consecutive missed probes is no longer considered live and may be evicted when the zone is full.
+ */
+const MAX_MISSED_PROBES = 2;
 const MAX_ZONES = 64;
-/** Turns in which seeds and contacts that were known before may answer. */
-const TURNS_FOR_KNOWN = 2;
+/** Number of rounds without a live contact during which only seeds and stored contacts are probed. */
+const ROUNDS_FOR_KNOWN_CONTACTS = 2;
 /**
- * A zone that was probed outside of its turn, as for a digest of its targets, within this part of the distance of two
- * turns is not probed again: the answer would tell nothing new, and with services in use in all zones that is most of
- * the probes.
+ * A zone is skipped in its round if it was probed within this fraction of the interval between two of its rounds, for
+ * example to get the digest of its targets. The answer would contain nothing new, and such probes are the majority when
+ * services of all zones are in use.
  */
-const FRESH_SHARE = 0.5;
+const RECENT_PROBE_FRACTION = 0.5;
 const SEQUENCE_LIMIT = 2 ** 32;
 
-interface KnownContact {
+interface ContactEntry {
     readonly contact: Contact;
-    /** Probes since its last answer; undefined while it never answered. */
-    misses: number | undefined;
+    /** Number of probes since the last answer, or undefined if the contact has never answered. */
+    missedProbes: number | undefined;
     probedAt: Milliseconds;
 }
 
 interface ZoneContacts {
     readonly name: ZoneName;
-    readonly known: Map<NodeId, KnownContact>;
-    /** Turns in a row in which no contact was live. */
-    silentTurns: number;
+    readonly contacts: Map<NodeId, ContactEntry>;
+    /** Number of consecutive rounds in which the zone had no live contact. */
+    roundsWithoutLiveContact: number;
     probedAt: Milliseconds;
 }
 
-/** Contacts by zone. Only `poll` and `probeZone` send; all else is bookkeeping. */
+/**
+ * Contacts grouped by zone. Only `poll` and `probeZone` send datagrams; all other functions only change or read state.
+ */
 export interface ContactBook {
     readonly poll: (signal: AbortSignal) => void;
-    /** Probes a contact of the zone, outside of the turns; returns the probe's sequence, or undefined without any. */
+    /**
+     * Probes a contact of the zone outside its regular rounds. Returns the sequence number of the probe, or undefined
+     * if the zone has no contacts.
+     */
     readonly probeZone: (zone: ZoneName) => number | undefined;
-    /** Notes that a node of another zone was heard. */
-    readonly hear: (contact: Contact) => void;
-    /** Notes that a contact failed to answer another part of this node; it goes last until it is heard again. */
-    readonly reportSilent: (contact: Contact) => void;
-    /** Adds zones of which nobody was heard yet. */
+    /** Records that a datagram arrived from a node of a remote zone, and resets its missed probes. */
+    readonly markLive: (contact: Contact) => void;
+    /**
+     * Records that a contact did not answer another component of this node. The contact loses priority until its next
+     * datagram.
+     */
+    readonly markUnresponsive: (contact: Contact) => void;
+    /** Adds zones that have no known contacts yet. */
     readonly addZones: (zones: readonly ZoneName[]) => void;
-    /** Adds nodes that others named; they count only once they answer. */
-    readonly suggest: (contacts: readonly Contact[]) => void;
+    /** Adds nodes that were suggested by other nodes. They are not considered live until they answer. */
+    readonly addCandidates: (contacts: readonly Contact[]) => void;
     readonly contactsOf: (zone: ZoneName) => readonly Contact[];
     readonly zones: () => readonly ZoneName[];
 }
 
 export interface ContactBookDependencies {
     readonly selfId: NodeId;
-    readonly ownZone: ZoneName;
+    readonly localZone: ZoneName;
     readonly clock: Clock;
     readonly random: Random;
     readonly options: MembershipOptions;
@@ -67,79 +78,90 @@
     readonly sources: ContactSources;
 }
 
-const isLive = (known: KnownContact): boolean => known.misses !== undefined && known.misses <= MAX_MISSES;
+const isLive = (entry: ContactEntry): boolean =>
+    entry.missedProbes !== undefined && entry.missedProbes <= MAX_MISSED_PROBES;
 
-const listLive = (zone: ZoneContacts): readonly KnownContact[] => [...zone.known.values()].filter(isLive);
+const listLiveContacts = (zone: ZoneContacts): readonly ContactEntry[] => [...zone.contacts.values()].filter(isLive);
 
-/** Fewest misses first; those that never answered last. */
-const compareByMisses = (left: KnownContact, right: KnownContact): number =>
-    (left.misses ?? Number.MAX_SAFE_INTEGER) - (right.misses ?? Number.MAX_SAFE_INTEGER);
+/** Sorts contacts by ascending number of missed probes. Contacts that have never answered come last. */
+const compareByMissedProbes = (left: ContactEntry, right: ContactEntry): number =>
+    (left.missedProbes ?? Number.MAX_SAFE_INTEGER) - (right.missedProbes ?? Number.MAX_SAFE_INTEGER);
 
-const countMiss = (known: KnownContact): void => {
-    known.misses = known.misses === undefined ? undefined : known.misses + 1;
+const incrementMissedProbes = (entry: ContactEntry): void => {
+    entry.missedProbes = entry.missedProbes === undefined ? undefined : entry.missedProbes + 1;
 };
 
-const makeRoom = ({ known }: ZoneContacts): boolean => {
-    if (known.size < MAX_KNOWN_PER_ZONE) {
+const ensureCapacity = ({ contacts }: ZoneContacts): boolean => {
+    if (contacts.size < MAX_CONTACTS_PER_ZONE) {
         return true;
     }
-    const dispensable = [...known.values()].filter((entry) => !isLive(entry)).sort(compareByMisses).at(-1);
-    return dispensable !== undefined && known.delete(dispensable.contact.id);
+    const evictionCandidate = [...contacts.values()]
+        .filter((entry) => !isLive(entry))
+        .sort(compareByMissedProbes)
+        .at(-1);
+    return evictionCandidate !== undefined && contacts.delete(evictionCandidate.contact.id);
 };
 
-/** Starts with the zones of the seeds; others follow as their nodes are heard or `addZones` names them. */
+/**
+ * Creates a contact book that starts with the zones of the seeds. Further zones are added when their nodes send
+ * datagrams or when `addZones` is called.
+ */
 export const createContactBook = (dependencies: ContactBookDependencies): ContactBook => {
-    const { ownZone, clock, random, options, messenger, sources } = dependencies;
-    const book = new Map<ZoneName, ZoneContacts>();
-    let zoneTurn = 0;
-    // At random, so that late answers to a former process at this address fit no probe of this one.
+    const { localZone, clock, random, options, messenger, sources } = dependencies;
+    const zonesByName = new Map<ZoneName, ZoneContacts>();
+    let roundIndex = 0;
+    // A random start value prevents late answers to a previous process at this address from matching a probe of this
+    // process.
     let sequence = pickIndex(random, SEQUENCE_LIMIT);
     let nextProbeAt = clock.monotonic() + random() * options.contactProbePeriodMs;
 
-    const openZone = (name: ZoneName): ZoneContacts | undefined => {
-        const opened = book.get(name);
-        if (opened !== undefined || name === ownZone || book.size >= MAX_ZONES) {
-            return opened;
+    const getOrCreateZone = (name: ZoneName): ZoneContacts | undefined => {
+        const existing = zonesByName.get(name);
+        if (existing !== undefined || name === localZone || zonesByName.size >= MAX_ZONES) {
+            return existing;
         }
-        const created = { name, known: new Map<NodeId, KnownContact>(), silentTurns: 0, probedAt: 0 };
-        book.set(name, created);
+        const created = { name, contacts: new Map<NodeId, ContactEntry>(), roundsWithoutLiveContact: 0, probedAt: 0 };
+        zonesByName.set(name, created);
         return created;
     };
 
-    const add = (contact: Contact, misses: number | undefined): void => {
-        const zone = openZone(contact.zone);
-        if (zone === undefined || !zone.known.has(contact.id) && !makeRoom(zone)) {
+    const add = (contact: Contact, missedProbes: number | undefined): void => {
+        const zone = getOrCreateZone(contact.zone);
+        if (zone === undefined || !zone.contacts.has(contact.id) && !ensureCapacity(zone)) {
             return;
         }
-        const probedAt = zone.known.get(contact.id)?.probedAt ?? 0;
-        zone.known.set(contact.id, { contact, misses, probedAt });
+        const probedAt = zone.contacts.get(contact.id)?.probedAt ?? 0;
+        zone.contacts.set(contact.id, { contact, missedProbes, probedAt });
     };
 
-    const suggest = (contacts: readonly Contact[]): void => {
+    const addCandidates = (contacts: readonly Contact[]): void => {
         contacts
-            .filter((contact) => book.get(contact.zone)?.known.has(contact.id) !== true)
+            .filter((contact) => zonesByName.get(contact.zone)?.contacts.has(contact.id) !== true)
             .forEach((contact) => {
                 add(contact, undefined);
             });
     };
 
-    /** The contact that waits longest, so that all take turns and unanswered ones are tried again. */
-    const nextContact = (zone: ZoneContacts): KnownContact | undefined => {
-        const live = listLive(zone);
-        const pool = live.length >= options.contactsPerZone ? live : [...zone.known.values()];
+    /**
+     * Returns the least recently probed contact, so that all contacts are probed in turn and unresponsive ones are
+     * retried.
+     */
+    const selectNextContact = (zone: ZoneContacts): ContactEntry | undefined => {
+        const live = listLiveContacts(zone);
+        const pool = live.length >= options.contactsPerZone ? live : [...zone.contacts.values()];
         return [...pool].sort((left, right) => left.probedAt - right.probedAt)[0];
     };
 
     const probe = (zone: ZoneContacts, now: Milliseconds): number => {
-        const liveCount = listLive(zone).length;
+        const liveCount = listLiveContacts(zone).length;
         sequence = (sequence + 1) % SEQUENCE_LIMIT;
         zone.probedAt = now;
-        const body = { kind: "ContactProbe", sequence, wanted: liveCount < options.contactsPerZone } as const;
-        const next = nextContact(zone);
+        const body = { kind: "ContactProbe", sequence, needsContacts: liveCount < options.contactsPerZone } as const;
+        const next = selectNextContact(zone);
         if (next !== undefined) {
             next.probedAt = now;
-            countMiss(next);
-            messenger.send(endpointOf(next.contact), body);
+            incrementMissedProbes(next);
+            messenger.send(getControlEndpoint(next.contact), body);
         }
         const seed = pickOne(random, options.seeds.filter((candidate) => candidate.zone === zone.name));
         if (liveCount === 0 && seed !== undefined) {
@@ -148,17 +170,23 @@
         return sequence;
     };
 
-    /** Seeds and known contacts come first, if there are any: others are looked for when none of them answers. */
-    const searchIfSilent = (zone: ZoneContacts, signal: AbortSignal): void => {
-        if (listLive(zone).length > 0) {
-            zone.silentTurns = 0;
+    /**
+     * Searches for new contacts if no contact of the zone is live. Seeds and stored contacts, if there are any, get
+     * some rounds to answer first.
+     */
+    const searchIfUnresponsive = (zone: ZoneContacts, signal: AbortSignal): void => {
+        if (listLiveContacts(zone).length > 0) {
+            zone.roundsWithoutLiveContact = 0;
             sources.resetBackoff(zone.name);
             return;
         }
-        zone.silentTurns += 1;
-        const hasHope = zone.known.size > 0 || options.seeds.some((seed) => seed.zone === zone.name);
-        if (!hasHope || zone.silentTurns > TURNS_FOR_KNOWN) {
-            sources.find({ zone: zone.name, silentTurns: zone.silentTurns, receive: suggest }, signal);
+        zone.roundsWithoutLiveContact += 1;
+        const hasKnownEndpoint = zone.contacts.size > 0 || options.seeds.some((seed) => seed.zone === zone.name);
+        if (!hasKnownEndpoint || zone.roundsWithoutLiveContact > ROUNDS_FOR_KNOWN_CONTACTS) {
+            sources.find(
+                { zone: zone.name, roundsWithoutLiveContact: zone.roundsWithoutLiveContact, receive: addCandidates },
+                signal,
+            );
         }
     };
 
@@ -168,47 +196,51 @@
             return;
         }
         nextProbeAt = now + options.contactProbePeriodMs * (0.75 + random() / 2);
-        const zone = [...book.values()][zoneTurn % Math.max(1, book.size)];
-        zoneTurn += 1;
+        const zone = [...zonesByName.values()][roundIndex % Math.max(1, zonesByName.size)];
+        roundIndex += 1;
         if (zone !== undefined) {
-            searchIfSilent(zone, signal);
-            const isFresh = now - zone.probedAt < options.contactProbePeriodMs * book.size * FRESH_SHARE;
-            if (!isFresh || listLive(zone).length === 0) {
+            searchIfUnresponsive(zone, signal);
+            const wasProbedRecently =
+                now - zone.probedAt < options.contactProbePeriodMs * zonesByName.size * RECENT_PROBE_FRACTION;
+            if (!wasProbedRecently || listLiveContacts(zone).length === 0) {
                 probe(zone, now);
             }
         }
     };
 
-    /** Shuffled among equals, so that one that hangs does not stand first each time. */
+    /**
+     * Returns contacts of a zone, those with the fewest missed probes first. Contacts with the same count are shuffled,
+     * so that a contact that hangs is not always the first one.
+     */
     const contactsOf = (name: ZoneName): readonly Contact[] => {
-        const known = [...book.get(name)?.known.values() ?? []];
-        return [...pickSeveral(random, known, known.length)]
-            .sort(compareByMisses)
+        const entries = [...zonesByName.get(name)?.contacts.values() ?? []];
+        return [...pickSeveral(random, entries, entries.length)]
+            .sort(compareByMissedProbes)
             .slice(0, options.contactsPerZone)
             .map((entry) => entry.contact);
     };
 
-    options.seeds.forEach((seed) => openZone(seed.zone));
+    options.seeds.forEach((seed) => getOrCreateZone(seed.zone));
     return {
         poll,
         probeZone: (name) => {
-            const zone = book.get(name);
-            return zone === undefined || zone.known.size === 0 ? undefined : probe(zone, clock.monotonic());
+            const zone = zonesByName.get(name);
+            return zone === undefined || zone.contacts.size === 0 ? undefined : probe(zone, clock.monotonic());
         },
-        hear: (contact) => {
+        markLive: (contact) => {
             add(contact, 0);
         },
-        reportSilent: (contact) => {
-            const known = book.get(contact.zone)?.known.get(contact.id);
-            if (known !== undefined) {
-                countMiss(known);
+        markUnresponsive: (contact) => {
+            const entry = zonesByName.get(contact.zone)?.contacts.get(contact.id);
+            if (entry !== undefined) {
+                incrementMissedProbes(entry);
             }
         },
         addZones: (zones) => {
-            zones.forEach(openZone);
+            zones.forEach(getOrCreateZone);
         },
-        suggest,
+        addCandidates,
         contactsOf,
-        zones: () => [...book.keys()],
+        zones: () => [...zonesByName.keys()],
     };
 };
--- a/packages/oleandergap-membership/src/gossiper.ts
+++ b/packages/oleandergap-membership/src/gossiper.ts
@@ -1,22 +1,25 @@
-/** Pushes queued updates to a few members at short intervals, as long as there are any; at rest it sends nothing. */
+/**
+ * Pushes queued updates to a few members at short intervals until the queue is empty. Nothing is sent while the queue
+ * is empty.
+ */
 import type { Clock, Member, NodeId } from "oleandergap-types";
 import { pickSeveral, type Random } from "oleandergap-utils";
 import type { ByteBudget } from "./byteBudget.js";
-import { createMemberRound, listOthers } from "./memberRound.js";
+import { createMemberRound, listOtherMembers } from "./memberRound.js";
 import type { MemberTable } from "./memberTable.js";
 import type { Messenger } from "./messenger.js";
 import type { MembershipOptions } from "./options.js";
-import { endpointOf } from "./prober.js";
+import { getControlEndpoint } from "./prober.js";
 import type { UpdateQueue } from "./updateQueue.js";
 
-/** Members told at once of this node's leaving, as a multiple of the usual fan-out. */
+/** Number of members that receive each leave announcement, as a multiple of the gossip fan-out. */
 const LEAVE_FANOUT_FACTOR = 2;
 const LEAVE_ROUNDS = 3;
 
-/** Pushes within its byte budget; only leaving is told regardless of it. */
+/** Sends updates within a byte budget. Leave announcements are sent regardless of the budget. */
 export interface Gossiper {
     readonly poll: () => void;
-    /** Tells several members of `self` directly, several times. */
+    /** Sends the record of this node directly to several members, several times. */
     readonly announceLeave: (self: Member) => Promise<void>;
 }
 
@@ -42,20 +45,20 @@
             return;
         }
         nextPushAt = now + options.gossipPeriodMs;
-        for (let copy = 0; copy < options.gossipFanout && queue.size() > 0 && budget.isOpen(); copy++) {
+        for (let copy = 0; copy < options.gossipFanout && queue.size() > 0 && budget.canSpend(); copy++) {
             const target = round.next();
             if (target === undefined) {
                 return;
             }
-            budget.spend(messenger.send(endpointOf(target), { kind: "Gossip" }));
+            budget.spend(messenger.send(getControlEndpoint(target), { kind: "Gossip" }));
         }
     };
 
     const announceLeave = async (self: Member): Promise<void> => {
         const count = options.gossipFanout * LEAVE_FANOUT_FACTOR;
         for (let leaveRound = 0; leaveRound < LEAVE_ROUNDS; leaveRound++) {
-            for (const target of pickSeveral(random, listOthers(table, selfId), count)) {
-                messenger.send(endpointOf(target), { kind: "Gossip" }, { records: [self] });
+            for (const target of pickSeveral(random, listOtherMembers(table, selfId), count)) {
+                messenger.send(getControlEndpoint(target), { kind: "Gossip" }, { records: [self] });
             }
             await clock.sleep(options.gossipPeriodMs, new AbortController().signal);
         }
--- a/packages/oleandergap-membership/src/measure/measureRefresh.ts
+++ b/packages/oleandergap-membership/src/measure/measureRefresh.ts
@@ -1,8 +1,9 @@
 /**
- * Measures what the targets of other availability zones cost a node at rest, and how soon a leaving target is known
- * elsewhere, over the network in memory and on the manual clock. Run as
- * `node packages/oleandergap-membership/lib/measure/measureRefresh.js 9 6 10 digests` for 9 zones of 6 nodes and 10
- * services in use; `fetches` in place of `digests` leaves the contacts unasked, so that each refresh is a fetch.
+ * Measures the idle cost per node of tracking the targets of remote availability zones, and the time until a leaving
+ * target is known in them, on an in-memory network with a manual clock.
+ *
+ * Run as `node packages/oleandergap-membership/lib/measure/measureRefresh.js 9 6 10 digests` for 9 zones of 6 nodes and
+ * 10 services in use. With `fetches` instead of `digests`, contacts are not probed, so each refresh is a fetch.
  */
 import * as taskEither from "fp-ts/lib/TaskEither.js";
 import { createLogger } from "oleandergap-logger";
@@ -19,13 +20,13 @@
 } from "../index.js";
 import { createMemoryNetwork } from "../testing/index.js";
 
-/** IPv4 and UDP headers of one datagram. */
+/** Size in bytes of the IPv4 and UDP headers of one datagram. */
 const DATAGRAM_HEADER_BYTES = 28;
-/** HTTP headers of a call between peers, both directions; docs/DISTRIBUTION.md has the run. */
+/** Size in bytes of the HTTP headers of a call between peers, in both directions; see docs/DISTRIBUTION.md. */
 const CALL_HEADER_BYTES = 223;
 const CONTROL_PORT = 17_082;
 const SETTLE_MS = 40_000;
-const REST_MS = 120_000;
+const IDLE_MS = 120_000;
 const WATCH_STEP_MS = 50;
 const WATCH_LIMIT_MS = 20_000;
 const LEAVING_ROUNDS = 10;
@@ -51,9 +52,9 @@
 const nodes: RunningNode[] = [];
 const traffic = { calls: 0, callBytes: 0 };
 
-const addressOf = (zoneIndex: number, index: number): string => `10.0.${String(zoneIndex)}.${String(index + 1)}`;
+const formatAddress = (zoneIndex: number, index: number): string => `10.0.${String(zoneIndex)}.${String(index + 1)}`;
 
-const targetOf = (index: number, leaving: boolean): MemberTarget => ({
+const createTarget = (index: number, leaving: boolean): MemberTarget => ({
     partner: "halloway",
     service: `service-${String(index % serviceCount)}`,
     slots: 12,
@@ -61,14 +62,14 @@
     since: clock.now(),
 });
 
-const fetchFor = (membership: () => Membership): FetchZone => (zone, request) => async () => {
+const createFetchZone = (membership: () => Membership): FetchZone => (zone, request) => async () => {
     await clock.sleep(2, new AbortController().signal);
     const contact = pickOne(random, membership().contactsOf(zone));
-    const asked = nodes.find((node) => node.membership.self().id === contact?.id);
-    if (asked === undefined) {
-        return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "nobody" })();
+    const contacted = nodes.find((node) => node.membership.self().id === contact?.id);
+    if (contacted === undefined) {
+        return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "no contact" })();
     }
-    const answer = asked.directory.answerZoneTargets(request);
+    const answer = contacted.directory.answerZoneTargets(request);
     traffic.calls += 1;
     traffic.callBytes += CALL_HEADER_BYTES + JSON.stringify(request).length + JSON.stringify(answer).length;
     return taskEither.right(answer)();
@@ -76,7 +77,7 @@
 
 const startNode = (zoneIndex: number, index: number): RunningNode => {
     const zone = zoneNames[zoneIndex] ?? "";
-    const address = addressOf(zoneIndex, index);
+    const address = formatAddress(zoneIndex, index);
     const membership: Membership = createMembership({
         self: {
             id: `vm-${String(zoneIndex)}-${String(index)}`, zone, address, controlPort: CONTROL_PORT, gatePort: 17_081,
@@ -86,7 +87,8 @@
         transport: network.createTransport({ address, port: CONTROL_PORT }),
         logger: createLogger("membership"),
         options: membershipOptionsSchema.parse({
-            seeds: zoneNames.map((name, other) => ({ zone: name, address: addressOf(other, 0), port: CONTROL_PORT })),
+            seeds: zoneNames.map((name, other) =>
+                ({ zone: name, address: formatAddress(other, 0), port: CONTROL_PORT })),
         }),
         piggyback: {
             heads: () => ["halloway", "kushiro"].map((partner) => ({ partner, sequence: 1, digest: "0".repeat(64) })),
@@ -95,7 +97,7 @@
     });
     const directory = createTargetDirectory({
         membership: asksContacts ? membership : { ...membership, probeZone: () => undefined },
-        fetchZone: fetchFor(() => membership),
+        fetchZone: createFetchZone(() => membership),
         zones: () => zoneNames,
         clock,
         random,
@@ -103,15 +105,15 @@
     });
     void membership.start(new AbortController().signal);
     directory.start(new AbortController().signal);
-    membership.setTarget(targetOf(zoneIndex + index, false));
+    membership.setTarget(createTarget(zoneIndex + index, false));
     return { zone, membership, directory };
 };
 
-const useServices = (): void => {
+const keepServicesInUse = (): void => {
     nodes.forEach(({ directory }) => {
         services.forEach((service) => directory.targetsOf(service));
     });
-    clock.after(MILLISECONDS_PER_SECOND, useServices);
+    clock.after(MILLISECONDS_PER_SECOND, keepServicesInUse);
 };
 
 const countDatagramBytes = (): number =>
@@ -119,39 +121,42 @@
         .flatMap(({ membership }) => Object.values(membership.stats().traffic))
         .reduce((sum, kind) => sum + kind.sentBytes + kind.sentDatagrams * DATAGRAM_HEADER_BYTES, 0);
 
-const measureRest = async (): Promise<object> => {
+const measureIdle = async (): Promise<object> => {
     const before = { ...traffic, datagramBytes: countDatagramBytes() };
-    await clock.advance(REST_MS);
-    const share = nodes.length * REST_MS / MILLISECONDS_PER_SECOND;
+    await clock.advance(IDLE_MS);
+    const nodeSeconds = nodes.length * IDLE_MS / MILLISECONDS_PER_SECOND;
     return {
-        datagramBytesSentPerNodeAndSecond: Math.round((countDatagramBytes() - before.datagramBytes) / share),
-        callBytesPerNodeAndSecond: Math.round((traffic.callBytes - before.callBytes) / share),
-        callsPerNodeAndSecond: Math.round((traffic.calls - before.calls) / share * PERCENT) / PERCENT,
+        datagramBytesSentPerNodeAndSecond: Math.round((countDatagramBytes() - before.datagramBytes) / nodeSeconds),
+        callBytesPerNodeAndSecond: Math.round((traffic.callBytes - before.callBytes) / nodeSeconds),
+        callsPerNodeAndSecond: Math.round((traffic.calls - before.calls) / nodeSeconds * PERCENT) / PERCENT,
     };
 };
 
-/** Time until the nodes of all other zones show a leaving target as such: for half of them, and for the last. */
-const measureLeaving = async (round: number): Promise<{ readonly half: number; readonly all: number }> => {
-    const leaver = nodes[(round * nodesPerZone + 1 + Math.floor(round / zoneCount)) % nodes.length];
-    const others = nodes.filter(({ zone }) => zone !== leaver?.zone);
-    const target = leaver?.membership.self().target;
-    if (leaver === undefined || target === undefined) {
-        throw new Error("no target to leave");
+/**
+ * Returns the time in milliseconds until half of the nodes of the remote zones, and until all of them, list a leaving
+ * target as leaving.
+ */
+const measureLeaving = async (round: number): Promise<{ readonly halfMs: number; readonly allMs: number }> => {
+    const leavingNode = nodes[(round * nodesPerZone + 1 + Math.floor(round / zoneCount)) % nodes.length];
+    const others = nodes.filter(({ zone }) => zone !== leavingNode?.zone);
+    const target = leavingNode?.membership.self().target;
+    if (leavingNode === undefined || target === undefined) {
+        throw new Error("The node has no target.");
     }
-    leaver.membership.setTarget({ ...target, leaving: true });
-    const { id } = leaver.membership.self();
-    const isKnown = ({ directory }: RunningNode): boolean =>
+    leavingNode.membership.setTarget({ ...target, leaving: true });
+    const { id } = leavingNode.membership.self();
+    const isLeavingKnown = ({ directory }: RunningNode): boolean =>
         directory.targetsOf(target).some(({ nodeId, leaving }) => nodeId === id && leaving);
-    let half = WATCH_LIMIT_MS;
-    for (let passed = 0; passed < WATCH_LIMIT_MS; passed += WATCH_STEP_MS) {
-        const known = others.filter(isKnown).length;
-        half = known * 2 >= others.length ? Math.min(half, passed) : half;
-        if (known === others.length) {
-            return { half, all: passed };
+    let halfMs = WATCH_LIMIT_MS;
+    for (let elapsedMs = 0; elapsedMs < WATCH_LIMIT_MS; elapsedMs += WATCH_STEP_MS) {
+        const knownCount = others.filter(isLeavingKnown).length;
+        halfMs = knownCount * 2 >= others.length ? Math.min(halfMs, elapsedMs) : halfMs;
+        if (knownCount === others.length) {
+            return { halfMs, allMs: elapsedMs };
         }
         await clock.advance(WATCH_STEP_MS);
     }
-    return { half, all: WATCH_LIMIT_MS };
+    return { halfMs, allMs: WATCH_LIMIT_MS };
 };
 
 zoneNames.forEach((_, zoneIndex) => {
@@ -159,10 +164,10 @@
         nodes.push(startNode(zoneIndex, index));
     }
 });
-useServices();
+keepServicesInUse();
 await clock.advance(SETTLE_MS);
-const rest = await measureRest();
-const leaving: { readonly half: number; readonly all: number }[] = [];
+const idleResults = await measureIdle();
+const leaving: { readonly halfMs: number; readonly allMs: number }[] = [];
 for (let round = 0; round < LEAVING_ROUNDS; round++) {
     leaving.push(await measureLeaving(round));
     await clock.advance(SETTLE_MS / LEAVING_ROUNDS);
@@ -172,7 +177,7 @@
     nodesPerZone,
     services: serviceCount,
     asksContacts,
-    ...rest,
-    leavingKnownToHalfMs: leaving.map(({ half }) => half),
-    leavingKnownToAllMs: leaving.map(({ all }) => all),
+    ...idleResults,
+    leavingKnownToHalfMs: leaving.map(({ halfMs }) => halfMs),
+    leavingKnownToAllMs: leaving.map(({ allMs }) => allMs),
 })}\n`);
--- a/packages/oleandergap-membership/src/membership.ts
+++ b/packages/oleandergap-membership/src/membership.ts
@@ -1,21 +1,24 @@
 /**
- * Membership of the nodes of one availability zone, after SWIM with the Lifeguard extensions, and contacts in the other
- * zones. One timer drives everything; docs/MEMBERSHIP.md gives the design and its bounds.
+ * Membership of the nodes of one availability zone, based on SWIM with the Lifeguard extensions, and contacts in the
+ * remote zones. A single timer drives all activities; docs/MEMBERSHIP.md describes the design and its bounds.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Milliseconds } from "oleandergap-types";
-import { listOthers } from "./memberRound.js";
+import { listOtherMembers } from "./memberRound.js";
 import { createMembershipParts, type MembershipParts } from "./membershipParts.js";
 import type { Membership, MembershipDependencies, PushMessage } from "./membershipTypes.js";
-import { endpointOf } from "./prober.js";
+import { getControlEndpoint } from "./prober.js";
 import { createTicker } from "./ticker.js";
 import type { Endpoint, ReceiveDatagram } from "./transport.js";
 
 /** Resolution of all timeouts. */
 const TICK_MS: Milliseconds = 100;
-/** After a pause of this share of the tombstones' life, this node's records may be older than any tombstone. */
-const STALE_PAUSE_SHARE = 0.5;
-/** Added to the health score by a pause. */
+/**
+ * After a pause longer than this fraction of the tombstone lifetime, records of this node may be older than any
+ * tombstone.
+ */
+const STALE_PAUSE_FRACTION = 0.5;
+/** Increase of the health score after a pause. */
 const PAUSE_HEALTH_PENALTY = 2;
 
 const createReceiver = (parts: MembershipParts, dependencies: MembershipDependencies): ReceiveDatagram =>
@@ -30,7 +33,7 @@
             parts.handleDatagram(decoded.right, from);
         }
         catch (error) {
-            // A listener's fault must not end the process, nor the handling of later datagrams.
+            // An error thrown by a listener must not end the process or prevent the processing of later datagrams.
             parts.statistics.countDropped("HandlerFailed");
             dependencies.logger.error("handling a datagram failed", { detail: String(error) });
         }
@@ -43,15 +46,16 @@
 ): void => {
     const { clock, logger, options, self } = dependencies;
     parts.statistics.countEvent("paused");
-    logger.warn("this process was paused; it judges nobody by the time that passed", { durationMs: duration });
+    logger.warn("this process was paused; cancelling its probes and restarting its suspicions", { durationMs: duration });
     parts.health.adjust(PAUSE_HEALTH_PENALTY);
-    parts.prober.drop();
+    parts.prober.cancelProbes();
     parts.suspicions.restartAll();
-    if (duration > options.tombstoneMs * STALE_PAUSE_SHARE) {
-        // Others may have forgotten members that died meanwhile; telling them of those would bring them back.
-        logger.warn("forgetting all members after a long pause", { at: clock.now() });
-        parts.rejoiner.addCandidates(listOthers(parts.table, self.id).map(endpointOf));
-        parts.table.forgetOthers();
+    if (duration > options.tombstoneMs * STALE_PAUSE_FRACTION) {
+        // Other members may have removed the tombstones of members that died during the pause. Gossiping the old
+        // records would bring those members back.
+        logger.warn("removing all other members after a long pause", { at: clock.now() });
+        parts.rejoiner.addCandidates(listOtherMembers(parts.table, self.id).map(getControlEndpoint));
+        parts.table.removeOthers();
         parts.queue.clear();
         parts.suspicions.clear();
     }
@@ -62,7 +66,7 @@
     for (const id of due.checks) {
         const suspect = table.get(id);
         if (suspect !== undefined) {
-            prober.check(suspect);
+            prober.probeSuspect(suspect);
         }
     }
     due.expired.forEach(updates.declareDead);
@@ -75,19 +79,19 @@
     parts.synchronizer.poll();
     parts.rejoiner.poll(signal);
     parts.contacts.poll(signal);
-    parts.roster?.poll((entries) => parts.rejoiner.addCandidates(entries.map(endpointOf)), signal);
-    parts.table.dropOldTombstones();
+    parts.roster?.poll((entries) => parts.rejoiner.addCandidates(entries.map(getControlEndpoint)), signal);
+    parts.table.removeExpiredTombstones();
 };
 
 const startTicking = (parts: MembershipParts, dependencies: MembershipDependencies, signal: AbortSignal): void => {
     const { clock, logger, options } = dependencies;
-    const guard = (action: () => void): void => {
+    const runGuarded = (action: () => void): void => {
         try {
             action();
         }
         catch (error) {
             parts.statistics.countDropped("HandlerFailed");
-            logger.error("a periodic duty failed", { detail: String(error) });
+            logger.error("a periodic task failed", { detail: String(error) });
         }
     };
     createTicker({
@@ -95,19 +99,19 @@
         tickMs: TICK_MS,
         pauseBoundMs: options.pauseBoundMs,
         onTick: () => {
-            guard(() => {
+            runGuarded(() => {
                 runTick(parts, signal);
             });
         },
         onPause: (duration) => {
-            guard(() => {
+            runGuarded(() => {
                 recoverFromPause(parts, dependencies, duration);
             });
         },
     }).start(signal);
 };
 
-/** Resolves when another member is known, the join timeout passed, or `signal` aborts. */
+/** Resolves when another member is known, when the join timeout has passed, or when `signal` aborts. */
 const waitForMember = async (
     parts: MembershipParts,
     { clock, options, self }: MembershipDependencies,
@@ -144,7 +148,7 @@
     await parts.gossiper.announceLeave(parts.self());
 };
 
-/** Creates the membership; it neither sends nor receives before `start`. */
+/** Creates the membership. Nothing is sent or received before `start` is called. */
 export const createMembership = (dependencies: MembershipDependencies): Membership => {
     const parts = createMembershipParts(dependencies);
     const { table, updates, messenger, heads, contacts, statistics, health } = parts;
@@ -155,11 +159,11 @@
 
     return {
         start: (signal) => start(parts, dependencies, signal),
-        members: table.present,
+        members: table.listActive,
         member: table.get,
         self: parts.self,
         setTarget: (target) => {
-            updates.changeSelf(({ target: _former, ...self }) => ({
+            updates.changeSelf(({ target: _previousTarget, ...self }) => ({
                 ...self,
                 revision: self.revision + 1,
                 ...(target === undefined ? {} : { target }),
@@ -172,11 +176,11 @@
             push({ address, port }, message);
         },
         sendTo: (member, message) => {
-            push(endpointOf(member), message);
+            push(getControlEndpoint(member), message);
         },
         join: parts.rejoiner.addCandidates,
         contactsOf: contacts.contactsOf,
-        reportSilent: contacts.reportSilent,
+        reportUnresponsive: contacts.markUnresponsive,
         addZones: contacts.addZones,
         probeZone: contacts.probeZone,
         subscribeZoneDigests: parts.zoneDigests.subscribe,
--- a/packages/oleandergap-membership/src/membershipParts.ts
+++ b/packages/oleandergap-membership/src/membershipParts.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of the membership. */
+/** Creates and connects the components of the membership. */
 import type { Member, Milliseconds } from "oleandergap-types";
 import { createByteBudget, type ByteBudget } from "./byteBudget.js";
 import { createContactBook, type ContactBook } from "./contactBook.js";
@@ -16,19 +16,21 @@
 import { createRejoiner, type Rejoiner } from "./rejoiner.js";
 import { createRosterKeeper, type RosterKeeper } from "./roster.js";
 import { createStatistics, type Statistics } from "./statistics.js";
-import { CHECK_ROUNDS, createSuspicions, type Suspicions } from "./suspicions.js";
+import { SUSPECT_CHECKS, createSuspicions, type Suspicions } from "./suspicions.js";
 import { createSynchronizer, type Synchronizer } from "./synchronizer.js";
 import { createUpdateQueue, type UpdateQueue } from "./updateQueue.js";
 import { createZoneDigests, type ZoneDigests } from "./zoneDigests.js";
 
-/** Datagrams that pushes may send at once after a quiet time. */
+/** Number of datagrams that the gossiper may send in one burst. */
 const GOSSIP_BURST_DATAGRAMS = 8;
-/** Datagrams that whole-state exchanges may send at once; enough for the whole state of a large zone. */
+/**
+ * Number of datagrams that anti-entropy exchanges may send in one burst. It covers the complete state of a large zone.
+ */
 const SYNC_BURST_DATAGRAMS = 64;
-/** The suspicion period does not shrink any further in zones smaller than this. */
-const SMALLEST_ZONE = 10;
+/** Zones smaller than this use the same suspicion timeout as a zone of this size. */
+const MIN_ZONE_SIZE = 10;
 
-/** State that the parts share. */
+/** State shared by the components. */
 interface SharedState {
     readonly self: () => Member;
     readonly table: MemberTable;
@@ -55,39 +57,41 @@
 }
 
 /**
- * Time from the start of a suspicion to the declaration of death. It grows with the logarithm of the zone's size, as
- * the time does that a suspicion and its refutation need to reach everybody.
+ * Returns the time from the start of a suspicion until the suspect is declared dead. It grows with the logarithm of the
+ * zone size, like the time in which a suspicion and its refutation spread to all members.
  */
-export const computeSuspicionWindow = (
+export const computeSuspicionTimeout = (
     options: MembershipDependencies["options"],
     zoneSize: number,
     healthMultiplier: number,
 ): Milliseconds => {
-    const byZone = options.suspicionMultiplier * Math.log10(Math.max(SMALLEST_ZONE, zoneSize)) * options.probePeriodMs;
-    const checks = (CHECK_ROUNDS + 1) * options.ackTimeoutMs;
-    return Math.max(byZone, checks) * healthMultiplier;
+    const timeoutByZoneSize =
+        options.suspicionMultiplier * Math.log10(Math.max(MIN_ZONE_SIZE, zoneSize)) * options.probePeriodMs;
+    const timeNeededForChecks = (SUSPECT_CHECKS + 1) * options.ackTimeoutMs;
+    return Math.max(timeoutByZoneSize, timeNeededForChecks) * healthMultiplier;
 };
 
 const createSharedState = (dependencies: MembershipDependencies): SharedState => {
     const { self: description, clock, random, transport, logger, options, piggyback } = dependencies;
-    const firstSelf: Member = {
+    const initialSelf: Member = {
         ...description,
-        // The wall clock puts a restarted process above its former self without any memory of it.
+        // The wall clock gives a restarted process a higher incarnation than the previous process without any stored
+        // state.
         incarnation: Math.floor(clock.now()),
         state: "alive",
         revision: 0,
     };
-    const table = createMemberTable({ self: firstSelf, clock, tombstoneMs: options.tombstoneMs });
-    const self = (): Member => table.get(description.id) ?? firstSelf;
-    const zoneSize = (): number => table.present().length;
+    const table = createMemberTable({ self: initialSelf, clock, tombstoneMs: options.tombstoneMs });
+    const self = (): Member => table.get(description.id) ?? initialSelf;
+    const zoneSize = (): number => table.listActive().length;
     const queue = createUpdateQueue(zoneSize);
     const health = createLocalHealth(options.maxHealthScore);
     const statistics = createStatistics();
     const suspicions = createSuspicions({
         clock,
         random,
-        window: () => computeSuspicionWindow(options, zoneSize(), health.multiplier()),
-        checkSpacing: () => options.ackTimeoutMs,
+        suspicionTimeout: () => computeSuspicionTimeout(options, zoneSize(), health.multiplier()),
+        checkInterval: () => options.ackTimeoutMs,
     });
     const heads = createHeadExchange(piggyback);
     const zoneDigests = createZoneDigests(dependencies.targetsDigest ?? (() => undefined));
@@ -99,7 +103,7 @@
         bytesPerSecond: options.gossipBytesPerSecond,
         burstBytes: GOSSIP_BURST_DATAGRAMS * MAX_DATAGRAM_BYTES,
     });
-    queue.add(firstSelf);
+    queue.add(initialSelf);
     return {
         self,
         table,
@@ -133,7 +137,7 @@
         });
 };
 
-/** Neither sends nor starts timers. */
+/** Creates the components without sending anything or starting timers. */
 export const createMembershipParts = (dependencies: MembershipDependencies): MembershipParts => {
     const { self: { id: selfId, zone }, clock, random, options } = dependencies;
     const shared = createSharedState(dependencies);
@@ -148,7 +152,7 @@
     const gossiper = createGossiper({ ...common, budget: shared.gossipBudget });
     const roster = createRoster(dependencies, shared);
     const sources = createContactSources({ ...common, roster, fetchContacts: dependencies.fetchContacts });
-    const contacts = createContactBook({ ...common, ownZone: zone, sources });
+    const contacts = createContactBook({ ...common, localZone: zone, sources });
     const rejoiner = createRejoiner({ ...common, self: dependencies.self, zone, prober, synchronizer, roster });
     const handleDatagram = createDatagramHandler({
         ...shared,
--- a/packages/oleandergap-membership/src/neighbours.ts
+++ b/packages/oleandergap-membership/src/neighbours.ts
@@ -1,40 +1,43 @@
 /**
- * The addresses beside the own one, where other nodes may be found.
+ * Lists the addresses adjacent to the address of this node, where other nodes may be found.
  *
- * A node that starts while the platform's store is away has no roster, and no other node knows it. Unless a seed
- * answers, it stays alone until the store is back; one would see a new VM that is never ready and its target without
- * requests, just when others have left.
+ * A node that starts while the object store of the platform is unavailable cannot read a roster, and no other node has
+ * its address. Unless a seed answers, the node stays isolated until the store is available again: the new VM never
+ * becomes ready and its target receives no requests, possibly just when other VMs have left.
  */
 import { isIPv4 } from "node:net";
 import type { Endpoint } from "./transport.js";
 
-const BITS_PER_PART = 8;
-const PARTS = 4;
-const PART_MASK = 0xff;
+const BITS_PER_OCTET = 8;
+const OCTETS = 4;
+const OCTET_MASK = 0xff;
 
-/** Where a node can be asked. */
-interface OwnPlace {
+/** Endpoint of this node. */
+interface LocalEndpoint {
     readonly address: string;
     readonly controlPort: number;
 }
 
 const toNumber = (address: string): number =>
-    address.split(".").reduce((number, part) => number * (PART_MASK + 1) + Number(part), 0);
+    address.split(".").reduce((number, octet) => number * (OCTET_MASK + 1) + Number(octet), 0);
 
-const toAddress = (number: number): string => Array.from({ length: PARTS }, (_, index) =>
-    Math.floor(number / 2 ** (BITS_PER_PART * (PARTS - 1 - index))) & PART_MASK).join(".");
+const toAddress = (number: number): string => Array.from({ length: OCTETS }, (_, index) =>
+    Math.floor(number / 2 ** (BITS_PER_OCTET * (OCTETS - 1 - index))) & OCTET_MASK).join(".");
 
-/** Up to `span` addresses on each side that differ from the own one in the last part only; none for IPv6. */
-export const listNeighbours = ({ address, controlPort }: OwnPlace, span: number): readonly Endpoint[] => {
+/**
+ * Returns up to `span` addresses on each side that differ from the local address only in the last octet. Returns an
+ * empty list for IPv6 addresses.
+ */
+export const listNeighbours = ({ address, controlPort }: LocalEndpoint, span: number): readonly Endpoint[] => {
     if (span === 0 || !isIPv4(address)) {
         return [];
     }
-    const own = toNumber(address);
-    const first = own - (own & PART_MASK);
+    const localNumber = toNumber(address);
+    const blockStart = localNumber - (localNumber & OCTET_MASK);
     const endpoints: Endpoint[] = [];
-    for (let number = own - span; number <= own + span; number++) {
-        const isInRow = number > first && number < first + PART_MASK;
-        if (number !== own && isInRow) {
+    for (let number = localNumber - span; number <= localNumber + span; number++) {
+        const isInSameBlock = number > blockStart && number < blockStart + OCTET_MASK;
+        if (number !== localNumber && isInSameBlock) {
             endpoints.push({ address: toAddress(number), port: controlPort });
         }
     }
--- a/packages/oleandergap-membership/src/ownTargets.ts
+++ b/packages/oleandergap-membership/src/ownTargets.ts
@@ -1,4 +1,7 @@
-/** The targets of the own availability zone by service, derived from the members and kept until one changes. */
+/**
+ * Groups the targets of the local availability zone by service. The groups are derived from the members and cached
+ * until a member changes.
+ */
 import { formatServiceReference, type Member, type ServiceReference } from "oleandergap-types";
 import { formatCanonicalJson, hashText } from "oleandergap-utils";
 import type { Membership } from "./membershipTypes.js";
@@ -10,14 +13,14 @@
     type ZoneTargetsRequest,
 } from "./targetDirectoryTypes.js";
 
-export interface OwnTargets {
+export interface LocalTargets {
     readonly targetsOf: (service: ServiceReference) => readonly TargetMember[];
     readonly answer: (request: ZoneTargetsRequest) => ZoneTargetsAnswer;
-    /** Digest over all targets. */
+    /** Returns the digest of all targets of the local zone. */
     readonly zoneDigest: () => number;
 }
 
-/** One service's targets; the digest is computed when another zone first asks. */
+/** Targets of one service. The digest is computed when it is first requested by a remote zone. */
 interface ServiceTargets {
     readonly targets: TargetMember[];
     digest: string | undefined;
@@ -48,18 +51,22 @@
         group.targets.push(toTargetMember(member, member.target));
         groups.set(key, group);
     }
-    // Every node of the zone lists the targets in the same order, so that any of them can confirm another's digest.
+    // All nodes of the zone sort the targets in the same way, so that each of them can confirm a digest computed by
+    // another one.
     groups.forEach((group) => group.targets.sort(compareNodeIds));
     return groups;
 };
 
-/** Two 32-bit hashes of different texts: a collision would leave another zone with an old list. */
+/**
+ * Returns a digest of two 32-bit hashes of different texts. A collision would leave a remote zone with an outdated
+ * list.
+ */
 const digestTargets = (targets: readonly TargetMember[]): string => {
     const text = formatCanonicalJson(targets);
     return `${hashText(text).toString(36)}-${hashText(`${text} `).toString(36)}`;
 };
 
-const isSameTarget = (left: TargetMember, right: TargetMember | undefined): boolean =>
+const isEqualTarget = (left: TargetMember, right: TargetMember | undefined): boolean =>
     left.nodeId === right?.nodeId
     && left.zone === right.zone
     && left.address === right.address
@@ -68,51 +75,54 @@
     && left.leaving === right.leaving
     && left.since === right.since;
 
-const isSameGroup = ({ targets }: ServiceTargets, former: ServiceTargets): boolean =>
-    targets.length === former.targets.length
-    && targets.every((target, index) => isSameTarget(target, former.targets[index]));
+const isEqualGroup = ({ targets }: ServiceTargets, previous: ServiceTargets): boolean =>
+    targets.length === previous.targets.length
+    && targets.every((target, index) => isEqualTarget(target, previous.targets[index]));
 
-/** Puts the former groups in place of equal ones, so that a change of one service leaves the others' arrays as is. */
-const keepEqualGroups = (
+/**
+ * Replaces groups that are equal to a previous one by the previous object, so that a change of one service does not
+ * create new arrays for other services.
+ */
+const reuseEqualGroups = (
     groups: ReadonlyMap<string, ServiceTargets>,
-    former: ReadonlyMap<string, ServiceTargets>,
+    previous: ReadonlyMap<string, ServiceTargets>,
 ): ReadonlyMap<string, ServiceTargets> =>
     new Map([...groups].map(([key, group]) => {
-        const formerGroup = former.get(key);
-        return [key, formerGroup !== undefined && isSameGroup(group, formerGroup) ? formerGroup : group];
+        const previousGroup = previous.get(key);
+        return [key, previousGroup !== undefined && isEqualGroup(group, previousGroup) ? previousGroup : group];
     }));
 
-const EMPTY: ServiceTargets = { targets: [], digest: "none" };
+const NO_SERVICE_TARGETS: ServiceTargets = { targets: [], digest: "none" };
 
-/** What was derived from one list of members. */
+/** Values derived from one list of members. */
 interface DerivedTargets {
     readonly members: readonly Member[];
     readonly groups: ReadonlyMap<string, ServiceTargets>;
     readonly zoneDigest: number;
 }
 
-const NOTHING_DERIVED: DerivedTargets = { members: [], groups: new Map(), zoneDigest: 0 };
+const NO_DERIVED_TARGETS: DerivedTargets = { members: [], groups: new Map(), zoneDigest: 0 };
 
-/** Relies on `members` giving the same array until a member changes. */
-export const createOwnTargets = (membership: Pick<Membership, "members">): OwnTargets => {
-    let derived = NOTHING_DERIVED;
+/** Creates the local targets. Requires that `members` returns the same array until a member changes. */
+export const createLocalTargets = (membership: Pick<Membership, "members">): LocalTargets => {
+    let derived = NO_DERIVED_TARGETS;
 
     const derive = (): DerivedTargets => {
         const members = membership.members();
         if (derived.members !== members) {
-            const groups = keepEqualGroups(groupByService(members), derived.groups);
+            const groups = reuseEqualGroups(groupByService(members), derived.groups);
             derived = { members, groups, zoneDigest: digestZoneTargets(members) };
         }
         return derived;
     };
 
     const findGroup = (service: ServiceReference): ServiceTargets =>
-        derive().groups.get(formatServiceReference(service)) ?? EMPTY;
+        derive().groups.get(formatServiceReference(service)) ?? NO_SERVICE_TARGETS;
 
-    const answerService = (asked: ZoneTargetsRequest["services"][number]): ServiceAnswer => {
-        const group = findGroup(asked);
+    const answerService = (requested: ZoneTargetsRequest["services"][number]): ServiceAnswer => {
+        const group = findGroup(requested);
         group.digest ??= digestTargets(group.targets);
-        return group.digest === asked.knownDigest ?
+        return group.digest === requested.knownDigest ?
             { kind: "Unchanged" } :
             { kind: "Changed", digest: group.digest, targets: group.targets.slice(0, MAX_TARGETS_PER_SERVICE) };
     };
--- a/packages/oleandergap-membership/src/prober.ts
+++ b/packages/oleandergap-membership/src/prober.ts
@@ -1,15 +1,15 @@
 /**
- * Probes one member per period: directly, then through other members, and suspects the member if nobody gets an answer.
- * Members take turns, so that each is probed within a bounded time.
+ * Probes one member per period, first directly and then through other members, and suspects the member if no probe
+ * succeeds. Members are probed in turn, so that each one is probed within a bounded time.
  */
 import type { Clock, Member, Milliseconds, NodeId } from "oleandergap-types";
 import { pickIndex, pickSeveral, type Random } from "oleandergap-utils";
 import type { LocalHealth } from "./localHealth.js";
-import { createMemberRound, listOthers } from "./memberRound.js";
+import { createMemberRound, listOtherMembers } from "./memberRound.js";
 import type { MemberTable } from "./memberTable.js";
 import type { MemberUpdates } from "./memberUpdates.js";
 import type { MessageBody } from "./messages.js";
-import type { Cargo, Messenger } from "./messenger.js";
+import type { PiggybackedData, Messenger } from "./messenger.js";
 import type { MembershipOptions } from "./options.js";
 import { createRelays } from "./relays.js";
 import type { Statistics } from "./statistics.js";
@@ -17,29 +17,32 @@
 
 const SEQUENCE_LIMIT = 2 ** 32;
 
-/** The probe of the current period. */
+/** Probe of the current period. */
 interface Probe {
     readonly sequence: number;
     readonly target: Member;
-    readonly askHelpersAt: Milliseconds;
+    readonly pingRequestAt: Milliseconds;
     readonly failsAt: Milliseconds;
     helpers: readonly Member[];
     nacks: number;
 }
 
 export interface Prober {
-    /** Starts, continues or ends probes as the time demands. */
+    /** Starts, continues or ends probes that are due. */
     readonly poll: () => void;
-    /** Asks a suspect once more, directly and through others. */
-    readonly check: (suspect: Member) => void;
-    /** Pings a member without judging it by the answer, and tells it what is said of it. */
+    /** Probes a suspect again, both directly and through other members. */
+    readonly probeSuspect: (suspect: Member) => void;
+    /**
+     * Pings a member without evaluating the answer. If the state of the given record is not alive, the ping contains
+     * the record, so that the member can refute it.
+     */
     readonly ping: (target: Member) => void;
     readonly receiveAck: (sequence: number) => void;
     readonly receiveNack: (sequence: number) => void;
-    /** Pings on behalf of another member. */
+    /** Pings a target on behalf of another member. */
     readonly relay: (request: Extract<MessageBody, { kind: "PingRequest" }>, requester: Endpoint) => void;
-    /** Forgets what is under way without judging anyone. */
-    readonly drop: () => void;
+    /** Cancels all probes in flight without suspecting their targets. */
+    readonly cancelProbes: () => void;
 }
 
 export interface ProberDependencies {
@@ -54,16 +57,21 @@
     readonly statistics: Statistics;
 }
 
-/** A member's control endpoint. */
-export const endpointOf = (member: Pick<Member, "address" | "controlPort">): Endpoint => ({
+/** Returns the control endpoint of a member. */
+export const getControlEndpoint = (member: Pick<Member, "address" | "controlPort">): Endpoint => ({
     address: member.address,
     port: member.controlPort,
 });
 
-/** A member that others doubt is told so with each ping, so that it can refute. */
-const createPingCargo = (target: Member): Cargo => target.state === "alive" ? {} : { records: [target] };
+/**
+ * Adds the record of a member that is not alive to the ping that it receives, so that the member can refute the claim.
+ */
+const createPingPiggyback = (target: Member): PiggybackedData => target.state === "alive" ? {} : { records: [target] };
 
-/** The first probe starts after a random part of a period, so that nodes that start together spread out. */
+/**
+ * Creates a prober. Its first probe starts after a random part of a period, so that nodes that start at the same time
+ * do not probe simultaneously.
+ */
 export const createProber = (dependencies: ProberDependencies): Prober => {
     const { selfId, clock, random, options, table, updates, messenger, health, statistics } = dependencies;
     const relays = createRelays({ clock, table, messenger, ackTimeoutMs: options.ackTimeoutMs });
@@ -79,17 +87,17 @@
 
     const sendPing = (target: Member, pingSequence: number): void => {
         const body = { kind: "Ping", sequence: pingSequence, targetId: target.id } as const;
-        messenger.send(endpointOf(target), body, createPingCargo(target));
+        messenger.send(getControlEndpoint(target), body, createPingPiggyback(target));
     };
 
-    const askHelpers = (target: Member, requestSequence: number): readonly Member[] => {
-        const candidates = listOthers(table, selfId)
+    const sendPingRequests = (target: Member, requestSequence: number): readonly Member[] => {
+        const candidates = listOtherMembers(table, selfId)
             .filter((member) => member.id !== target.id && member.state === "alive");
         const helpers = pickSeveral(random, candidates, options.indirectProbes);
-        const question = { targetId: target.id, ...endpointOf(target) };
+        const pingRequestFields = { targetId: target.id, ...getControlEndpoint(target) };
         for (const helper of helpers) {
-            const body = { kind: "PingRequest", sequence: requestSequence, ...question } as const;
-            messenger.send(endpointOf(helper), body, createPingCargo(target));
+            const body = { kind: "PingRequest", sequence: requestSequence, ...pingRequestFields } as const;
+            messenger.send(getControlEndpoint(helper), body, createPingPiggyback(target));
         }
         return helpers;
     };
@@ -104,7 +112,7 @@
         probe = {
             sequence: nextSequence(),
             target,
-            askHelpersAt: now + Math.min(options.ackTimeoutMs * health.multiplier(), period / 2),
+            pingRequestAt: now + Math.min(options.ackTimeoutMs * health.multiplier(), period / 2),
             failsAt: now + period,
             helpers: [],
             nacks: 0,
@@ -112,7 +120,10 @@
         sendPing(target, probe.sequence);
     };
 
-    /** A helper that says nothing at all hints that this node is the one that cannot be reached. */
+    /**
+     * Suspects the target and lowers the local health for each helper that sent no reply at all, because missing
+     * replies indicate that this node itself cannot be reached.
+     */
     const failProbe = ({ target, helpers, nacks }: Probe): void => {
         statistics.countEvent("probeFailed");
         health.adjust(helpers.length > 0 ? helpers.length - nacks : 1);
@@ -129,13 +140,13 @@
             probe = undefined;
             failProbe(failed);
         }
-        else if (now >= probe.askHelpersAt && probe.helpers.length === 0) {
-            probe.helpers = askHelpers(probe.target, probe.sequence);
+        else if (now >= probe.pingRequestAt && probe.helpers.length === 0) {
+            probe.helpers = sendPingRequests(probe.target, probe.sequence);
         }
     };
 
     const receiveAck = (ackSequence: number): void => {
-        if (relays.passOn(ackSequence) || probe?.sequence !== ackSequence) {
+        if (relays.forwardAck(ackSequence) || probe?.sequence !== ackSequence) {
             return;
         }
         probe = undefined;
@@ -147,9 +158,9 @@
         const relaySequence = nextSequence();
         const { targetId, address, port } = request;
         relays.add(relaySequence, targetId, requester, request.sequence);
-        const held = table.get(targetId);
-        const cargo = held === undefined ? {} : createPingCargo(held);
-        messenger.send({ address, port }, { kind: "Ping", sequence: relaySequence, targetId }, cargo);
+        const stored = table.get(targetId);
+        const piggybacked = stored === undefined ? {} : createPingPiggyback(stored);
+        messenger.send({ address, port }, { kind: "Ping", sequence: relaySequence, targetId }, piggybacked);
     };
 
     return {
@@ -161,9 +172,9 @@
                 startProbe(now);
             }
         },
-        check: (suspect) => {
+        probeSuspect: (suspect) => {
             sendPing(suspect, nextSequence());
-            askHelpers(suspect, nextSequence());
+            sendPingRequests(suspect, nextSequence());
         },
         ping: (target) => {
             sendPing(target, nextSequence());
@@ -175,7 +186,7 @@
             }
         },
         relay,
-        drop: () => {
+        cancelProbes: () => {
             probe = undefined;
             relays.clear();
             nextProbeAt = clock.monotonic() + options.probePeriodMs;
--- a/packages/oleandergap-membership/src/rejoiner.ts
+++ b/packages/oleandergap-membership/src/rejoiner.ts
@@ -1,10 +1,10 @@
-/** Finds the zone's other members: at the start, and again after this node or a part of the zone was cut off. */
+/** Finds the other members of the zone at the start, and again after a network partition. */
 import type { Clock, Member, Milliseconds, NodeId, ZoneName } from "oleandergap-types";
 import { drawBackoff, pickOne, pickSeveral, type Random } from "oleandergap-utils";
-import { listOthers } from "./memberRound.js";
+import { listOtherMembers } from "./memberRound.js";
 import type { MemberTable } from "./memberTable.js";
 import type { MembershipOptions } from "./options.js";
-import { endpointOf, type Prober } from "./prober.js";
+import { getControlEndpoint, type Prober } from "./prober.js";
 import type { RosterKeeper } from "./roster.js";
 import type { Synchronizer } from "./synchronizer.js";
 import { listNeighbours } from "./neighbours.js";
@@ -13,15 +13,18 @@
 const JOIN_FANOUT = 3;
 const JOIN_RETRY_MS: Milliseconds = 500;
 const MAX_JOIN_RETRY_MS: Milliseconds = 5000;
-/** Attempts without an answer after which the roster is read. */
+/** Number of unanswered attempts after which the roster is read. */
 const ATTEMPTS_BEFORE_ROSTER = 2;
-/** From this attempt on the neighbours are asked as well: the roster usually answers the first one. */
+/** First attempt in which the neighbours are contacted as well. The roster usually answers in the attempt before it. */
 const ATTEMPTS_BEFORE_NEIGHBOURS = 2;
 const MAX_CANDIDATES = 256;
-/** Neighbours on each side that a node without seeds asks before anything else. */
-const NEAREST_SPAN = 2;
-/** Time for their answers; several times what a datagram takes between VMs that start at the same moment. */
-const NEAREST_PATIENCE_MS: Milliseconds = 200;
+/** Number of neighbours on each side that a node without seeds contacts before using any other source. */
+const NEAREST_NEIGHBOUR_SPAN = 2;
+/**
+ * Longest wait for the answers of the nearest neighbours. It is several times the latency between VMs that start at the
+ * same time.
+ */
+const NEAREST_TIMEOUT_MS: Milliseconds = 200;
 
 export interface Rejoiner {
     readonly poll: (signal: AbortSignal) => void;
@@ -40,11 +43,11 @@
     readonly roster: RosterKeeper | undefined;
 }
 
-/** Candidates start with the seeds of the own zone. */
+/** Creates a rejoiner whose initial candidates are the seeds of the local zone. */
 export const createRejoiner = (dependencies: RejoinerDependencies): Rejoiner => {
     const { self, zone, clock, random, options, table, prober, synchronizer, roster } = dependencies;
     const selfId: NodeId = self.id;
-    const selfKey = formatEndpoint(endpointOf(self));
+    const selfKey = formatEndpoint(getControlEndpoint(self));
     const candidates = new Map<string, Endpoint>();
     let attempts = 0;
     let nextJoinAt = clock.monotonic();
@@ -55,7 +58,7 @@
             const key = formatEndpoint(endpoint);
             if (key !== selfKey && candidates.size < MAX_CANDIDATES && !candidates.has(key)) {
                 candidates.set(key, endpoint);
-                // Whoever is new may stand for a part of the zone that this node does not know.
+                // A new candidate may belong to a part of the zone that is unknown to this node.
                 nextReconnectAt = Math.min(nextReconnectAt, clock.monotonic());
             }
         }
@@ -63,31 +66,35 @@
 
     const readRoster = (signal: AbortSignal): void => {
         roster?.read(zone, (entries) => {
-            addCandidates(entries.map(endpointOf));
+            addCandidates(entries.map(getControlEndpoint));
             nextJoinAt = Math.min(nextJoinAt, clock.monotonic());
         }, signal);
     };
 
     /**
-     * Where VMs are numbered in a row, those beside this one nearly always belong to its zone and are there: asked
-     * first, they spare the platform two reads a start (97 reads of it by 36 nodes, 15 with it; model in memory).
+     * Contacts the nearest neighbours. If VMs have consecutive addresses, the adjacent VMs nearly always belong to the
+     * same zone and are running. Contacting them first saves about two roster reads per start: 36 nodes read the roster
+     * 15 times instead of 97 times.
      */
-    const askNearest = (now: Milliseconds): void => {
+    const probeNearestNeighbours = (now: Milliseconds): void => {
         attempts += 1;
-        nextJoinAt = now + NEAREST_PATIENCE_MS;
-        listNeighbours(self, Math.min(NEAREST_SPAN, options.neighbourSpan)).forEach(synchronizer.compareWith);
+        nextJoinAt = now + NEAREST_TIMEOUT_MS;
+        listNeighbours(self, Math.min(NEAREST_NEIGHBOUR_SPAN, options.neighbourSpan)).forEach(synchronizer.compareWith);
     };
 
     const join = (now: Milliseconds, signal: AbortSignal): void => {
         if (attempts === 0 && candidates.size === 0 && options.neighbourSpan > 0) {
-            askNearest(now);
+            probeNearestNeighbours(now);
             return;
         }
         nextJoinAt = now + JOIN_RETRY_MS * random() + drawBackoff(random, attempts, JOIN_RETRY_MS, MAX_JOIN_RETRY_MS);
         attempts += 1;
-        const known = [...candidates.values(), ...table.gone().filter((member) => member.state === "dead").map(endpointOf)];
-        pickSeveral(random, known, JOIN_FANOUT).forEach(synchronizer.join);
-        if (attempts > ATTEMPTS_BEFORE_ROSTER || known.length === 0) {
+        const knownEndpoints = [
+            ...candidates.values(),
+            ...table.listTombstones().filter((member) => member.state === "dead").map(getControlEndpoint),
+        ];
+        pickSeveral(random, knownEndpoints, JOIN_FANOUT).forEach(synchronizer.join);
+        if (attempts > ATTEMPTS_BEFORE_ROSTER || knownEndpoints.length === 0) {
             readRoster(signal);
         }
         if (attempts >= ATTEMPTS_BEFORE_NEIGHBOURS) {
@@ -96,31 +103,31 @@
     };
 
     /**
-     * Tries one member or candidate that seems unreachable. Without it, two halves of a zone that declared each other
-     * dead would never speak again after the cut between them healed; one would see two disjoint member lists.
+     * Contacts one member or candidate that seems unreachable. Otherwise, two parts of a zone that declared each other
+     * dead would never communicate again after the partition has healed, and their member lists would stay disjoint.
      */
     const reconnect = (now: Milliseconds): void => {
         nextReconnectAt = now + options.reconnectPeriodMs * (0.5 + random());
-        const presentKeys = new Set(table.present().map((member) => formatEndpoint(endpointOf(member))));
-        const dead = table.gone().filter((member) =>
-            member.state === "dead" && !presentKeys.has(formatEndpoint(endpointOf(member))));
-        const absent = [...candidates.entries()].filter(([key]) => !presentKeys.has(key));
-        const choice = pickOne(random, [
-            ...dead.map((member) => () => {
+        const activeKeys = new Set(table.listActive().map((member) => formatEndpoint(getControlEndpoint(member))));
+        const deadMembers = table.listTombstones().filter((member) =>
+            member.state === "dead" && !activeKeys.has(formatEndpoint(getControlEndpoint(member))));
+        const absentCandidates = [...candidates.entries()].filter(([key]) => !activeKeys.has(key));
+        const reconnectOne = pickOne(random, [
+            ...deadMembers.map((member) => () => {
                 prober.ping(member);
             }),
-            ...absent.map(([, endpoint]) => () => {
+            ...absentCandidates.map(([, endpoint]) => () => {
                 synchronizer.compareWith(endpoint);
             }),
         ]);
-        choice?.();
+        reconnectOne?.();
     };
 
     addCandidates(options.seeds.filter((seed) => seed.zone === zone));
     return {
         poll: (signal) => {
             const now = clock.monotonic();
-            if (listOthers(table, selfId).length > 0) {
+            if (listOtherMembers(table, selfId).length > 0) {
                 if (attempts > 0) {
                     attempts = 0;
                     roster?.resetBackoff(zone);
--- a/packages/oleandergap-membership/src/targetDirectory.ts
+++ b/packages/oleandergap-membership/src/targetDirectory.ts
@@ -1,4 +1,7 @@
-/** Where the targets of a service are: in the own availability zone from the membership, in others on demand. */
+/**
+ * Lists the targets of a service. The targets of the local availability zone are taken from the membership; those of
+ * remote zones are fetched on demand.
+ */
 import {
     formatServiceReference,
     type Clock,
@@ -9,39 +12,42 @@
 import type { Random } from "oleandergap-utils";
 import type { Membership } from "./membershipTypes.js";
 import type { TargetDirectoryOptions } from "./options.js";
-import { createOwnTargets } from "./ownTargets.js";
+import { createLocalTargets } from "./ownTargets.js";
 import { createRemoteTargets, type RemoteTargets } from "./remoteTargets.js";
 import type { FetchZone, TargetDirectory, TargetMember } from "./targetDirectoryTypes.js";
 import { createTargetLists } from "./targetLists.js";
 
-/** How soon a service that is used for the first time is fetched. */
+/** Polling interval; the longest delay before a service that is used for the first time is fetched. */
 const POLL_MS: Milliseconds = 100;
 
 export interface TargetDirectoryDependencies {
     readonly membership: Pick<Membership, "members" | "self" | "probeZone" | "subscribeZoneDigests">;
     readonly fetchZone: FetchZone;
-    /** The zones of interest of a service, for example those with a weight above 0; the own one only if it is named. */
+    /**
+     * Returns the relevant zones of a service, for example those with a weight above 0. The local zone is relevant only
+     * if it is included.
+     */
     readonly zones: (service: ServiceReference) => readonly ZoneName[];
     readonly clock: Clock;
     readonly random: Random;
     readonly options: TargetDirectoryOptions;
 }
 
-/** Fetches nothing before `start`. */
+/** Creates a target directory, which fetches nothing before `start` is called. */
 export const createTargetDirectory = (dependencies: TargetDirectoryDependencies): TargetDirectory => {
     const { membership, fetchZone, zones, clock, random, options } = dependencies;
-    const ownZone = membership.self().zone;
-    const ownTargets = createOwnTargets(membership);
+    const localZone = membership.self().zone;
+    const localTargets = createLocalTargets(membership);
     const remoteZones = new Map<ZoneName, RemoteTargets>();
     let fetches = 0;
     let failedFetches = 0;
     let skippedFetches = 0;
-    const lists = createTargetLists();
+    const joinedLists = createTargetLists();
 
-    const openZone = (zone: ZoneName): RemoteTargets => {
-        const known = remoteZones.get(zone);
-        if (known !== undefined) {
-            return known;
+    const getOrCreateZone = (zone: ZoneName): RemoteTargets => {
+        const existing = remoteZones.get(zone);
+        if (existing !== undefined) {
+            return existing;
         }
         const onFetched = (succeeded: boolean): void => {
             fetches += 1;
@@ -51,11 +57,11 @@
             skippedFetches += 1;
         };
         const probeZone = (): number | undefined => membership.probeZone(zone);
-        const opened = createRemoteTargets({
+        const created = createRemoteTargets({
             zone, fetchZone, probeZone, clock, random, options, onFetched, onSkipped,
         });
-        remoteZones.set(zone, opened);
-        return opened;
+        remoteZones.set(zone, created);
+        return created;
     };
 
     const targetsOf = (
@@ -63,16 +69,16 @@
         wantedZones: readonly ZoneName[] = zones(service),
     ): readonly TargetMember[] => {
         const key = formatServiceReference(service);
-        const own = wantedZones.includes(ownZone) ? [ownTargets.targetsOf(service)] : [];
+        const local = wantedZones.includes(localZone) ? [localTargets.targetsOf(service)] : [];
         const remote = wantedZones
-            .filter((zone) => zone !== ownZone)
-            .map((zone) => openZone(zone).targetsOf(service, key));
-        return lists.join(key, [...own, ...remote]);
+            .filter((zone) => zone !== localZone)
+            .map((zone) => getOrCreateZone(zone).targetsOf(service, key));
+        return joinedLists.join(key, [...local, ...remote]);
     };
 
-    // Subscribed for the membership's life; there is one directory to a membership.
-    membership.subscribeZoneDigests((heard) => {
-        remoteZones.get(heard.zone)?.hearDigest(heard);
+    // The subscription is never ended, because there is exactly one directory per membership.
+    membership.subscribeZoneDigests((digest) => {
+        remoteZones.get(digest.zone)?.hearDigest(digest);
     });
 
     const start = (signal: AbortSignal): void => {
@@ -97,8 +103,8 @@
     return {
         start,
         targetsOf,
-        answerZoneTargets: ownTargets.answer,
-        zoneDigest: ownTargets.zoneDigest,
+        answerZoneTargets: localTargets.answer,
+        zoneDigest: localTargets.zoneDigest,
         stats: () => ({
             fetches,
             failedFetches,
--- a/packages/oleandergap-membership/src/zoneDigests.ts
+++ b/packages/oleandergap-membership/src/zoneDigests.ts
@@ -1,34 +1,37 @@
 /**
- * Carries one digest over all targets of an availability zone to the nodes of the others, in the answers to contact
- * probes. A node that holds a zone's targets thereby learns for a few bytes whether they changed.
+ * Exchanges digests of all targets of an availability zone in the replies to contact probes. A node that holds the
+ * targets of a remote zone detects changes at the cost of a few bytes.
  */
 import type { ZoneName } from "oleandergap-types";
 import type { Unsubscribe } from "./membershipTypes.js";
 
-/** What a node of another availability zone said of its zone's targets. */
+/** Target digest of a remote availability zone, as sent by one of its nodes. */
 export interface ZoneDigest {
     readonly zone: ZoneName;
-    /** The probe that it answers, as returned by `probeZone`. */
+    /** Sequence number of the answered probe, as returned by `probeZone`. */
     readonly sequence: number;
     readonly digest: number;
 }
 
-export type ReceiveZoneDigest = (heard: ZoneDigest) => void;
+export type ReceiveZoneDigest = (digest: ZoneDigest) => void;
 
 export interface ZoneDigests {
-    /** Digest of the own availability zone's targets; undefined while this node cannot vouch for it. */
-    readonly own: () => number | undefined;
+    /**
+     * Returns the digest of the targets of the local availability zone, or undefined while the member list of this node
+     * is not yet complete enough.
+     */
+    readonly getLocal: () => number | undefined;
     readonly receive: ReceiveZoneDigest;
     readonly subscribe: (listener: ReceiveZoneDigest) => Unsubscribe;
 }
 
-export const createZoneDigests = (own: () => number | undefined): ZoneDigests => {
+export const createZoneDigests = (getLocal: () => number | undefined): ZoneDigests => {
     const listeners = new Set<ReceiveZoneDigest>();
     return {
-        own,
-        receive: (heard) => {
+        getLocal,
+        receive: (digest) => {
             for (const listener of listeners) {
-                listener(heard);
+                listener(digest);
             }
         },
         subscribe: (listener) => {
