--- a/packages/oleandergap-node/src/stopNode.ts
+++ b/packages/oleandergap-node/src/stopNode.ts
@@ -1,9 +1,10 @@
 /**
- * Stops a node, within a time that does not depend on what it waits for.
+ * Stops a node within a bounded time, regardless of the operations that it waits for.
  *
- * The platform kills a process that is still there at the end of its grace time, and with it the connections of all
- * callers whose answers have not left. So everything that a stop waits for, the store and other nodes above all, is
- * bounded by the time for draining as a whole; what is left then gets its final answer, and the process ends.
+ * The platform kills a process that is still running at the end of its grace period. This closes the connections of all
+ * callers that have not received their responses. Therefore, the drain timeout bounds everything that a stop waits for,
+ * in particular the store and other nodes. After it, the remaining requests receive a final response, and the process
+ * ends.
  */
 import { describeError, raceAbort, startTimeLimit } from "oleandergap-utils";
 import type { Milliseconds } from "oleandergap-types";
@@ -11,71 +12,74 @@
 import type { LifecycleDependencies } from "./nodeLifecycle.js";
 import { runStopStages } from "./stopStages.js";
 
-/** Time in which the final answers to what was given up reach their callers; several turns of a busy event loop. */
-const FINAL_ANSWERS_MS: Milliseconds = 150;
-/** Further time while callers are still without theirs, for a process that is behind with its events. */
-const LATE_ANSWERS_MS: Milliseconds = 250;
-/** Longest wait for connections to close; they close within a turn of the event loop or two. */
-const CLOSE_MS: Milliseconds = 100;
+/** Time for sending the final responses to abandoned requests: several iterations of a busy event loop. */
+const FINAL_RESPONSE_MS: Milliseconds = 150;
+/** Additional time if callers are still waiting for a final response because the event loop is behind. */
+const LATE_RESPONSE_MS: Milliseconds = 250;
+/** Maximum wait for connections to close. They usually close within one or two iterations of the event loop. */
+const MAX_CLOSE_MS: Milliseconds = 100;
 
-/** Longest time of a stop beyond `stop.drainTimeoutMs`. */
-export const STOP_END_MS: Milliseconds = FINAL_ANSWERS_MS + LATE_ANSWERS_MS + CLOSE_MS;
+/** Maximum time of a stop beyond `stop.drainTimeoutMs`. */
+export const STOP_END_MS: Milliseconds = FINAL_RESPONSE_MS + LATE_RESPONSE_MS + MAX_CLOSE_MS;
 
 const waitForGate = ({ requestPath }: LifecycleDependencies, signal: AbortSignal): Promise<void> =>
     raceAbort(requestPath.target.stop(), signal, () => undefined);
 
-/** A step that fails does not keep the later ones from what is still in flight. */
-const attempt = (
+/** Runs a step and logs its failure. A failed step must not prevent the later steps, as requests may be in flight. */
+const runStep = (
     { logger }: Pick<LifecycleDependencies, "logger">,
     name: string,
     step: () => Promise<void>,
 ): Promise<void> =>
     step().catch((error: unknown) => logger.error(`${name} failed.`, { detail: describeError(error) }));
 
-const tellOtherNodes = (dependencies: LifecycleDependencies): Promise<void> =>
-    attempt(dependencies, "Telling other nodes of the stop", dependencies.controlPlane.membership.leave);
+const announceLeave = (dependencies: LifecycleDependencies): Promise<void> =>
+    runStep(dependencies, "Announcing the stop to other nodes", dependencies.controlPlane.membership.leave);
 
-/** Serves on until callers and other nodes have turned elsewhere. */
-const serveOn = (dependencies: LifecycleDependencies, signal: AbortSignal): Promise<void> => {
+/** Keeps serving until callers and other nodes have switched to other nodes. */
+const serveWhileLeaving = (dependencies: LifecycleDependencies, signal: AbortSignal): Promise<void> => {
     const { options, clock, readiness, requestPath } = dependencies;
     return runStopStages(clock, options.stop, {
         hasSubstitute: requestPath.hasSubstitute,
-        closeGate: () => Promise.all([tellOtherNodes(dependencies), waitForGate(dependencies, signal)]),
+        closeGate: () => Promise.all([announceLeave(dependencies), waitForGate(dependencies, signal)]),
         refuseCallers: () => {
             readiness.refusing = true;
         },
-        knowsOwnTarget: requestPath.knowsOwnTarget,
+        canIdentifyLocalTarget: requestPath.canIdentifyLocalTarget,
     }, signal);
 };
 
-/** A node that has never been ready has refused everybody, so nobody has to be sent elsewhere. */
-const leaveUnserved = async (dependencies: LifecycleDependencies, signal: AbortSignal): Promise<void> => {
+/** Leaves without serving: a node that was never ready has refused all requests, so no caller has to switch. */
+const leaveBeforeReady = async (dependencies: LifecycleDependencies, signal: AbortSignal): Promise<void> => {
     const { options, clock } = dependencies;
-    await Promise.all([tellOtherNodes(dependencies), clock.sleep(options.stop.lingerMs, signal)]);
+    await Promise.all([announceLeave(dependencies), clock.sleep(options.stop.lingerMs, signal)]);
 };
 
-/** Resolves when nothing is left in flight. */
+/** Drains the node. Resolves when no request is in flight. */
 const drainNode = async (
     dependencies: LifecycleDependencies,
     listeners: NodeListeners,
     signal: AbortSignal,
 ): Promise<void> => {
     const { readiness, requestPath } = dependencies;
-    await (readiness.recovered ? serveOn : leaveUnserved)(dependencies, signal);
+    await (readiness.recovered ? serveWhileLeaving : leaveBeforeReady)(dependencies, signal);
     await Promise.all([listeners.gateway.drain(0, signal), listeners.gate.drain(0, signal)]);
-    await attempt(dependencies, "Handing keys over", () => requestPath.claims.leave(signal));
-    await attempt(dependencies, "Recording outcomes", () => requestPath.claims.drain(signal));
+    await runStep(dependencies, "Handing over keys", () => requestPath.claims.leave(signal));
+    await runStep(dependencies, "Recording outcomes", () => requestPath.claims.drain(signal));
 };
 
-/** Cut off without a word, a caller could not tell whether its request ran, nor when to come back. */
-const giveUpRest = async (
+/**
+ * Abandons the remaining requests with a final response. If the connection were just closed, a caller would not know
+ * whether its request ran or when to retry.
+ */
+const abandonRemaining = async (
     { clock, logger, requestPath, signal }: LifecycleDependencies,
     listeners: NodeListeners,
 ): Promise<void> => {
-    logger.warn("The time for draining is over; what is left is given up.");
-    requestPath.giveUpAll();
-    await clock.sleep(FINAL_ANSWERS_MS, signal);
-    const late = startTimeLimit(clock, LATE_ANSWERS_MS, signal);
+    logger.warn("The drain timeout has passed; the remaining requests are abandoned.");
+    requestPath.abandonAll();
+    await clock.sleep(FINAL_RESPONSE_MS, signal);
+    const late = startTimeLimit(clock, LATE_RESPONSE_MS, signal);
     await listeners.gateway.drain(0, late.signal);
     late.cancel();
 };
@@ -84,21 +88,21 @@
     const { clock, controlPlane, requestPath, signal } = dependencies;
     destroyListeners(listeners);
     controlPlane.peers.close();
-    const closed = attempt(dependencies, "Closing connections", requestPath.pools.destroy);
-    await Promise.race([closed, clock.sleep(CLOSE_MS, signal)]);
+    const closed = runStep(dependencies, "Closing connections", requestPath.pools.destroy);
+    await Promise.race([closed, clock.sleep(MAX_CLOSE_MS, signal)]);
 };
 
-/** Resolves when the process may end: `STOP_END_MS` after the time for draining at the latest. */
+/** Stops the node. Resolves when the process may end, at most `STOP_END_MS` after the drain timeout. */
 export const stopNode = async (dependencies: LifecycleDependencies, listeners: NodeListeners): Promise<void> => {
     const { options, clock, readiness, signal } = dependencies;
-    // Aborts when the time for draining is over or everything is to end at once.
+    // The limit's signal aborts at the drain timeout, or when `signal` aborts to stop everything immediately.
     const limit = startTimeLimit(clock, options.stop.drainTimeoutMs, signal);
     readiness.draining = true;
     listeners.gateway.announceClose();
-    // Not all that the steps wait for keeps to the signal, such as a call to a store that is silent.
+    // Some operations do not react to the signal, such as a call to a store that does not respond.
     await raceAbort(drainNode(dependencies, listeners, limit.signal), limit.signal, () => undefined);
     if (limit.hasPassed()) {
-        await giveUpRest(dependencies, listeners);
+        await abandonRemaining(dependencies, listeners);
     }
     limit.cancel();
     await closeConnections(dependencies, listeners);
--- a/packages/oleandergap-node/src/stopStages.ts
+++ b/packages/oleandergap-node/src/stopStages.ts
@@ -1,50 +1,53 @@
 /**
- * The order in which a stopping node stops to serve.
+ * The order in which the parts of a stopping node stop serving.
  *
- * Callers go on coming until they have been told twice that the node is not ready, and the target beside a node that
- * restarts lives on. A gate that closed with the signal to stop would leave that target idle for as long as callers are
- * still accepted: of a service with four targets, a quarter of the capacity is gone for these seconds at each restart,
- * and one would see the other targets refuse requests. The gate therefore closes later, just early enough that what it
- * let in is through when the callers are sent away.
+ * Callers keep sending requests until two readiness checks have reported that the node is not ready. The target on the
+ * VM keeps running when its node restarts. If the gate closed at the stop signal, that target would be idle while
+ * callers are still accepted. A service with four targets would lose a quarter of its capacity for these seconds at
+ * each restart, and the other targets would refuse requests. The gate therefore closes later, but early enough that the
+ * admitted requests have finished when callers are refused.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { NodeOptions } from "./options.js";
 
-/** Distance of two looks for another target. */
-const LOOK_INTERVAL_MS: Milliseconds = 50;
+/** Interval between two checks for another target. */
+const POLL_INTERVAL_MS: Milliseconds = 50;
 
-/** What closes at each stage. */
+/** The actions of the stages, and the conditions for them. */
 export interface StopStages {
-    /** Whether another target of the own target's service takes requests, or there is none to replace. */
+    /** Returns whether another target of the local target's service accepts requests, or there is no local target. */
     readonly hasSubstitute: () => boolean;
-    /** Tells the other nodes, and resolves when the gate is empty or the time for that is over. */
+    /** Announces the stop to other nodes and closes the gate. Resolves when the gate is empty or the time is over. */
     readonly closeGate: () => Promise<unknown>;
-    /** From now on callers are refused. */
+    /** Starts to refuse requests from callers. */
     readonly refuseCallers: () => void;
     /**
-     * Whether requests of the own target are known from those of callers, and accepted to the end. If not, callers are
-     * refused only once the gate is empty: refused with them, the calls of what still runs there would fail its runs.
-     * They are refused after `serveLongestMs` in any case: what is let in later might be cut off with the process.
+     * Whether the gateway can distinguish requests from the local target from those of other callers, so that it
+     * accepts the target's requests until the end. If not, callers are refused only when the gate is empty. Otherwise,
+     * the calls of requests that are still running at the target would be refused too, and these requests would fail.
+     * Callers are refused after `serveLongestMs` in any case, because requests accepted later might be interrupted with
+     * the process.
      */
-    readonly knowsOwnTarget: boolean;
+    readonly canIdentifyLocalTarget: boolean;
 }
 
-/** Resolves when the last stage is over; sooner when `signal` aborts. */
+/** Runs the stages. Resolves when the last stage is over, or earlier if `signal` aborts. */
 export const runStopStages = async (
     clock: Clock,
     { serveMs, serveLongestMs, acceptMs, lingerMs }: NodeOptions["stop"],
-    { hasSubstitute, closeGate, refuseCallers, knowsOwnTarget }: StopStages,
+    { hasSubstitute, closeGate, refuseCallers, canIdentifyLocalTarget }: StopStages,
     signal: AbortSignal,
 ): Promise<void> => {
     const startedAt = clock.monotonic();
 
     /**
-     * Nodes that restart one after the other may overlap. If each closed after the same time, the gates of all targets
-     * of a small service could be closed at once; one would see all its requests refused for a second or two.
+     * Waits until another target accepts requests. The restarts of several nodes in sequence may overlap. If each node
+     * closed its gate after the same time, the gates of all targets of a small service could be closed at the same
+     * time, and all its requests would be refused for one or two seconds.
      */
     const waitForSubstitute = async (): Promise<void> => {
         while (!hasSubstitute() && clock.monotonic() - startedAt < serveLongestMs && !signal.aborted) {
-            await clock.sleep(LOOK_INTERVAL_MS, signal);
+            await clock.sleep(POLL_INTERVAL_MS, signal);
         }
     };
 
@@ -55,7 +58,7 @@
     };
     const closeGateway = async (targetClosed: Promise<void>): Promise<void> => {
         await clock.sleep(acceptMs, signal);
-        if (!knowsOwnTarget) {
+        if (!canIdentifyLocalTarget) {
             const left = Math.max(0, serveLongestMs - (clock.monotonic() - startedAt));
             await Promise.race([targetClosed, clock.sleep(left, signal)]);
         }
--- a/packages/oleandergap-node/src/target/expiry.ts
+++ b/packages/oleandergap-node/src/target/expiry.ts
@@ -1,29 +1,29 @@
-/** Notices that heartbeats stay away. */
+/** Detects missing heartbeats. */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 
-/** Runs from one heartbeat to the next. */
-export interface Expiry {
-    /** A heartbeat came; the time starts anew. */
-    readonly arm: () => void;
+/** A timer that each heartbeat restarts. */
+export interface HeartbeatTimer {
+    /** Restarts the timer. Called at each heartbeat. */
+    readonly restart: () => void;
     readonly cancel: () => void;
 }
 
 /**
- * Calls `onExpired` once `timeoutMs` have passed without a heartbeat.
+ * Creates a timer that calls `onExpired` when `timeoutMs` have passed without a heartbeat.
  *
- * When this process itself was frozen, the timer fires before the heartbeats that have piled up are read. A late timer
- * is therefore no proof; the target gets as much time again.
+ * After this process was frozen, the timer fires before the heartbeats that have arrived meanwhile are read. A timer
+ * that fires late therefore does not prove that the target is gone, and the full timeout starts again.
  */
-export const createExpiry = (clock: Clock, timeoutMs: Milliseconds, onExpired: () => void): Expiry => {
+export const createHeartbeatTimer = (clock: Clock, timeoutMs: Milliseconds, onExpired: () => void): HeartbeatTimer => {
     let cancelTimer: CancelTimer = () => undefined;
 
-    const arm = (): void => {
+    const restart = (): void => {
         cancelTimer();
         const due = clock.monotonic() + timeoutMs;
         cancelTimer = clock.after(timeoutMs, () => {
             const isLate = clock.monotonic() - due > timeoutMs / 2;
             if (isLate) {
-                arm();
+                restart();
             }
             else {
                 onExpired();
@@ -31,5 +31,5 @@
         });
     };
 
-    return { arm, cancel: () => cancelTimer() };
+    return { restart: restart, cancel: () => cancelTimer() };
 };
--- a/packages/oleandergap-node/src/target/lifetimes.ts
+++ b/packages/oleandergap-node/src/target/lifetimes.ts
@@ -1,11 +1,14 @@
-/** Tells the announcements of a target's present lifetime from late ones. */
+/**
+ * Distinguishes announcements of a target's current lifetime from outdated ones. A lifetime is the time from the start
+ * of a target's process to its end.
+ */
 import type { Announcement, Milliseconds } from "oleandergap-types";
 
-/** Lifetimes that are remembered; a VM sees a few of them a day. */
-const MAX_REMEMBERED = 64;
+/** Maximum number of lifetimes that are stored. A VM has a few of them a day. */
+const MAX_LIFETIMES = 64;
 
 interface Lifetime {
-    /** Unix time of its start; undefined while it has not said. */
+    /** Unix time of the start of the process; undefined while no announcement has contained it. */
     bornAt: Milliseconds | undefined;
     lastSequence: number;
     isEnded: boolean;
@@ -13,48 +16,54 @@
 
 const startLifetime = (bornAt: Milliseconds | undefined): Lifetime => ({ bornAt, lastSequence: -1, isEnded: false });
 
-/** What was heard of the lifetimes of a VM's targets. */
+/** The known lifetimes of the targets on a VM. */
 export interface Lifetimes {
-    /** False for an announcement of a lifetime that has ended, and for one that a later one has overtaken. */
+    /**
+     * Returns false if the announcement belongs to an ended or former lifetime, or if a later announcement of the same
+     * lifetime has already arrived.
+     */
     readonly accept: (announcement: Announcement) => boolean;
     /**
-     * The lifetime said goodbye; whatever still arrives of it is late. False for the goodbye of a former lifetime.
+     * Ends a lifetime whose target has withdrawn. Later announcements of that lifetime are outdated. Returns false if
+     * the withdrawal belongs to a former lifetime.
      *
-     * @param bornAt Unix time of its start; undefined when it does not say
+     * @param bornAt Unix time of the start of the process; undefined if the withdrawal does not contain it
      */
     readonly end: (instanceId: string, bornAt?: Milliseconds) => boolean;
 }
 
 /**
- * An announcement can be held up on its way and arrive after its target has left, or after another one has taken its
- * address. Believed, it would revive a target that is gone, or put a former one in the place of the present one; one
- * would see requests refused by the target for as long as the next announcement takes. A target that starts again under
- * its name counts from the beginning; without the time of its start, all that it says would be taken for late, and one
- * would see no request reach it until its count has caught up.
+ * Creates an empty record of lifetimes.
+ *
+ * An announcement can be delayed and arrive after its target has left, or after another target has taken over the
+ * address. If it were accepted, it would restore a target that is gone or replace the current target by a former one,
+ * and the target would refuse requests until the next announcement. A target that restarts with the same instance id
+ * starts its sequence numbers from the beginning. Without the start time, all its announcements would be treated as
+ * outdated, and no request would reach it until its sequence number has caught up.
  */
 export const createLifetimes = (): Lifetimes => {
-    const known = new Map<string, Lifetime>();
+    const lifetimesById = new Map<string, Lifetime>();
 
-    /** The newest lifetime of this name; undefined when the one that speaks is a former one. */
+    /** Returns the latest lifetime with this instance id; undefined if the message belongs to a former lifetime. */
     const findLifetime = (instanceId: string, bornAt: Milliseconds | undefined): Lifetime | undefined => {
-        const last = known.get(instanceId);
-        const lastBornAt = last?.bornAt;
-        if (bornAt !== undefined && lastBornAt !== undefined && bornAt < lastBornAt) {
+        const latest = lifetimesById.get(instanceId);
+        const latestBornAt = latest?.bornAt;
+        if (bornAt !== undefined && latestBornAt !== undefined && bornAt < latestBornAt) {
             return undefined;
         }
-        const isNew = bornAt !== undefined && lastBornAt !== undefined && bornAt > lastBornAt;
-        const lifetime = last === undefined || isNew ? startLifetime(bornAt) : last;
+        const isNew = bornAt !== undefined && latestBornAt !== undefined && bornAt > latestBornAt;
+        const lifetime = latest === undefined || isNew ? startLifetime(bornAt) : latest;
         lifetime.bornAt ??= bornAt;
-        remember(instanceId, lifetime);
+        storeLifetime(instanceId, lifetime);
         return lifetime;
     };
 
-    const remember = (instanceId: string, lifetime: Lifetime): void => {
-        known.delete(instanceId);
-        known.set(instanceId, lifetime);
-        const [oldest] = known.keys();
-        if (known.size > MAX_REMEMBERED && oldest !== undefined) {
-            known.delete(oldest);
+    const storeLifetime = (instanceId: string, lifetime: Lifetime): void => {
+        lifetimesById.delete(instanceId);
+        lifetimesById.set(instanceId, lifetime);
+        const [oldest] = lifetimesById.keys();
+        if (lifetimesById.size > MAX_LIFETIMES && oldest !== undefined) {
+            lifetimesById.delete(oldest);
         }
     };
 
@@ -64,9 +73,9 @@
                 return true;
             }
             const lifetime = findLifetime(instanceId, bornAt);
-            const isLate = lifetime === undefined || lifetime.isEnded ||
+            const isOutdated = lifetime === undefined || lifetime.isEnded ||
                 (sequence !== undefined && sequence <= lifetime.lastSequence);
-            if (isLate) {
+            if (isOutdated) {
                 return false;
             }
             lifetime.lastSequence = sequence ?? lifetime.lastSequence;
--- a/packages/oleandergap-node/src/target/ownService.ts
+++ b/packages/oleandergap-node/src/target/ownService.ts
@@ -1,35 +1,35 @@
-/** What a node knows of the service of its own target, by the table and by what other nodes tell. */
+/** The service of the local target, according to the configuration table and the target directory. */
 import type { NodeId, ServiceReference, ServiceRow, TableView } from "oleandergap-types";
 import { listOwners } from "../gateway/ownerRouting.js";
 import { listServingZones } from "../gateway/targetLookup.js";
 import type { RequestPath, RequestPathDependencies } from "../requestPathTypes.js";
 import type { TargetKeeper } from "./targetKeeper.js";
 
-/** The table's row of a service; undefined when it has none. */
-export const findRow = (view: TableView, { partner, service }: ServiceReference): ServiceRow | undefined =>
+/** Returns the table's row of a service; undefined if the table has no such row. */
+export const findServiceRow = (view: TableView, { partner, service }: ServiceReference): ServiceRow | undefined =>
     view.get(partner)?.services.get(service);
 
-/** The service of the own target, and the nodes that serve it as well. */
-export interface OwnService {
-    /** Empty while there is no target. */
+/** The service of the local target, and the nodes whose targets provide it. */
+export interface LocalService {
+    /** Returns the service of the local target; empty while there is no target. */
     readonly services: () => readonly ServiceReference[];
-    /** Nodes whose targets of a service take requests. */
+    /** Returns the nodes whose targets accept requests for a service. */
     readonly listMembers: (service: ServiceReference) => readonly NodeId[];
     readonly hasSubstitute: RequestPath["hasSubstitute"];
 }
 
-/** The service of `target`, whatever it is at the time of a question. */
-export const createOwnService = (
+/** Creates a view of the local target's service. Each call reads the target that is current at that time. */
+export const createLocalService = (
     { options, view, directory }: RequestPathDependencies,
     target: TargetKeeper,
-): OwnService => {
-    const services: OwnService["services"] = () => {
+): LocalService => {
+    const services: LocalService["services"] = () => {
         const announcement = target.current()?.announcement;
         return announcement === undefined ? [] : [{ partner: announcement.partner, service: announcement.service }];
     };
-    const listMembers: OwnService["listMembers"] = (service) => {
+    const listMembers: LocalService["listMembers"] = (service) => {
         const table = view().get(service.partner);
-        const row = findRow(view(), service);
+        const row = findServiceRow(view(), service);
         return table === undefined || row === undefined ?
             [] :
             listOwners(directory.targetsOf(service, listServingZones(table, row)));
@@ -39,7 +39,7 @@
     return { services, listMembers, hasSubstitute };
 };
 
-/** The service of the caller at an address, as far as it is known. */
+/** Creates the lookup of a caller's service by the caller's address; the result is undefined if it is unknown. */
 export const createCallerLookup = (
     { callerService }: RequestPathDependencies,
     target: TargetKeeper,
--- a/packages/oleandergap-node/src/target/targetKeeper.ts
+++ b/packages/oleandergap-node/src/target/targetKeeper.ts
@@ -1,8 +1,9 @@
 /**
- * The target on this node's VM: what it announced, its gate, and whether it is still there.
+ * Manages the target on this node's VM: its announcement, its gate and its liveness.
  *
- * A target repeats its announcement as a heartbeat. When it stays away, it is taken for gone: otherwise other nodes
- * would go on sending requests to a VM without a target, and one would see failed connections until they give it up.
+ * A target repeats its announcement as a heartbeat. If heartbeats are missing, the target is removed. Otherwise, other
+ * nodes would keep sending requests to a VM without a target, and the connections would fail until those nodes eject
+ * it.
  */
 import type { Gate } from "oleandergap-gate";
 import type { LogContext, Logger } from "oleandergap-logger";
@@ -14,7 +15,7 @@
     Milliseconds,
     ServiceReference,
 } from "oleandergap-types";
-import { createExpiry } from "./expiry.js";
+import { createHeartbeatTimer } from "./expiry.js";
 import { createLifetimes } from "./lifetimes.js";
 
 /** The target together with the gate in front of it. */
@@ -24,43 +25,53 @@
     /** Wall-clock time of the first announcement. */
     readonly since: Milliseconds;
     readonly leaving: boolean;
-    /** The gate of the target before it, if that one went without a word. */
-    readonly succeeds: Gate | undefined;
+    /** Gate of the previous target, if that target disappeared without leaving; undefined otherwise. */
+    readonly predecessorGate: Gate | undefined;
 }
 
 export interface TargetKeeperDependencies {
     readonly clock: Clock;
     readonly logger: Logger;
-    /** Tells the other nodes. */
+    /** Publishes the target to other nodes; undefined if there is none. */
     readonly publish: (target: MemberTarget | undefined) => void;
-    /** The limit of a service's row, or undefined when the table has no such row. */
+    /** Returns the limit from a service's row; undefined if the table has no such row. */
     readonly limitOf: (service: ServiceReference) => Limit | undefined;
     readonly createGate: (limit: Limit, slots: number) => Gate;
-    /** A target that stays away for so long is gone. */
+    /** Time without a heartbeat after which the target is removed. */
     readonly heartbeatTimeoutMs: Milliseconds;
-    /** Requests that still wait this long after their target began to leave, or their node to stop, are refused. */
+    /**
+     * Requests that still wait this long after their target starts to leave, or their node starts to stop, are refused.
+     */
     readonly leavingQueueMs: Milliseconds;
-    /** Time over which other nodes raise the share of a new target; see `PickerOptions`. */
+    /** Time over which other nodes increase the share of requests for a new target; see `PickerOptions`. */
     readonly slowStartMs: Milliseconds;
 }
 
 export interface TargetKeeper {
-    /** Takes an announcement or its repetition. */
+    /** Handles an announcement or a heartbeat that repeats it. */
     readonly announce: (announcement: Announcement) => void;
-    /** The target is gone; with `instanceId` and `bornAt` (Unix time), only if it is that lifetime of it. */
+    /**
+     * Removes the target. If `instanceId` and `bornAt` (Unix time) are given, only if they match the current lifetime.
+     */
     readonly withdraw: (instanceId?: string, bornAt?: Milliseconds) => void;
-    /** The process behind `gate` has ended: what waits is refused at once. Its next announcement brings it back. */
+    /**
+     * Removes the target of `gate` because its process has ended. Waiting requests are refused immediately. The next
+     * announcement adds the target again.
+     */
     readonly lose: (gate: Gate) => void;
     readonly current: () => LocalTarget | undefined;
-    /** Takes changed limits of the table into force. */
+    /** Applies the current limit from the table to the gate. */
     readonly refreshLimit: () => void;
-    /** Lets the target leave on behalf of an operator; false when it is not the target of `service`. */
+    /** Starts to drain the target on behalf of an operator. Returns false if it is not a target of `service`. */
     readonly drain: (service: ServiceReference) => boolean;
-    /** Stops to admit requests, refuses before long what waits, and resolves when those in flight are through. */
+    /**
+     * Stops admitting requests, refuses requests that still wait after `leavingQueueMs`, and resolves when the requests
+     * in flight have finished.
+     */
     readonly stop: () => Promise<void>;
 }
 
-/** Limits of a service without a row: no request is let through. */
+/** Limit for a service without a row in the table: no request is admitted. */
 const CLOSED_LIMIT: Limit = { concurrency: 1, queue: 0, timeoutMs: 1, retryRatio: 0 };
 
 const describeTarget = ({ partner, service, port, instanceId }: Announcement): LogContext =>
@@ -74,7 +85,7 @@
     since,
 });
 
-const serves = ({ announcement }: LocalTarget, { partner, service }: ServiceReference): boolean =>
+const isTargetOfService = ({ announcement }: LocalTarget, { partner, service }: ServiceReference): boolean =>
     announcement.partner === partner && announcement.service === service;
 
 const isSameTarget = (left: Announcement, right: Announcement): boolean =>
@@ -86,10 +97,11 @@
     left.bornAt === right.bornAt;
 
 /**
- * An announcement of a service that no table names may come from a writer of another kind. If it took the place of a
- * target that serves, one would see that target's share refused although it is well.
+ * Returns whether an announcement names a service that is not in any table, while the current target's service is. Such
+ * an announcement may come from a foreign writer. If it replaced the current target, requests for a healthy target
+ * would be refused.
  */
-const isForeign = (
+const isUnknownServiceBesideTarget = (
     target: LocalTarget | undefined,
     announcement: Announcement,
     limitOf: TargetKeeperDependencies["limitOf"],
@@ -97,8 +109,9 @@
     target !== undefined && limitOf(target.announcement) !== undefined && limitOf(announcement) === undefined;
 
 /**
- * A node that restarts meets a target that has long been warm. Taken for new, it would get the small share of a cold
- * one for the whole slow start, and the others its load.
+ * Estimates when the target started. After a restart of the node, its target may have been warm for a long time. If it
+ * counted as new, it would receive the reduced share of a cold target during the whole slow start, and other targets
+ * would receive its load.
  */
 const estimateStart = (
     { clock, slowStartMs }: TargetKeeperDependencies,
@@ -106,9 +119,10 @@
 ): Milliseconds => clock.now() - (coldLeftMs === undefined ? 0 : Math.max(0, slowStartMs - coldLeftMs));
 
 /**
- * What runs finishes. What waits has a short time to start: a target may be gone soon after it said so, and a request
- * that it received in its last moments would be lost. At a gate whose node stops, a long queue would take all the time
- * for draining, at the end of which what still runs is given up.
+ * Drains the gate. Running requests finish. Waiting requests have a short time to start: a target may end soon after it
+ * has announced that it leaves, and a request that it received at the last moment would be lost. At a gate whose node
+ * stops, a long queue would use up the whole drain timeout, after which the requests that are still running are
+ * abandoned.
  */
 const closeGate = ({ clock, leavingQueueMs }: TargetKeeperDependencies, gate: Gate): void => {
     void gate.drain();
@@ -117,7 +131,8 @@
 
 const applyLimit = ({ limitOf }: TargetKeeperDependencies, { announcement, gate }: LocalTarget): void => {
     const limit = limitOf(announcement);
-    // The gate admits no more than the target has connections, so that an admitted request never waits for one.
+    // The gate never admits more requests than the target accepts connections, so an admitted request never waits for a
+    // connection.
     const slots = Math.min(announcement.slots, announcement.connections);
     gate.setLimit(limit ?? CLOSED_LIMIT, limit === undefined ? 0 : slots);
 };
@@ -125,11 +140,11 @@
 export const createTargetKeeper = (dependencies: TargetKeeperDependencies): TargetKeeper => {
     const { clock, logger } = dependencies;
     let target: LocalTarget | undefined;
-    let stopping = false;
-    /** The gate of the last target, if it has gone without a word. */
-    let silentlyGone: Gate | undefined;
+    let isStopping = false;
+    /** Gate of the last target, if that target disappeared without leaving. */
+    let disappearedGate: Gate | undefined;
     const lifetimes = createLifetimes();
-    const expiry = createExpiry(clock, dependencies.heartbeatTimeoutMs, () => removeTarget());
+    const heartbeatTimer = createHeartbeatTimer(clock, dependencies.heartbeatTimeoutMs, () => removeTarget());
 
     const publish = (): void => {
         dependencies.publish(target && toMemberTarget(target));
@@ -138,16 +153,16 @@
     const startLeaving = (local: LocalTarget): void => {
         target = { ...local, leaving: true };
         publish();
-        logger.info("The target leaves.", { ...describeTarget(local.announcement) });
+        logger.info("The target is leaving.", { ...describeTarget(local.announcement) });
         closeGate(dependencies, local.gate);
     };
 
     const removeTarget = (): void => {
-        expiry.cancel();
+        heartbeatTimer.cancel();
         if (target !== undefined) {
-            logger.info("The target is gone.", { ...describeTarget(target.announcement) });
+            logger.info("The target was removed.", { ...describeTarget(target.announcement) });
             closeGate(dependencies, target.gate);
-            silentlyGone = target.leaving ? undefined : target.gate;
+            disappearedGate = target.leaving ? undefined : target.gate;
             target = undefined;
             publish();
         }
@@ -155,22 +170,22 @@
 
     const withdraw: TargetKeeper["withdraw"] = (instanceId, bornAt) => {
         if (instanceId !== undefined && !lifetimes.end(instanceId, bornAt)) {
-            logger.info("A goodbye of a former lifetime is late.", { instance: instanceId, bornAt });
+            logger.info("Ignored the withdrawal of a former target lifetime.", { instance: instanceId, bornAt });
             return;
         }
         if (instanceId === undefined || target?.announcement.instanceId === instanceId) {
             removeTarget();
-            silentlyGone = undefined;
+            disappearedGate = undefined;
         }
     };
 
     const install = (announcement: Announcement): void => {
         const gate = dependencies.createGate(CLOSED_LIMIT, 0);
         const since = estimateStart(dependencies, announcement);
-        target = { announcement, gate, since, leaving: false, succeeds: silentlyGone };
+        target = { announcement, gate, since, leaving: false, predecessorGate: disappearedGate };
         applyLimit(dependencies, target);
         publish();
-        logger.info("A target announced itself.", { ...describeTarget(announcement) });
+        logger.info("A target was announced.", { ...describeTarget(announcement) });
     };
 
     const update = (local: LocalTarget, announcement: Announcement): void => {
@@ -187,24 +202,24 @@
     };
 
     const announce = (announcement: Announcement): void => {
-        if (stopping) {
+        if (isStopping) {
             return;
         }
-        if (isForeign(target, announcement, dependencies.limitOf)) {
-            logger.warn("An announcement names an unknown service.", { ...describeTarget(announcement) });
+        if (isUnknownServiceBesideTarget(target, announcement, dependencies.limitOf)) {
+            logger.warn("Ignored an announcement of an unknown service.", { ...describeTarget(announcement) });
             return;
         }
         if (!lifetimes.accept(announcement)) {
             return;
         }
-        expiry.arm();
+        heartbeatTimer.restart();
         if (target !== undefined && isSameTarget(target.announcement, announcement)) {
             update(target, announcement);
             return;
         }
         if (target !== undefined) {
             removeTarget();
-            expiry.arm();
+            heartbeatTimer.restart();
         }
         install(announcement);
         if (announcement.leaving && target !== undefined) {
@@ -213,7 +228,7 @@
     };
 
     const drain = (service: ServiceReference): boolean => {
-        if (target === undefined || !serves(target, service)) {
+        if (target === undefined || !isTargetOfService(target, service)) {
             return false;
         }
         if (!target.leaving) {
@@ -241,8 +256,8 @@
             }
         },
         stop: async () => {
-            stopping = true;
-            expiry.cancel();
+            isStopping = true;
+            heartbeatTimer.cancel();
             if (target !== undefined) {
                 const { gate } = target;
                 closeGate(dependencies, gate);
