--- a/packages/oleandergap-node/src/__tests__/crashModel.test.ts
+++ b/packages/oleandergap-node/src/__tests__/crashModel.test.ts
@@ -1,17 +1,17 @@
 import { expect } from "chai";
-import { playCrashes, type CrashOutcome, type CrashSchedule } from "./crashModel.js";
+import { simulateCrashes, type CrashOutcome, type CrashScenario } from "./crashModel.js";
 
-/** A hunt by hand plays more: `CRASH_SCHEDULES=1000 npx mocha --grep "schedules of crashes"`. */
-const SCHEDULES = Number(process.env["CRASH_SCHEDULES"] ?? 40);
+/** Number of seeds. More can be run manually: `CRASH_SCHEDULES=1000 npx mocha --grep "schedules of crashes"`. */
+const SCENARIO_COUNT = Number(process.env["CRASH_SCHEDULES"] ?? 40);
 const FIRST_SEED = Number(process.env["CRASH_FIRST_SEED"] ?? 1);
-const NAIVE_SCHEDULES = 40;
-const SENDS_ALLOWED = 3;
-const TIME_LIMIT = 600_000;
+const NAIVE_SCENARIO_COUNT = 40;
+const MAX_CRASH_RUNS = 3;
+const TIMEOUT_MS = 600_000;
 
-const playAll = async (count: number, variant: Omit<CrashSchedule, "seed">): Promise<readonly CrashOutcome[]> => {
+const simulateAll = async (count: number, variant: Omit<CrashScenario, "seed">): Promise<readonly CrashOutcome[]> => {
     const outcomes: CrashOutcome[] = [];
     for (let seed = FIRST_SEED; seed < FIRST_SEED + count; seed++) {
-        outcomes.push(await playCrashes({ ...variant, seed }));
+        outcomes.push(await simulateCrashes({ ...variant, seed }));
     }
     return outcomes;
 };
@@ -22,30 +22,35 @@
 ): readonly number[] =>
     outcomes.flatMap((outcome, index) => isFaulty(outcome) ? [FIRST_SEED + index] : []);
 
-describe("random schedules of crashes", () => {
-    it("reach targets at most three times later, and blame nobody else", async () => {
-        const outcomes = await playAll(SCHEDULES, {});
+describe("containment under random schedules of crashes", () => {
+    it("limits late runs of the crashing request to three, and refuses no harmless request", async () => {
+        const outcomes = await simulateAll(SCENARIO_COUNT, {});
 
-        expect(listSeeds(outcomes, ({ runsLater }) => runsLater > SENDS_ALLOWED), "runs later").to.deep.equal([]);
-        expect(listSeeds(outcomes, ({ blamed }) => blamed > 0), "blame").to.deep.equal([]);
-        expect(outcomes.some(({ crashes }) => crashes >= SENDS_ALLOWED)).to.equal(true);
-    }).timeout(TIME_LIMIT);
+        expect(listSeeds(outcomes, ({ lateCrashRuns }) => lateCrashRuns > MAX_CRASH_RUNS), "late crash runs")
+            .to.deep.equal([]);
+        expect(listSeeds(outcomes, ({ harmlessRefused }) => harmlessRefused > 0), "refused harmless requests")
+            .to.deep.equal([]);
+        expect(outcomes.some(({ crashes }) => crashes >= MAX_CRASH_RUNS)).to.equal(true);
+    }).timeout(TIMEOUT_MS);
 
-    it("blame nobody when targets crash of themselves", async () => {
-        const outcomes = await playAll(SCHEDULES, { selfCrashes: true });
+    it("refuses no harmless request when targets crash spontaneously", async () => {
+        const outcomes = await simulateAll(SCENARIO_COUNT, { hasSpontaneousCrashes: true });
 
-        expect(listSeeds(outcomes, ({ blamed }) => blamed > 0)).to.deep.equal([]);
-    }).timeout(TIME_LIMIT);
+        expect(listSeeds(outcomes, ({ harmlessRefused }) => harmlessRefused > 0)).to.deep.equal([]);
+    }).timeout(TIMEOUT_MS);
 
-    it("go on without end where each node counts alone", async () => {
-        const outcomes = await playAll(NAIVE_SCHEDULES, { isMute: true });
+    it("exceeds the limit of late runs if nodes do not share their evidence", async () => {
+        const outcomes = await simulateAll(NAIVE_SCENARIO_COUNT, { sharesNoEvidence: true });
 
-        expect(listSeeds(outcomes, ({ runsLater }) => runsLater > SENDS_ALLOWED)).to.not.deep.equal([]);
-    }).timeout(TIME_LIMIT);
+        expect(listSeeds(outcomes, ({ lateCrashRuns }) => lateCrashRuns > MAX_CRASH_RUNS)).to.not.deep.equal([]);
+    }).timeout(TIMEOUT_MS);
 
-    it("have harmless requests refused where whatever ran is blamed", async () => {
-        const outcomes = await playAll(NAIVE_SCHEDULES, { blamesAll: true, selfCrashes: true });
+    it("refuses harmless requests if successful runs do not clear them", async () => {
+        const outcomes = await simulateAll(NAIVE_SCENARIO_COUNT, {
+            ignoresGoodRuns: true,
+            hasSpontaneousCrashes: true,
+        });
 
-        expect(listSeeds(outcomes, ({ blamed }) => blamed > 0)).to.not.deep.equal([]);
-    }).timeout(TIME_LIMIT);
+        expect(listSeeds(outcomes, ({ harmlessRefused }) => harmlessRefused > 0)).to.not.deep.equal([]);
+    }).timeout(TIMEOUT_MS);
 });
--- a/packages/oleandergap-node/src/__tests__/crashModel.ts
+++ b/packages/oleandergap-node/src/__tests__/crashModel.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet in virtual time whose targets crash under some requests: the real decisions of gateways and gates on either
- * side, a network in memory, and targets that take time, have slots and come back.
+ * Simulation of a fleet in virtual time whose targets crash when they run certain requests. Gateways and gates use the
+ * production code for their decisions. The network is in memory, and the simulated targets have run times and slots and
+ * restart after a crash.
  */
 import * as either from "fp-ts/lib/Either.js";
 import {
@@ -29,167 +30,179 @@
 import { fingerprintRequest } from "../http/requestFingerprint.js";
 import type { LocalTarget } from "../target/targetKeeper.js";
 
-/** What a schedule draws. */
-export interface CrashSchedule {
+/** Parameters of a simulation. */
+export interface CrashScenario {
     readonly seed: number;
-    /** Nodes keep what they see to themselves. */
-    readonly isMute?: boolean;
-    /** Good runs are not taken for anything. */
-    readonly blamesAll?: boolean;
-    /** Targets that end of themselves a second, and no request that ends them. */
-    readonly selfCrashes?: boolean;
+    /** Nodes send no evidence to other nodes. */
+    readonly sharesNoEvidence?: boolean;
+    /** Successful runs do not clear a request of suspicion. */
+    readonly ignoresGoodRuns?: boolean;
+    /** One target per second crashes spontaneously, and no request crashes targets. */
+    readonly hasSpontaneousCrashes?: boolean;
 }
 
-/** What a schedule came to. */
+/** Result of a simulation. */
 export interface CrashOutcome {
     readonly crashes: number;
-    /** Runs of the crashing request that began later than `CONTACT_MS` after its third crash, at nodes in touch. */
-    readonly runsLater: number;
-    /** Harmless requests that were refused as if they crashed targets. */
-    readonly blamed: number;
+    /**
+     * Runs of the crashing request at informed nodes that began more than `EVIDENCE_SPREAD_MS` after its third crash.
+     */
+    readonly lateCrashRuns: number;
+    /** Number of harmless requests that were refused as contained. */
+    readonly harmlessRefused: number;
     readonly harmlessServed: number;
     readonly harmlessSent: number;
 }
 
-interface ModelNode {
+interface SimulatedNode {
     readonly member: TargetMember;
-    containment: Containment<ModelNode>;
+    containment: Containment<SimulatedNode>;
     serve: ServeAtGate;
-    life: AbortController;
+    abortController: AbortController;
     startedAt: Milliseconds;
-    /** As announced; its process may have ended already. */
+    /** The target as announced; its process may have ended already. */
     target: LocalTarget | undefined;
-    isUp: boolean;
+    isTargetUp: boolean;
     running: number;
-    readonly endRuns: Set<() => void>;
+    readonly abortRuns: Set<() => void>;
 }
 
-export const CONTACT_MS: Milliseconds = 3000;
-const CUT_MS: Milliseconds = 3000;
+/** Time within which evidence reaches all connected nodes. */
+export const EVIDENCE_SPREAD_MS: Milliseconds = 3000;
+const PARTITION_MS: Milliseconds = 3000;
 const DURATION_MS: Milliseconds = 12_000;
-const DOWN_MS: Milliseconds = 3000;
+const TARGET_DOWN_MS: Milliseconds = 3000;
 const DEADLINE_MS: Milliseconds = 1500;
 const CRASH_PATH = "/crash";
 const POPULAR_PATH = "/popular";
-const MOST_ATTEMPTS = 3;
-const ZONES = 3;
+const MAX_ATTEMPTS = 3;
+const ZONE_COUNT = 3;
 
-const refusal = (reason: "NoTarget" | "QueueFull"): RequestFailure =>
+const createRefusal = (reason: "NoTarget" | "QueueFull"): RequestFailure =>
     ({ kind: "Refused", verdict: "notRun", reason, retryAfterMs: 100 });
-const LOST: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "the target ended" };
+const LOST_RESPONSE: RequestFailure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: "the target ended" };
 
-const drawBetween = (random: Random, least: number, most: number): number => least + random() * (most - least);
+const drawNumber = (random: Random, minimum: number, maximum: number): number =>
+    minimum + random() * (maximum - minimum);
 
-/** Plays one schedule to its end. */
-export const playCrashes = async ({ seed, isMute, blamesAll, selfCrashes }: CrashSchedule): Promise<CrashOutcome> => {
+/** Runs one simulation to its end. */
+export const simulateCrashes = async (
+    { seed, sharesNoEvidence, ignoresGoodRuns, hasSpontaneousCrashes }: CrashScenario,
+): Promise<CrashOutcome> => {
     const random = createSeededRandom(seed);
     const clock: ManualClock = createManualClock();
     const slots = 4 + pickIndex(random, 15);
-    const crashesPerSecond = drawBetween(random, 0.5, 6);
-    const harmlessPerSecond = drawBetween(random, 10, 40);
-    const loss = random() < 0.5 ? 0 : random() * 0.2;
+    const crashesPerSecond = drawNumber(random, 0.5, 6);
+    const harmlessPerSecond = drawNumber(random, 10, 40);
+    const lossRate = random() < 0.5 ? 0 : random() * 0.2;
     const isIdempotent = random() < 0.7;
-    const cut = random() < 0.3 ? { zone: pickIndex(random, ZONES), from: drawBetween(random, 0, 6000) } : undefined;
+    const partition = random() < 0.3 ?
+        { zone: pickIndex(random, ZONE_COUNT), from: drawNumber(random, 0, 6000) } :
+        undefined;
     const tableService = createMemoryTableService();
-    const life = new AbortController();
+    const abortController = new AbortController();
     const startedAt = clock.monotonic();
     let crashes = 0;
-    let thirdAt = Number.POSITIVE_INFINITY;
-    let runsLater = 0;
-    let blamed = 0;
+    let thirdCrashAt = Number.POSITIVE_INFINITY;
+    let lateCrashRuns = 0;
+    let harmlessRefused = 0;
     let harmlessServed = 0;
     let harmlessSent = 0;
 
-    const zoneOf = (node: ModelNode): string => node.member.zone;
-    const isCut = (one: ModelNode, other: ModelNode): boolean => {
+    const zoneOf = (node: SimulatedNode): string => node.member.zone;
+    const arePartitioned = (one: SimulatedNode, other: SimulatedNode): boolean => {
         const time = clock.monotonic() - startedAt;
-        const isDue = cut !== undefined && time >= cut.from && time < cut.from + CUT_MS;
-        return isDue && (zoneOf(one) === `zone-${cut.zone}`) !== (zoneOf(other) === `zone-${cut.zone}`);
+        const isDue = partition !== undefined && time >= partition.from && time < partition.from + PARTITION_MS;
+        return isDue && (zoneOf(one) === `zone-${partition.zone}`) !== (zoneOf(other) === `zone-${partition.zone}`);
     };
-    /** Whether a node has run, and no cut has been, for long enough to know what the others do. */
-    const isInTouch = (node: ModelNode): boolean => {
+    /** Returns whether a node has run for long enough, without a network partition, to have received all evidence. */
+    const isInformed = (node: SimulatedNode): boolean => {
         const time = clock.monotonic() - startedAt;
-        const wasCut = cut !== undefined && time >= cut.from && time < cut.from + CUT_MS + CONTACT_MS;
-        return clock.monotonic() - node.startedAt >= CONTACT_MS && !wasCut;
+        const wasPartitioned = partition !== undefined && time >= partition.from &&
+            time < partition.from + PARTITION_MS + EVIDENCE_SPREAD_MS;
+        return clock.monotonic() - node.startedAt >= EVIDENCE_SPREAD_MS && !wasPartitioned;
     };
 
-    const send = (from: ModelNode, to: ModelNode, message: EvidenceMessage): void => {
-        if (isMute !== true && !isCut(from, to) && random() >= loss) {
-            clock.after(drawBetween(random, 0.5, 20), () => to.containment.receive(from, message));
+    const send = (from: SimulatedNode, to: SimulatedNode, message: EvidenceMessage): void => {
+        if (sharesNoEvidence !== true && !arePartitioned(from, to) && random() >= lossRate) {
+            clock.after(drawNumber(random, 0.5, 20), () => to.containment.receive(from, message));
         }
     };
 
-    const endTarget = (node: ModelNode): void => {
-        if (node.isUp) {
-            node.isUp = false;
-            [...node.endRuns].forEach((end) => end());
-            clock.after(DOWN_MS, () => startTarget(node));
+    const crashTarget = (node: SimulatedNode): void => {
+        if (node.isTargetUp) {
+            node.isTargetUp = false;
+            [...node.abortRuns].forEach((abort) => abort());
+            clock.after(TARGET_DOWN_MS, () => startTarget(node));
         }
     };
 
-    const startTarget = (node: ModelNode): void => {
-        // Only the identity of the gate and the way it left are looked at by the watch.
+    const startTarget = (node: SimulatedNode): void => {
+        // The crash detector uses only the identity of the gate and whether the target is leaving.
         node.target = {
             gate: {}, leaving: false, predecessorGate: undefined, announcement: {},
         } as unknown as LocalTarget;
-        node.isUp = true;
+        node.isTargetUp = true;
         node.running = 0;
     };
 
-    const noteRun = (node: ModelNode, path: string): void => {
-        if (path === CRASH_PATH && clock.monotonic() > thirdAt + CONTACT_MS && isInTouch(node)) {
-            runsLater += 1;
+    const recordRun = (node: SimulatedNode, path: string): void => {
+        if (path === CRASH_PATH && clock.monotonic() > thirdCrashAt + EVIDENCE_SPREAD_MS && isInformed(node)) {
+            lateCrashRuns += 1;
         }
     };
 
-    /** Works on a request; false when the target ended meanwhile. */
-    const work = (node: ModelNode, { path, signal }: GateRequest): Promise<boolean> => new Promise((resolve) => {
-        const settle = (isWhole: boolean): void => {
-            node.endRuns.delete(end);
+    /** Runs a request at the target of a node. Resolves with false if the target crashed during the run. */
+    const runRequest = (
+        node: SimulatedNode,
+        { path, signal }: GateRequest,
+    ): Promise<boolean> => new Promise((resolve) => {
+        const settle = (isCompleted: boolean): void => {
+            node.abortRuns.delete(abort);
             cancel();
-            resolve(isWhole);
+            resolve(isCompleted);
         };
-        const end = (): void => settle(false);
-        node.endRuns.add(end);
-        const cancel = clock.after(drawBetween(random, 50, 150), () => {
+        const abort = (): void => settle(false);
+        node.abortRuns.add(abort);
+        const cancel = clock.after(drawNumber(random, 50, 150), () => {
             if (path === CRASH_PATH && !signal.aborted) {
                 crashes += 1;
-                thirdAt = crashes === 3 ? clock.monotonic() : thirdAt;
-                endTarget(node);
+                thirdCrashAt = crashes === 3 ? clock.monotonic() : thirdCrashAt;
+                crashTarget(node);
                 return;
             }
             settle(true);
         });
     });
 
-    const createServe = (node: ModelNode, watch: CrashDetector): ServeAtGate => async (request) => {
+    const createServe = (node: SimulatedNode, detector: CrashDetector): ServeAtGate => async (request) => {
         const { target } = node;
-        if (target === undefined || !node.isUp) {
-            return either.left(refusal("NoTarget"));
+        if (target === undefined || !node.isTargetUp) {
+            return either.left(createRefusal("NoTarget"));
         }
-        const obstacle = createContainmentCheck(node.containment)(request);
-        if (obstacle !== undefined || node.running >= slots) {
-            return either.left(obstacle ?? refusal("QueueFull"));
+        const refusal = createContainmentCheck(node.containment)(request);
+        if (refusal !== undefined || node.running >= slots) {
+            return either.left(refusal ?? createRefusal("QueueFull"));
         }
         node.running += 1;
-        noteRun(node, request.path);
-        const run = watch.startRun(target, request);
-        if (!await work(node, request)) {
-            return either.left({ ...LOST, crash: await run.end("Lost") });
+        recordRun(node, request.path);
+        const run = detector.startRun(target, request);
+        if (!await runRequest(node, request)) {
+            return either.left({ ...LOST_RESPONSE, crash: await run.end("Lost") });
         }
         node.running -= 1;
         await run.end("Completed");
-        if (blamesAll !== true) {
+        if (ignoresGoodRuns !== true) {
             node.containment.noteGoodRun(fingerprintRequest(request, request.body));
         }
         return either.right({ statusCode: 200, headers: {}, body: createWholeBody(Buffer.from("read")) });
     };
 
-    const startNode = (node: ModelNode): void => {
-        node.life.abort();
-        node.life = new AbortController();
+    const startNode = (node: SimulatedNode): void => {
+        node.abortController.abort();
+        node.abortController = new AbortController();
         node.startedAt = clock.monotonic();
-        node.containment = createContainment<ModelNode>({
+        node.containment = createContainment<SimulatedNode>({
             nodeId: node.member.nodeId,
             bootId: String(node.startedAt),
             clock,
@@ -204,11 +217,11 @@
                 send: (to, message) => send(node, to, message),
             },
             tableService,
-            signal: AbortSignal.any([life.signal, node.life.signal]),
+            signal: AbortSignal.any([abortController.signal, node.abortController.signal]),
         });
         const watch = createCrashDetector({
             clock,
-            isListenerGone: () => Promise.resolve(!node.isUp),
+            isListenerGone: () => Promise.resolve(!node.isTargetUp),
             currentTarget: () => node.target,
             noteCrash: node.containment.noteOwnCrash,
             loseTarget: () => {
@@ -219,51 +232,51 @@
         node.containment.start();
     };
 
-    const nodes = Array.from({ length: 4 + pickIndex(random, 7) }, (_, index): ModelNode => ({
+    const nodes = Array.from({ length: 4 + pickIndex(random, 7) }, (_, index): SimulatedNode => ({
         member: {
-            nodeId: `node-${index}`, zone: `zone-${index % ZONES}`, address: "127.0.0.1", gatePort: 1, slots,
+            nodeId: `node-${index}`, zone: `zone-${index % ZONE_COUNT}`, address: "127.0.0.1", gatePort: 1, slots,
             leaving: false, since: 0,
         },
-        containment: undefined as unknown as Containment<ModelNode>,
-        serve: () => Promise.resolve(either.left(refusal("NoTarget"))),
-        life: new AbortController(),
+        containment: undefined as unknown as Containment<SimulatedNode>,
+        serve: () => Promise.resolve(either.left(createRefusal("NoTarget"))),
+        abortController: new AbortController(),
         startedAt: 0,
         target: undefined,
-        isUp: false,
+        isTargetUp: false,
         running: 0,
-        endRuns: new Set(),
+        abortRuns: new Set(),
     }));
     nodes.forEach((node) => {
         startTarget(node);
         startNode(node);
-        node.startedAt = startedAt - CONTACT_MS;
+        node.startedAt = startedAt - EVIDENCE_SPREAD_MS;
     });
 
-    const ask = async (path: string, mayRepeat: boolean): Promise<either.Either<RequestFailure, unknown>> => {
-        const entry = pickOne(random, nodes);
+    const sendRequest = async (path: string, isRetryable: boolean): Promise<either.Either<RequestFailure, unknown>> => {
+        const gatewayNode = pickOne(random, nodes);
         const request = { method: "GET", host: "a.example", path };
         const body = { kind: "Empty" } as const;
-        let last: RequestFailure = refusal("NoTarget");
-        let lost: RequestFailure | undefined;
-        if (entry === undefined) {
-            return either.left(last);
+        let lastFailure: RequestFailure = createRefusal("NoTarget");
+        let lostResponse: RequestFailure | undefined;
+        if (gatewayNode === undefined) {
+            return either.left(lastFailure);
         }
-        const { containment } = entry;
-        const known = blamesAll === true ? { ...containment, hearGoodRun: () => undefined } : containment;
-        const care = createRequestCare(known)(request, body);
-        const allowed = care.chooseTargets(nodes.map(({ member }) => member));
-        const tried = new Set<string>();
-        for (let attempts = 0; attempts < MOST_ATTEMPTS; attempts++) {
-            const obstacle = care.findObstacle(attempts);
-            const chosen = pickOne(random, nodes.filter((node) =>
-                allowed.includes(node.member) && !tried.has(node.member.nodeId) && node.target !== undefined &&
-                !isCut(entry, node)));
-            if (obstacle !== undefined || chosen === undefined) {
-                return either.left(lost ?? obstacle ?? last);
+        const { containment } = gatewayNode;
+        const evidence = ignoresGoodRuns === true ? { ...containment, hearGoodRun: () => undefined } : containment;
+        const care = createRequestCare(evidence)(request, body);
+        const allowedTargets = care.chooseTargets(nodes.map(({ member }) => member));
+        const triedNodeIds = new Set<string>();
+        for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
+            const refusal = care.findObstacle(attempts);
+            const targetNode = pickOne(random, nodes.filter((node) =>
+                allowedTargets.includes(node.member) && !triedNodeIds.has(node.member.nodeId) &&
+                node.target !== undefined && !arePartitioned(gatewayNode, node)));
+            if (refusal !== undefined || targetNode === undefined) {
+                return either.left(lostResponse ?? refusal ?? lastFailure);
             }
-            tried.add(chosen.member.nodeId);
-            const outcome = await chosen.serve({
-                ...request, body, isSuspect: care.isSuspect(), headers: [], idempotent: mayRepeat, priority: 0, kind: "",
+            triedNodeIds.add(targetNode.member.nodeId);
+            const outcome = await targetNode.serve({
+                ...request, body, isSuspect: care.isSuspect(), headers: [], idempotent: isRetryable, priority: 0, kind: "",
                 service: { partner: "p", service: "s" }, caller: { partner: "p", service: "s" },
                 idempotencyKey: undefined, requestId: "r", deadline: clock.monotonic() + DEADLINE_MS,
                 objective: undefined, signal: new AbortController().signal, onAdmitted: () => undefined,
@@ -274,49 +287,50 @@
                 });
                 return outcome;
             }
-            last = outcome.left;
-            lost ??= last.verdict === "notRun" ? undefined : last;
-            care.noteFailure(chosen.member, last);
-            if (last.verdict !== "notRun" && !mayRepeat) {
+            lastFailure = outcome.left;
+            lostResponse ??= lastFailure.verdict === "notRun" ? undefined : lastFailure;
+            care.noteFailure(targetNode.member, lastFailure);
+            if (lastFailure.verdict !== "notRun" && !isRetryable) {
                 return outcome;
             }
         }
-        return either.left(lost ?? last);
+        return either.left(lostResponse ?? lastFailure);
     };
 
-    const askHarmless = async (index: number): Promise<void> => {
+    const sendHarmlessRequest = async (index: number): Promise<void> => {
         harmlessSent += 1;
-        const outcome = await ask(random() < 0.5 ? POPULAR_PATH : `/file/${index}`, true);
+        const outcome = await sendRequest(random() < 0.5 ? POPULAR_PATH : `/file/${index}`, true);
         harmlessServed += either.isRight(outcome) ? 1 : 0;
-        const isBlamed = either.isLeft(outcome) && outcome.left.kind === "Refused" && outcome.left.reason === "Contained";
-        blamed += isBlamed ? 1 : 0;
+        const isRefusedAsCrashing = either.isLeft(outcome) && outcome.left.kind === "Refused" &&
+            outcome.left.reason === "Contained";
+        harmlessRefused += isRefusedAsCrashing ? 1 : 0;
     };
 
-    const repeat = (perSecond: number, act: (index: number) => void, index = 0): void => {
-        clock.after(drawBetween(random, 0.5, 1.5) * 1000 / perSecond, () => {
+    const scheduleRepeatedly = (ratePerSecond: number, action: (index: number) => void, index = 0): void => {
+        clock.after(drawNumber(random, 0.5, 1.5) * 1000 / ratePerSecond, () => {
             if (clock.monotonic() - startedAt < DURATION_MS) {
-                act(index);
-                repeat(perSecond, act, index + 1);
+                action(index);
+                scheduleRepeatedly(ratePerSecond, action, index + 1);
             }
         });
     };
-    repeat(harmlessPerSecond, (index) => void askHarmless(index));
-    if (selfCrashes === true) {
-        repeat(1, () => {
+    scheduleRepeatedly(harmlessPerSecond, (index) => void sendHarmlessRequest(index));
+    if (hasSpontaneousCrashes === true) {
+        scheduleRepeatedly(1, () => {
             const node = pickOne(random, nodes);
             if (node !== undefined) {
-                endTarget(node);
+                crashTarget(node);
             }
         });
     }
     else {
-        repeat(crashesPerSecond, () => void ask(CRASH_PATH, isIdempotent));
+        scheduleRepeatedly(crashesPerSecond, () => void sendRequest(CRASH_PATH, isIdempotent));
     }
     if (random() < 0.4) {
         const restarted = nodes.slice(0, 1 + pickIndex(random, nodes.length));
-        clock.after(drawBetween(random, 0, 8000), () => restarted.forEach(startNode));
+        clock.after(drawNumber(random, 0, 8000), () => restarted.forEach(startNode));
     }
-    await clock.advance(DURATION_MS + CONTACT_MS);
-    life.abort();
-    return { crashes, runsLater, blamed, harmlessServed, harmlessSent };
+    await clock.advance(DURATION_MS + EVIDENCE_SPREAD_MS);
+    abortController.abort();
+    return { crashes, lateCrashRuns, harmlessRefused, harmlessServed, harmlessSent };
 };
--- a/packages/oleandergap-node/src/__tests__/gateHandler.test.ts
+++ b/packages/oleandergap-node/src/__tests__/gateHandler.test.ts
@@ -21,7 +21,7 @@
     const cleanup = createCleanup();
     afterEach(() => cleanup.run());
 
-    it("hands the whole answer on, with verdict, id and load", async () => {
+    it("forwards the complete response with verdict, request id and load", async () => {
         const target = await startTarget(cleanup.add, (request, response) => {
             response.setHeader("x-path", request.url ?? "");
             response.end("filed");
@@ -41,7 +41,7 @@
         });
     });
 
-    it("refuses with 421 and notRun what is meant for another service", async () => {
+    it("refuses requests for another service with 421 and notRun", async () => {
         let runs = 0;
         const target = await startTarget(cleanup.add, (_request, response) => {
             runs++;
@@ -58,7 +58,7 @@
         expect(runs).to.equal(0);
     });
 
-    it("says notRun when no connection to the target can be made", async () => {
+    it("responds with notRun if no connection to the target can be opened", async () => {
         const closed = net.createServer();
         await new Promise<void>((resolve) => closed.listen(0, LOOPBACK, resolve));
         const port = (closed.address() as net.AddressInfo).port;
@@ -118,10 +118,9 @@
         });
     }
 
-    // Symptom: an executor reads another family's file.
-    // Sequence: the target mixes up two answers that it is writing; each carries the id of the other's request.
-    // Cause: without a check of the id, whatever comes on the connection is taken for the answer.
-    it("never delivers an answer that carries another request's id", async () => {
+    // Guards against delivering the response to another request, such as another family's file. A target that mixes up
+    // two responses sends each with the id of the other request, so the gate must compare the ids.
+    it("never delivers a response that has another request's id", async () => {
         const target = await startTarget(cleanup.add, (_request, response) => {
             response.setHeader("oleandergap-request-id", "somebody-else");
             response.end("another family's file");
@@ -136,10 +135,9 @@
         expect(answer.body.toString()).not.to.include("family");
     });
 
-    // Symptom: a request gets the answer to the one before it.
-    // Sequence: the deadline of a first request passes; its late answer arrives on the connection it was sent on.
-    // Cause: a connection that was given up within an exchange is used again.
-    it("does not reuse a connection on which a request was given up", async () => {
+    // Guards against delivering the response to the previous request. If a connection is reused after the deadline of a
+    // request has passed during the exchange, the late response arrives on it.
+    it("does not reuse a connection on which a request was abandoned", async () => {
         const clock = createManualClock();
         const sockets = new Set<unknown>();
         const target = await startTarget(cleanup.add, (request, response) => {
@@ -166,10 +164,9 @@
         expect(sockets.size).to.equal(2);
     });
 
-    // Symptom: a target with free slots refuses everybody.
-    // Sequence: callers hang up while their requests run; the slots stay taken until the answers come, or for ever.
-    // Cause: the gate does not hear of the hang-up.
-    it("frees the slot, and tells the target, when the caller hangs up", async () => {
+    // Guards against slots that stay occupied after callers have disconnected. If the gate does not notice the
+    // disconnect, it refuses requests although the target has capacity.
+    it("releases the slot and cancels the request at the target when the caller disconnects", async () => {
         let cancelled = 0;
         let arrived = 0;
         const target = await startTarget(cleanup.add, (_request, response) => {
@@ -192,7 +189,7 @@
         await until(() => gate.keeper.current()?.gate.load().inFlight === 0);
     });
 
-    it("runs a keyed request under a claim and keeps its answer", async () => {
+    it("runs a request with an idempotency key under a claim and stores its response", async () => {
         const target = await startTarget(cleanup.add, (_request, response) => {
             response.statusCode = 201;
             response.end("lodged");
@@ -208,10 +205,9 @@
         expect(claims.events).to.deep.equal(["claim lodgement-0001", "complete 201 lodged"]);
     });
 
-    // Symptom: keyed requests are answered "may have run" during an outage of the platform, although none ran.
-    // Sequence: the platform hangs; the claim waits until the deadline, at which the gateway gives up as well, and the
-    // gate's truthful refusal arrives after that. Cause: the claim had all the time that the gateway had.
-    it("decides a claim early enough for its refusal to arrive, and keeps the whole time for the run", async () => {
+    // Guards against reporting "may have run" for requests that never ran during an outage of the platform. If a claim
+    // may wait until the request's deadline, the gateway times out before the gate's refusal arrives.
+    it("decides a claim early enough for its refusal to arrive, and leaves the whole time for the run", async () => {
         const timeouts: (string | undefined)[] = [];
         const target = await startTarget(cleanup.add, (request, response) => {
             timeouts.push(request.headers["oleandergap-timeout-ms"] as string | undefined);
@@ -235,7 +231,7 @@
         expect(timeouts).to.deep.equal(["2000", "80"]);
     });
 
-    it("leaves the claim open when the answer is lost, and gives a repeat the first answer", async () => {
+    it("leaves the claim open if the response is lost, and replays a stored response", async () => {
         const target = await startRawTarget(cleanup.add, (socket) => {
             socket.once("data", () => socket.destroy());
         });
@@ -259,10 +255,9 @@
         expect(repeat.body.toString()).to.equal("lodged");
     });
 
-    // Symptom: a codicil is signed twice.
-    // Sequence: the target takes the request, runs it and dies before it answers; the gate sends it once more.
-    // Cause: a lost answer is taken for a request that never ran.
-    it("never sends a non-idempotent request again after its first byte", async () => {
+    // Guards against running a non-idempotent request twice. If the target crashes after the run but before it
+    // responds, the gate must not treat the lost response as a request that never ran.
+    it("never retries a non-idempotent request after its first byte was sent", async () => {
         let runs = 0;
         const target = await startRawTarget(cleanup.add, (socket) => {
             socket.once("data", () => {
@@ -279,10 +274,9 @@
         expect(runs).to.equal(1);
     });
 
-    // Symptom: file views wait for their whole deadline although the target is well.
-    // Sequence: something between the two ends forgets an open connection; requests on it vanish without an error.
-    // Cause: nothing but the deadline ends the wait, and the next request takes a connection that is as dead.
-    it("tries a new connection to the same target when the old one is silent", async () => {
+    // Guards against requests that wait until their deadline although the target is healthy. A device in the network
+    // path can drop the state of an open connection, after which requests on it get neither a response nor an error.
+    it("retries on a new connection to the same target if the old one is silent", async () => {
         const clock = createManualClock();
         let connections = 0;
         const connectionOfRequest: number[] = [];
@@ -311,7 +305,7 @@
         expect(connectionOfRequest[2]).not.to.equal(1);
     });
 
-    it("refuses at once, with the time to come back, when the queue is full", async () => {
+    it("refuses immediately with a retry delay if the queue is full", async () => {
         const target = await startTarget(cleanup.add, () => undefined);
         const limit = { ...TEST_LIMIT, concurrency: 1, queue: 0 };
         const gate = await startGate(cleanup.add, { clock: createManualClock(), limit });
--- a/packages/oleandergap-node/src/__tests__/lifetimes.test.ts
+++ b/packages/oleandergap-node/src/__tests__/lifetimes.test.ts
@@ -3,64 +3,61 @@
 import { createLifetimes } from "../target/lifetimes.js";
 import { createAnnouncement } from "./support.js";
 
-const announce = (instanceId: string, sequence: number): Announcement =>
+const createInstanceAnnouncement = (instanceId: string, sequence: number): Announcement =>
     ({ ...createAnnouncement(17_090), instanceId, sequence });
 
 describe("createLifetimes", () => {
-    it("drops an announcement that a later one has overtaken", () => {
-        // Symptom: a target that said that it leaves receives requests again.
-        // Sequence: announcement 4 is held up; 5 says that the target leaves; then 4 arrives.
-        // Cause: announcements taken in the order in which they arrive.
+    it("ignores an announcement that arrives after a later one", () => {
+        // Guards against sending requests to a target that is leaving. If announcements are accepted in order of
+        // arrival, a delayed announcement overwrites a later one that says that the target leaves.
         const lifetimes = createLifetimes();
-        expect(lifetimes.accept(announce("first", 5))).to.equal(true);
-        expect(lifetimes.accept(announce("first", 4))).to.equal(false);
-        expect(lifetimes.accept(announce("first", 5))).to.equal(false);
-        expect(lifetimes.accept(announce("first", 6))).to.equal(true);
+        expect(lifetimes.accept(createInstanceAnnouncement("first", 5))).to.equal(true);
+        expect(lifetimes.accept(createInstanceAnnouncement("first", 4))).to.equal(false);
+        expect(lifetimes.accept(createInstanceAnnouncement("first", 5))).to.equal(false);
+        expect(lifetimes.accept(createInstanceAnnouncement("first", 6))).to.equal(true);
     });
 
-    it("never revives a lifetime that said goodbye", () => {
-        // Symptom: requests are refused by a target's successor for a second or more.
-        // Sequence: a target says goodbye; another one takes its address; a late announcement of the first arrives.
-        // Cause: whoever announced itself last is taken for the present target.
+    it("never restores a lifetime that has been withdrawn", () => {
+        // Guards against refused requests after a replacement of a target. If the latest announcement always wins, a
+        // delayed announcement of the withdrawn target replaces its successor at the same address.
         const lifetimes = createLifetimes();
-        lifetimes.accept(announce("first", 1));
+        lifetimes.accept(createInstanceAnnouncement("first", 1));
         lifetimes.end("first");
-        expect(lifetimes.accept(announce("second", 1))).to.equal(true);
-        expect(lifetimes.accept(announce("first", 9))).to.equal(false);
+        expect(lifetimes.accept(createInstanceAnnouncement("second", 1))).to.equal(true);
+        expect(lifetimes.accept(createInstanceAnnouncement("first", 9))).to.equal(false);
     });
 
-    it("returns to the present lifetime at its next announcement", () => {
+    it("accepts the next announcement of the current lifetime after one of another lifetime", () => {
         const lifetimes = createLifetimes();
-        lifetimes.accept(announce("second", 1));
-        lifetimes.accept(announce("first", 30));
-        expect(lifetimes.accept(announce("second", 2))).to.equal(true);
+        lifetimes.accept(createInstanceAnnouncement("second", 1));
+        lifetimes.accept(createInstanceAnnouncement("first", 30));
+        expect(lifetimes.accept(createInstanceAnnouncement("second", 2))).to.equal(true);
     });
 
-    it("accepts targets that name no lifetime", () => {
+    it("accepts announcements without an instance id", () => {
         const lifetimes = createLifetimes();
         expect(lifetimes.accept(createAnnouncement(17_090))).to.equal(true);
         expect(lifetimes.accept(createAnnouncement(17_090))).to.equal(true);
     });
 
-    it("knows a target that starts again under its name", () => {
-        // Symptom: a target that has restarted receives no request for as long as its former life lasted.
-        // Sequence: a target has announced itself 40 times; it crashes, starts again under its name and counts from 0.
-        // Cause: lifetimes were told apart by name alone, so its announcements were taken for late ones.
+    it("recognizes a target that restarts with the same instance id", () => {
+        // Guards against a restarted target that receives no requests. Its sequence numbers start from 0 again, so they
+        // count as outdated if lifetimes are distinguished by the instance id alone.
         const lifetimes = createLifetimes();
-        const inLife = (bornAt: number, sequence: number): Announcement => ({ ...announce("first", sequence), bornAt });
-        expect(lifetimes.accept(inLife(1000, 40))).to.equal(true);
-        expect(lifetimes.accept(inLife(2000, 0))).to.equal(true);
-        expect(lifetimes.accept(inLife(1000, 41))).to.equal(false);
-        expect(lifetimes.accept(inLife(2000, 1))).to.equal(true);
+        const createLifetimeAnnouncement = (bornAt: number, sequence: number): Announcement => ({ ...createInstanceAnnouncement("first", sequence), bornAt });
+        expect(lifetimes.accept(createLifetimeAnnouncement(1000, 40))).to.equal(true);
+        expect(lifetimes.accept(createLifetimeAnnouncement(2000, 0))).to.equal(true);
+        expect(lifetimes.accept(createLifetimeAnnouncement(1000, 41))).to.equal(false);
+        expect(lifetimes.accept(createLifetimeAnnouncement(2000, 1))).to.equal(true);
     });
 
-    it("lets a target come back under the name with which it said goodbye", () => {
+    it("accepts a target that restarts with the instance id of a withdrawn lifetime", () => {
         const lifetimes = createLifetimes();
-        const inLife = (bornAt: number, sequence: number): Announcement => ({ ...announce("first", sequence), bornAt });
-        lifetimes.accept(inLife(1000, 3));
+        const createLifetimeAnnouncement = (bornAt: number, sequence: number): Announcement => ({ ...createInstanceAnnouncement("first", sequence), bornAt });
+        lifetimes.accept(createLifetimeAnnouncement(1000, 3));
         expect(lifetimes.end("first", 1000)).to.equal(true);
-        expect(lifetimes.accept(inLife(2000, 0))).to.equal(true);
+        expect(lifetimes.accept(createLifetimeAnnouncement(2000, 0))).to.equal(true);
         expect(lifetimes.end("first", 1000)).to.equal(false);
-        expect(lifetimes.accept(inLife(2000, 1))).to.equal(true);
+        expect(lifetimes.accept(createLifetimeAnnouncement(2000, 1))).to.equal(true);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/main.test.ts
+++ b/packages/oleandergap-node/src/__tests__/main.test.ts
@@ -10,10 +10,10 @@
 
 const MAIN = fileURLToPath(new URL("../main.js", import.meta.url));
 
-/** A wait that would outlast the time limit of these tests. */
-const LONGER_THAN_TEST_MS = 600_000;
+/** A timeout that is longer than the time limit of these tests. */
+const JOIN_TIMEOUT_BEYOND_TEST_MS = 600_000;
 
-interface Ended {
+interface ProcessResult {
     readonly code: number | null;
     readonly output: string;
 }
@@ -27,7 +27,7 @@
         const folder = await mkdtemp(path.join(tmpdir(), "oleandergap-node-"));
         cleanup.add(() => rm(folder, { recursive: true }));
         const file = path.join(folder, "node.yaml");
-        // Nothing listens at the platform's port: the node lives through an outage from its start.
+        // Nothing listens at the platform's port, so the node starts during a platform outage.
         const platform = `{ address: ${LOOPBACK}, port: ${ports[4] ?? 1} }`;
         await writeFile(file, [
             "nodeId: hall-a-1",
@@ -43,7 +43,7 @@
         return file;
     };
 
-    const run = (...args: string[]): { readonly ended: Promise<Ended>; readonly stop: (name: "SIGTERM") => void } => {
+    const run = (...args: string[]): { readonly ended: Promise<ProcessResult>; readonly stop: (name: "SIGTERM") => void } => {
         const child = spawn(process.execPath, [MAIN, ...args], { stdio: ["ignore", "pipe", "pipe"] });
         cleanup.add(() => child.kill("SIGKILL"));
         let output = "";
@@ -53,7 +53,7 @@
         child.stderr.on("data", (chunk: Buffer) => {
             output += chunk.toString();
         });
-        const ended = new Promise<Ended>((resolve) => child.on("close", (code) => resolve({ code, output })));
+        const ended = new Promise<ProcessResult>((resolve) => child.on("close", (code) => resolve({ code: code, output })));
         return { ended, stop: (name) => child.kill(name) };
     };
 
@@ -69,7 +69,7 @@
         await until(() => isUp);
     };
 
-    it("checks settings without running, and refuses wrong ones with the path", async () => {
+    it("checks settings without running, and rejects invalid settings with their path", async () => {
         const ports = await reservePorts(5);
         const right = await run("--settings", await writeSettings(ports), "--check-settings").ended;
         const wrong = await run("--settings", await writeSettings(ports, "target: { heartbeatTimeoutMs: soon }")).ended;
@@ -79,10 +79,10 @@
         expect(wrong.output).to.include("target.heartbeatTimeoutMs: found \"soon\"");
     });
 
-    it("refuses a key file that others can read or that holds no key, and never shows what it holds", async () => {
+    it("rejects a key file that others can read or that contains no valid key, and never prints its content", async () => {
         const ports = await reservePorts(5);
         const settings = await writeSettings(ports, "cluster: { keyFile: ./fleet.key }");
-        const check = async (text: string, mode: number): Promise<Ended> => {
+        const check = async (text: string, mode: number): Promise<ProcessResult> => {
             const file = path.join(path.dirname(settings), "fleet.key");
             await rm(file, { force: true });
             await writeFile(file, text, { mode });
@@ -98,11 +98,11 @@
         expect(open.output + short.output + right.output).not.to.include("key-of-the-fleet");
     });
 
-    it("names the address and port that it cannot listen on", async () => {
+    it("reports the address and port that it cannot listen on", async () => {
         const ports = await reservePorts(5);
-        const occupant = net.createServer();
-        await new Promise<void>((resolve) => occupant.listen(ports[0], LOOPBACK, resolve));
-        cleanup.add(() => occupant.close());
+        const occupyingServer = net.createServer();
+        await new Promise<void>((resolve) => occupyingServer.listen(ports[0], LOOPBACK, resolve));
+        cleanup.add(() => occupyingServer.close());
 
         const ended = await run("--settings", await writeSettings(ports)).ended;
 
@@ -110,10 +110,9 @@
         expect(ended.output).to.include(`Cannot listen on ${LOOPBACK}:${ports[0]} (gateway)`);
     });
 
-    // Symptom: a node that lost its platform at its start serves from an empty table, or dies.
-    // Sequence: the platform is down while the node starts; there is no other node to ask.
-    // Cause: a node that has recovered nothing takes itself for ready.
-    it("says that it is not ready while nobody can tell it the configuration, and stops cleanly", async () => {
+    // Guards against a node that serves from an empty table, or crashes, if the platform is down at its start and there
+    // is no other node to recover the configuration from.
+    it("is not ready while it cannot recover the configuration, and stops cleanly", async () => {
         const ports = await reservePorts(5);
         const [gateway = 0, , , admin = 0] = ports;
         const node = run("--settings", await writeSettings(ports));
@@ -133,9 +132,9 @@
         expect(ended.code).to.equal(0);
     });
 
-    it("does not wait for other nodes to stop, so that a signal during the start ends it before the kill", async () => {
+    it("stops on a signal during the start without waiting for other nodes, before the process is killed", async () => {
         const ports = await reservePorts(5);
-        const node = run("--settings", await writeSettings(ports, "", LONGER_THAN_TEST_MS));
+        const node = run("--settings", await writeSettings(ports, "", JOIN_TIMEOUT_BEYOND_TEST_MS));
         await waitUntilUp(ports[3] ?? 0);
         node.stop("SIGTERM");
         const { code, output } = await node.ended;
@@ -144,10 +143,9 @@
         expect(output).to.include("node: Stopped.");
     });
 
-    // Symptom: a stranger drains targets or poses as a member although the fleet has a key.
-    // Sequence: it sends requests and datagrams to the control port of a daemon.
-    // Cause: a part of the daemon is not wired to the key.
-    it("refuses strangers at its control port and counts them", async () => {
+    // Guards against unauthenticated senders that drain targets or impersonate members although the fleet has a key.
+    // This happens if a part of the daemon that serves the control port is not wired to the key.
+    it("refuses unauthenticated requests and datagrams at its control port and counts them", async () => {
         const ports = await reservePorts(5);
         const [, , control = 0, admin = 0] = ports;
         const settings = await writeSettings(ports, "cluster: { keyFile: ./fleet.key }");
@@ -162,11 +160,11 @@
         await new Promise((resolve) => {
             socket.send(Uint8Array.of(1, 2, 3), control, LOOPBACK, resolve);
         });
-        const readStrangers = async (): Promise<string> =>
+        const readMetrics = async (): Promise<string> =>
             (await call({ port: admin, path: "/metrics" })).body.toString();
-        let metrics = await readStrangers();
+        let metrics = await readMetrics();
         while (!metrics.includes("oleandergap_strangers{figure=\"datagrams\"} 1")) {
-            metrics = await readStrangers();
+            metrics = await readMetrics();
         }
         node.stop("SIGTERM");
         const { output } = await node.ended;
--- a/packages/oleandergap-node/src/__tests__/nodeLifecycle.test.ts
+++ b/packages/oleandergap-node/src/__tests__/nodeLifecycle.test.ts
@@ -7,15 +7,15 @@
 import { call, createCleanup, LOOPBACK, reservePorts, until, type Received } from "./support.js";
 
 const DRAIN_MS = 5000;
-/** Time after the end of the draining in which a process must be over. */
-const END_MS = 600;
+/** Time after the drain timeout within which the stop must be complete. */
+const MAX_STOP_OVERRUN_MS = 600;
 const STOP = { serveMs: 1900, serveLongestMs: 3500, acceptMs: 2300, lingerMs: 200, drainTimeoutMs: DRAIN_MS };
 
-const never = (): Promise<never> => new Promise(() => undefined);
-const atOnce = (): Promise<void> => Promise.resolve();
+const neverResolve = (): Promise<never> => new Promise(() => undefined);
+const resolveImmediately = (): Promise<void> => Promise.resolve();
 
-/** What a stop waits for; each at once by default. */
-interface Waits {
+/** The operations that a stop waits for. By default, each completes immediately. */
+interface StopOperations {
     readonly leaveMembership: () => Promise<void>;
     readonly stopTarget: () => Promise<void>;
     readonly leaveClaims: () => Promise<void>;
@@ -23,8 +23,12 @@
     readonly destroyPools: () => Promise<void>;
 }
 
-const QUICK: Waits = {
-    leaveMembership: atOnce, stopTarget: atOnce, leaveClaims: atOnce, drainClaims: atOnce, destroyPools: atOnce,
+const INSTANT_OPERATIONS: StopOperations = {
+    leaveMembership: resolveImmediately,
+    stopTarget: resolveImmediately,
+    leaveClaims: resolveImmediately,
+    drainClaims: resolveImmediately,
+    destroyPools: resolveImmediately,
 };
 
 describe("the stop of a node", () => {
@@ -37,23 +41,31 @@
         readonly gatewayPort: number;
         readonly isStopped: () => boolean;
         readonly stop: () => void;
-        /** Ends the process at once, as a second signal does. */
+        /** Stops everything immediately, as a second signal does. */
         readonly abort: () => void;
-        /** Requests at the gateway that have no answer yet. */
+        /** Responses to requests at the gateway that have not been sent yet. */
         readonly open: ServerResponse[];
     }
 
-    /** A node whose gateway answers nothing until `answersAfterMs` after what is under way was given up. */
-    const startNode = async (waits: Partial<Waits>, isRecovered = true, answersAfterMs = 0): Promise<Harness> => {
+    /** Starts a node whose gateway responds only `finalResponseDelayMs` after its requests were abandoned. */
+    const startNode = async (
+        operations: Partial<StopOperations>,
+        isRecovered = true,
+        finalResponseDelayMs = 0,
+    ): Promise<Harness> => {
         const clock = createManualClock();
-        const life = new AbortController();
+        const abortController = new AbortController();
         const [gatewayPort = 0, gatePort = 0, controlPort = 0, adminPort = 0] = await reservePorts(4);
-        const { leaveMembership, stopTarget, leaveClaims, drainClaims, destroyPools } = { ...QUICK, ...waits };
-        const open: ServerResponse[] = [];
+        const {
+            leaveMembership, stopTarget, leaveClaims, drainClaims, destroyPools,
+        } = { ...INSTANT_OPERATIONS, ...operations };
+        const openResponses: ServerResponse[] = [];
         const readiness = createReadinessState();
-        const silent = { debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined };
-        const hold = (_request: unknown, response: ServerResponse): void => {
-            open.push(response);
+        const silentLogger = {
+            debug: () => undefined, info: () => undefined, warn: () => undefined, error: () => undefined,
+        };
+        const holdResponse = (_request: unknown, response: ServerResponse): void => {
+            openResponses.push(response);
         };
         const node = createNodeLifecycle({
             options: {
@@ -63,77 +75,85 @@
             },
             clock,
             backgroundClock: clock,
-            logger: silent,
+            logger: silentLogger,
             readiness,
             controlPlane: {
-                membership: { start: atOnce, leave: leaveMembership },
+                membership: { start: resolveImmediately, leave: leaveMembership },
                 directory: { start: () => undefined },
                 containment: { start: () => undefined },
                 spread: {
                     start: () => undefined,
-                    recover: isRecovered ? async () => ({ kind: "Recovered", source: "zone" }) : never,
+                    recover: isRecovered ? async () => ({ kind: "Recovered", source: "zone" }) : neverResolve,
                 },
                 peers: { close: () => undefined },
             },
             requestPath: {
                 target: { stop: stopTarget, refreshLimit: () => undefined },
-                claims: { start: atOnce, leave: leaveClaims, drain: drainClaims },
-                claimSweeper: { start: atOnce },
+                claims: { start: resolveImmediately, leave: leaveClaims, drain: drainClaims },
+                claimSweeper: { start: resolveImmediately },
                 pools: { sweep: () => undefined, destroy: destroyPools },
                 hasSubstitute: () => true,
                 canIdentifyLocalTarget: false,
-                abandonAll: () => void clock.sleep(answersAfterMs, life.signal).then(() =>
-                    open.splice(0).forEach((response) => response.writeHead(503).end())),
+                abandonAll: () => void clock.sleep(finalResponseDelayMs, abortController.signal).then(() =>
+                    openResponses.splice(0).forEach((response) => response.writeHead(503).end())),
             },
-            handlers: { gateway: hold, gate: hold, control: hold, admin: hold },
+            handlers: { gateway: holdResponse, gate: holdResponse, control: holdResponse, admin: holdResponse },
             additionalListeners: [],
             onRecovered: () => undefined,
-            signal: life.signal,
+            signal: abortController.signal,
         } as unknown as LifecycleDependencies);
-        cleanup.add(() => life.abort());
+        cleanup.add(() => abortController.abort());
         expect(either.isRight(await node.start()())).to.equal(true);
         await until(() => readiness.recovered === isRecovered);
         let isStopped = false;
         const stop = (): void => void node.stop().then(() => {
             isStopped = true;
         });
-        return { clock, node, gatewayPort, isStopped: () => isStopped, stop, abort: () => life.abort(), open };
+        return {
+            clock,
+            node,
+            gatewayPort,
+            isStopped: () => isStopped,
+            stop,
+            abort: () => abortController.abort(),
+            open: openResponses,
+        };
     };
 
-    /** Resolves when the request is under way, with a function that waits for its answer. */
+    /** Sends a request. Resolves when it is in flight, with a function that waits for its response. */
     const startCall = async ({ gatewayPort, open }: Harness): Promise<() => Promise<Received>> => {
-        const before = open.length;
+        const previousCount = open.length;
         const answer = call({ port: gatewayPort });
         answer.catch(() => undefined);
-        await until(() => open.length > before);
+        await until(() => open.length > previousCount);
         return () => answer;
     };
 
-    const BLOCKED: Readonly<Record<string, Partial<Waits>>> = {
-        "the hand-over of keys waits for a silent store": { leaveClaims: never },
-        "outcomes wait for a silent store": { drainClaims: never },
-        "other nodes cannot be told": { leaveMembership: never },
-        "runs go on at the target": { stopTarget: never },
-        "connections do not close": { destroyPools: never },
+    const HANGING_OPERATIONS: Readonly<Record<string, Partial<StopOperations>>> = {
+        "handing over keys waits for a store that does not respond": { leaveClaims: neverResolve },
+        "recording outcomes waits for a store that does not respond": { drainClaims: neverResolve },
+        "the announcement to other nodes hangs": { leaveMembership: neverResolve },
+        "requests are still running at the target": { stopTarget: neverResolve },
+        "connections do not close": { destroyPools: neverResolve },
     };
-    for (const [what, waits] of Object.entries(BLOCKED)) {
-        it(`is over in time, so that the platform need not kill it, while ${what}`, async () => {
-            const harness = await startNode(waits);
+    for (const [reason, operations] of Object.entries(HANGING_OPERATIONS)) {
+        it(`completes in time, before the platform kills the process, although ${reason}`, async () => {
+            const harness = await startNode(operations);
             harness.stop();
-            await harness.clock.advance(DRAIN_MS + END_MS);
+            await harness.clock.advance(DRAIN_MS + MAX_STOP_OVERRUN_MS);
             expect(harness.isStopped()).to.equal(true);
         });
     }
 
-    it("is over soon on a node that has served nobody yet, since it recovers", async () => {
+    it("completes early on a node that is still recovering and has served no request", async () => {
         const harness = await startNode({}, false);
         harness.stop();
         await harness.clock.advance(STOP.lingerMs);
         expect(harness.isStopped()).to.equal(true);
     });
 
-    it("is over at once after a second signal, whatever it waits for", async () => {
-        const harness = await startNode({ leaveClaims: never, leaveMembership: never });
+    it("completes immediately after a second signal, regardless of pending operations", async () => {
+        const harness = await startNode({ leaveClaims: neverResolve, leaveMembership: neverResolve });
         harness.stop();
         await harness.clock.advance(3000);
         harness.abort();
@@ -141,17 +161,17 @@
         expect(harness.isStopped()).to.equal(true);
     });
 
-    it("leaves no caller without an answer when a step before the end hangs", async () => {
-        const harness = await startNode({ leaveMembership: never });
+    it("sends every caller a response if an earlier step hangs", async () => {
+        const harness = await startNode({ leaveMembership: neverResolve });
         const answer = await startCall(harness);
         harness.stop();
         await harness.clock.advance(DRAIN_MS);
         expect((await answer()).statusCode).to.equal(503);
-        await harness.clock.advance(END_MS);
+        await harness.clock.advance(MAX_STOP_OVERRUN_MS);
         expect(harness.isStopped()).to.equal(true);
     });
 
-    it("lets what runs finish although other nodes cannot be told", async () => {
+    it("lets running requests finish although announcing the stop to other nodes fails", async () => {
         const harness = await startNode({
             leaveMembership: () => Promise.reject(new Error("no socket")),
             leaveClaims: () => Promise.reject(new Error("no store")),
@@ -161,17 +181,17 @@
         await harness.clock.advance(STOP.serveLongestMs);
         harness.open.splice(0).forEach((response) => response.writeHead(200).end());
         expect((await answer()).statusCode).to.equal(200);
-        await harness.clock.advance(END_MS);
+        await harness.clock.advance(MAX_STOP_OVERRUN_MS);
         expect(harness.isStopped()).to.equal(true);
     });
 
-    it("leaves no caller without an answer when the process is behind with its final answers", async () => {
-        const harness = await startNode({ stopTarget: never }, true, 350);
+    it("sends every caller a response if the process is late with its final responses", async () => {
+        const harness = await startNode({ stopTarget: neverResolve }, true, 350);
         const answer = await startCall(harness);
         harness.stop();
         await harness.clock.advance(DRAIN_MS + 350);
         expect((await answer()).statusCode).to.equal(503);
-        await harness.clock.advance(END_MS - 350);
+        await harness.clock.advance(MAX_STOP_OVERRUN_MS - 350);
         expect(harness.isStopped()).to.equal(true);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/options.test.ts
+++ b/packages/oleandergap-node/src/__tests__/options.test.ts
@@ -25,7 +25,7 @@
         expect(either.isRight(options) && options.right.requests.gateSilenceMs).to.equal(500);
     });
 
-    it("shows the defaults as they are in the example's comments", async () => {
+    it("has the defaults that the comments of the example show", async () => {
         const text = await readFile(EXAMPLE, "utf8");
         const shown = [...text.matchAll(/^# {3}(\w+): (\d+)/gm)].map(([, name, value]) => [name, Number(value)]);
         const options = nodeOptionsSchema.parse(await readExample());
@@ -39,7 +39,7 @@
         }
     });
 
-    it("names the path, the value and what is allowed", async () => {
+    it("reports the path, the value and the allowed values of an invalid setting", async () => {
         expect(await describeProblem({ stop: { lingerMs: "soon" } })).to.match(/stop\.lingerMs: found "soon"; .*number/);
         expect(await describeProblem({ routing: { refusals: { starvation: "maybe" } } }))
             .to.match(/routing\.refusals\.starvation: found "maybe"; .*boolean/);
@@ -47,7 +47,7 @@
         expect(await describeProblem({ listne: {} })).to.include("the unknown key \"listne\"");
     });
 
-    it("refuses a wildcard, by which no other node could reach this one", async () => {
+    it("rejects a wildcard address, because other nodes cannot connect to it", async () => {
         const listen = { address: "0.0.0.0", gatewayPort: 1, gatePort: 2, controlPort: 3, adminPort: 4 };
 
         expect(await describeProblem({ listen })).to.include("not a wildcard");
--- a/packages/oleandergap-node/src/__tests__/peerAccess.test.ts
+++ b/packages/oleandergap-node/src/__tests__/peerAccess.test.ts
@@ -24,12 +24,13 @@
 const NEW_KEY = "new-key-of-the-fleet-0123456789abcdef";
 const clock = createSystemClock();
 const logger = createLogger("test");
-const never = new AbortController().signal;
-/** A control port that serves both of the nodes' routes. */
+const neverAborted = new AbortController().signal;
+
+/** A control port that serves the fleet route, the peer route and an operator route. */
 interface ControlPort {
     readonly node: PeerAddress;
     readonly access: PeerAccess;
-    /** Services whose targets were told to leave. */
+    /** Services whose targets were drained. */
     readonly drained: readonly string[];
 }
 
@@ -40,7 +41,7 @@
 
 const service = { partner: "halloway", service: "grant-filer" };
 
-const keysOf = (...lines: readonly string[]): FleetKeys => {
+const createKeys = (...lines: readonly string[]): FleetKeys => {
     const keys = parseFleetKeys(lines.join("\n"));
     if (either.isLeft(keys)) {
         throw new Error(keys.left.problem);
@@ -48,8 +49,8 @@
     return keys.right;
 };
 
-const readersOf = (...lines: readonly string[]): ReadFleetKeys => {
-    const keys = keysOf(...lines);
+const createKeyReader = (...lines: readonly string[]): ReadFleetKeys => {
+    const keys = createKeys(...lines);
     return () => keys;
 };
 
@@ -70,7 +71,7 @@
                     nodeId: "hall-a-1",
                     reportZone: () => Promise.resolve({ nodes: [] }),
                     drainTarget: (query) => drained.push(query.service.service) > 0,
-                    signal: never,
+                    signal: neverAborted,
                 }, logger),
             },
             {
@@ -99,22 +100,21 @@
         return { node, drained, access };
     };
 
-    const callersWith = (readKeys: ReadFleetKeys | undefined): Callers => {
+    const createCallers = (readKeys: ReadFleetKeys | undefined): Callers => {
         const { authorize } = createPeerAccess({ listen: { address: LOOPBACK, controlPort: 1 }, readKeys });
         const peers = createPeerClient({ clock, options: defaultDistributionOptions.peer, authorize });
         cleanup.add(() => peers.close());
         return { peers, fleet: createFleetClient({ clock, timeoutMs: 5000, authorize }) };
     };
 
-    it("keeps strangers from draining a target and from asking as a peer, and lets nodes and operators in", async () => {
-        // Symptom: a target leaves though no operator said so.
-        // Sequence: a stranger calls the fleet's drain at a node's control port, without a key or with another one.
-        // Cause: the route does not ask who calls.
-        const { node, drained, access } = await startControlPort(readersOf(NEW_KEY));
-        for (const readKeys of [undefined, readersOf(OLD_KEY)]) {
-            const stranger = callersWith(readKeys);
-            const drain = await stranger.fleet.drain(node, { service }, never)();
-            const heads = await stranger.peers.heads(node, never)();
+    it("refuses drain and peer calls without a valid key, and admits nodes and operators", async () => {
+        // Guards against a target that is drained although no operator requested it: without authentication of the
+        // caller, anyone could call the fleet's drain at the control port with no key or with another one.
+        const { node, drained, access } = await startControlPort(createKeyReader(NEW_KEY));
+        for (const readKeys of [undefined, createKeyReader(OLD_KEY)]) {
+            const stranger = createCallers(readKeys);
+            const drain = await stranger.fleet.drain(node, { service }, neverAborted)();
+            const heads = await stranger.peers.heads(node, neverAborted)();
 
             expect(either.isLeft(drain) && drain.left.detail).to.equal("not a node of this fleet");
             expect(either.isLeft(heads) && heads.left).to.include({ kind: "Refused", status: 401 });
@@ -122,46 +122,45 @@
         expect(drained).to.deep.equal([]);
         expect(access.stats().refusedRequests).to.equal(4);
 
-        const member = callersWith(readersOf(NEW_KEY));
-        expect(either.isRight(await member.fleet.drain(node, { service }, never)())).to.equal(true);
-        expect(either.isRight(await member.peers.heads(node, never)())).to.equal(true);
+        const member = createCallers(createKeyReader(NEW_KEY));
+        expect(either.isRight(await member.fleet.drain(node, { service }, neverAborted)())).to.equal(true);
+        expect(either.isRight(await member.peers.heads(node, neverAborted)())).to.equal(true);
         expect(drained).to.deep.equal(["grant-filer"]);
         const operator = await call({ port: node.controlPort, path: "/operator/x" });
         expect(operator.body.toString()).to.equal("operators");
     });
 
-    it("is replaced while nodes run: both keys are accepted on the way", async () => {
-        const { node } = await startControlPort(readersOf(NEW_KEY, OLD_KEY));
+    it("can be replaced while nodes are running: both keys are accepted during the rotation", async () => {
+        const { node } = await startControlPort(createKeyReader(NEW_KEY, OLD_KEY));
         for (const key of [OLD_KEY, NEW_KEY]) {
-            const answer = await callersWith(readersOf(key)).peers.heads(node, never)();
+            const answer = await createCallers(createKeyReader(key)).peers.heads(node, neverAborted)();
             expect(either.isRight(answer), key).to.equal(true);
         }
     });
 
-    it("is read again while the node runs, and a refused file leaves the former key in use", async () => {
-        // Symptom: after a slip at a rotation, a node is cut off from its fleet, or takes part without a key.
-        // Sequence: the file is replaced with the wrong mode, and mended later.
-        // Cause: a file that is refused takes the key away, or ends the reading for good.
-        const initial = keysOf(OLD_KEY);
-        let held: Either<string, FleetKeys> = either.right(initial);
-        const manual = createManualClock();
-        const end = new AbortController();
-        cleanup.add(() => end.abort());
+    it("is reloaded while the node is running, and stays in use if the new file is invalid", async () => {
+        // Guards against a node that loses its key after an error during a rotation, such as a wrong file mode. An
+        // invalid file must neither discard the current key nor stop the reloading.
+        const initial = createKeys(OLD_KEY);
+        let fileResult: Either<string, FleetKeys> = either.right(initial);
+        const manualClock = createManualClock();
+        const endController = new AbortController();
+        cleanup.add(() => endController.abort());
         const readKeys = watchFleetKeys({
-            source: { initial, load: () => Promise.resolve(held) },
+            source: { initial, load: () => Promise.resolve(fileResult) },
             reloadMs: 1000,
-            clock: manual,
+            clock: manualClock,
             logger,
-            signal: end.signal,
+            signal: endController.signal,
         });
 
-        held = either.left("Others can read the file.");
-        await manual.advance(2000);
+        fileResult = either.left("Others can read the file.");
+        await manualClock.advance(2000);
         expect(readKeys()).to.equal(initial);
 
-        const next = keysOf(NEW_KEY, OLD_KEY);
-        held = either.right(next);
-        await manual.advance(2000);
+        const next = createKeys(NEW_KEY, OLD_KEY);
+        fileResult = either.right(next);
+        await manualClock.advance(2000);
         expect(readKeys()).to.equal(next);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/processorProfile.test.ts
+++ b/packages/oleandergap-node/src/__tests__/processorProfile.test.ts
@@ -8,7 +8,7 @@
 
 const PERIOD_MS = 5000;
 
-/** The runtime calls the prober, which calls a library; beside it the engine collects garbage and waits. */
+/** The runtime calls the prober, which calls a library. In addition, the engine collects garbage and is idle. */
 const profile: SampledProfile = {
     nodes: [
         { id: 1, position: { file: "", functionName: "(root)" }, children: [2, 5, 6] },
@@ -19,11 +19,11 @@
         { id: 6, position: { file: "", functionName: "(idle)" }, children: [] },
     ],
     samples: [2, 3, 4, 5, 6],
-    // The first interval leads to the first sample.
+    // The first interval ends at the first sample.
     intervals: [9, 1, 2, 3, 4],
 };
 
-const createLog = (): { readonly lines: LogContext[]; readonly logger: Logger } => {
+const createRecordingLogger = (): { readonly lines: LogContext[]; readonly logger: Logger } => {
     const lines: LogContext[] = [];
     const write = (message: string, context: LogContext = {}): void => {
         lines.push({ message, ...context });
@@ -43,8 +43,8 @@
     };
 };
 
-describe("profile of the processor's time", () => {
-    it("gives a library's time to the part that calls it, and leaves idle time out", () => {
+describe("CPU profile by part", () => {
+    it("counts the time of a library for the part that calls it, and excludes idle time", () => {
         const times = sumProfile(profile);
         expect([...times]).to.have.deep.members([
             ["runtime", 1],
@@ -53,7 +53,7 @@
         ]);
     });
 
-    it("tells the daemon's folders apart", () => {
+    it("counts the folders of the daemon separately", () => {
         const times = sumProfile({
             nodes: [
                 { id: 1, position: { file: "/r/packages/oleandergap-node/lib/gate/gateHandler.js", functionName: "a" }, children: [2] },
@@ -66,32 +66,32 @@
         expect([...times]).to.have.deep.members([["node/gate", 1], ["node/http", 2], ["adapter", 4]]);
     });
 
-    it("names the costliest functions by themselves", () => {
+    it("lists the functions with the most self time", () => {
         expect(listCostlyFunctions(profile, 1)).to.deep.equal([["(garbage collector)", 4]]);
     });
 
-    it("writes one line a period and counts nothing of the line itself", async () => {
+    it("writes one line per period and excludes the cost of the line itself", async () => {
         const clock = createManualClock();
-        const { lines, logger } = createLog();
+        const { lines, logger } = createRecordingLogger();
         const sampler = createFakeSampler();
         let processorMs = 300;
         const readUsage = (): ProcessUsage => {
             processorMs += 10;
             return { processorMs, wakeUps: 0, reads: 0, writes: 0 };
         };
-        const life = new AbortController();
-        startProcessorProfile({ clock, logger, sampler, readUsage, periodMs: PERIOD_MS }, life.signal);
+        const abortController = new AbortController();
+        startProcessorProfile({ clock, logger, sampler, readUsage, periodMs: PERIOD_MS }, abortController.signal);
         await clock.advance(2 * PERIOD_MS);
         expect(lines.map(({ message }) => message)).to.deep.equal([PROFILE_MESSAGE, PROFILE_MESSAGE]);
-        // The first line tells of the start of the process too.
+        // The first line includes the start of the process.
         expect(lines.map((line) => line["processorMs"])).to.deep.equal([310, 10]);
-        life.abort();
+        abortController.abort();
         await clock.advance(2 * PERIOD_MS);
         expect(lines).to.have.length(3);
         expect(sampler.calls.at(-1)).to.equal("stop");
     });
 
-    it("is off by default, and refuses a period that makes no sense with its name and what is allowed", () => {
+    it("is off by default, and rejects an invalid period with its path and the allowed range", () => {
         const diagnostics = nodeOptionsSchema.shape.diagnostics;
         expect(diagnostics.parse(undefined)).to.deep.equal({});
         const refused = diagnostics.safeParse({ processorProfileMs: 10 });
--- a/packages/oleandergap-node/src/__tests__/readiness.test.ts
+++ b/packages/oleandergap-node/src/__tests__/readiness.test.ts
@@ -3,10 +3,9 @@
 import { createReadinessState, findClosure } from "../admin/readiness.js";
 
 describe("findClosure", () => {
-    // Symptom: two seconds after all nodes restarted, half of the requests are late or refused once more.
-    // Sequence: all nodes restart together; each turns callers away for 0.4 s; all of them come back a second later.
-    // Cause: everybody was told the same time.
-    it("spreads those who come back to a node that recovers", () => {
+    // Guards against a retry peak after all nodes have restarted together. Each node refuses callers for 0.4 s. With
+    // the same retry delay, all of them return one second later, and half of the requests are late or refused again.
+    it("spreads the retry delays of callers at a node that is recovering", () => {
         const random = createSeededRandom(4);
         const state = createReadinessState();
         const times = Array.from({ length: 700 }, () => findClosure(state, false, 200, random)?.retryAfterMs ?? 0);
@@ -17,7 +16,7 @@
         expect(busiest).to.be.below(150);
     });
 
-    it("refuses callers of a node that stops, and not its own target", () => {
+    it("refuses callers of a stopping node, but not its local target", () => {
         const state = { ...createReadinessState(), recovered: true, refusing: true };
         const random = createSeededRandom(4);
         expect(findClosure(state, false, 200, random)).to.deep.equal({ reason: "Draining", retryAfterMs: 200 });
--- a/packages/oleandergap-node/src/__tests__/requestTally.test.ts
+++ b/packages/oleandergap-node/src/__tests__/requestTally.test.ts
@@ -28,7 +28,7 @@
         return { clock, lines, tally, controller };
     };
 
-    it("sums up each second and place in which requests failed, whatever their number", async () => {
+    it("writes one summary per second and point with failed requests, regardless of their number", async () => {
         const { clock, lines, tally, controller } = setUp();
         for (let count = 0; count < 1000; count++) {
             tally.note(refused);
@@ -42,7 +42,7 @@
         controller.abort();
     });
 
-    it("writes nothing of a second without failures, and counts anew in each", async () => {
+    it("writes no line for a second without failures, and resets the counts every second", async () => {
         const { clock, lines, tally, controller } = setUp();
         tally.note(answered);
         await clock.advance(1000);
@@ -53,7 +53,7 @@
         controller.abort();
     });
 
-    it("bounds what it remembers and writes", async () => {
+    it("limits the number of ends that it counts and writes", async () => {
         const { clock, lines, tally, controller } = setUp();
         for (let count = 0; count < 2000; count++) {
             tally.note({ ...refused, kind: `kind-${count}` });
--- a/packages/oleandergap-node/src/__tests__/stopStages.test.ts
+++ b/packages/oleandergap-node/src/__tests__/stopStages.test.ts
@@ -5,10 +5,9 @@
 const STOP = { serveMs: 1500, serveLongestMs: 3500, acceptMs: 2300, lingerMs: 500, drainTimeoutMs: 5600 };
 
 describe("runStopStages", () => {
-    // Symptom: while nodes restart one after the other, requests are refused although their targets stand idle.
-    // Sequence: a node is told to stop; its callers go on for two seconds; its gate refuses all that while.
-    // Cause: the gate closed at once, with the target behind it alive and well.
-    it("keeps the gate open for a time, and callers until they have been sent elsewhere", async () => {
+    // Guards against refused requests with idle targets while nodes restart in sequence. If the gate of a stopping node
+    // closes immediately, its healthy target is idle for the two seconds in which callers keep sending requests.
+    it("keeps the gate open for some time, and accepts callers until they have switched to other nodes", async () => {
         const clock = createManualClock();
         const events: string[] = [];
         let endGate: () => void = () => undefined;
@@ -36,7 +35,7 @@
         expect(events.at(-1)).to.equal("stopped at 3000");
     });
 
-    it("closes everything at once when the time is over", async () => {
+    it("closes everything immediately when the signal aborts", async () => {
         const clock = createManualClock();
         const events: string[] = [];
         const limit = new AbortController();
@@ -52,16 +51,15 @@
         expect(events).to.have.members(["gate closed", "callers refused"]);
     });
 
-    // Symptom: all requests of a service are refused for a second while nodes restart in turn.
-    // Sequence: the nodes of its two targets are told to stop a second apart; the second gate closes before the first
-    //   node is back.
-    // Cause: each node closes its gate after the same time, whatever the others do.
-    it("keeps the gate of a service's last target open until another one is back, and not for ever", async () => {
+    // Guards against refusing all requests of a service while nodes restart in sequence. If the nodes of its two
+    // targets stop one second apart and both close their gates after a fixed time, the second gate closes before the
+    // first node has restarted.
+    it("keeps the gate of a service's last target open until another target is available, up to a limit", async () => {
         const clock = createManualClock();
         const closeTimes: number[] = [];
         const startedAt = clock.monotonic();
-        const run = (isBackAfterMs: number): Promise<void> => runStopStages(clock, STOP, {
-            hasSubstitute: () => clock.monotonic() - startedAt >= isBackAfterMs,
+        const run = (substituteAfterMs: number): Promise<void> => runStopStages(clock, STOP, {
+            hasSubstitute: () => clock.monotonic() - startedAt >= substituteAfterMs,
             closeGate: async () => closeTimes.push(clock.monotonic() - startedAt),
             refuseCallers: () => undefined,
             canIdentifyLocalTarget: true,
@@ -72,18 +70,17 @@
         expect(closeTimes).to.deep.equal([1500, 2600, 3500]);
     });
 
-    // Symptom: in the last second of a stopping node's gate, two thirds of the runs behind it fail.
-    // Sequence: a node whose callers and target look alike stops; its gate serves on, as no other target is there yet;
-    //   callers are refused, and with them the calls that the runs at its target make.
-    // Cause: callers were refused at a fixed time, whatever still ran at the gate.
-    it("accepts callers until the gate is empty where the target is not known from them", async () => {
+    // Guards against failing runs at the target of a stopping node that cannot distinguish its target from other
+    // callers. If callers are refused at a fixed time while the gate still serves, the calls of the running requests
+    // are refused too: two thirds of the runs failed in the last second of the gate.
+    it("accepts callers until the gate is empty if it cannot distinguish the target from them", async () => {
         const clock = createManualClock();
         const startedAt = clock.monotonic();
         const refusedAt: number[] = [];
         const { signal } = new AbortController();
-        const run = (hasSubstitute: boolean, runsMs: number): Promise<void> => runStopStages(clock, STOP, {
+        const run = (hasSubstitute: boolean, drainMs: number): Promise<void> => runStopStages(clock, STOP, {
             hasSubstitute: () => hasSubstitute,
-            closeGate: () => clock.sleep(runsMs, signal),
+            closeGate: () => clock.sleep(drainMs, signal),
             refuseCallers: () => refusedAt.push(clock.monotonic() - startedAt),
             canIdentifyLocalTarget: false,
         }, signal);
--- a/packages/oleandergap-node/src/__tests__/support.ts
+++ b/packages/oleandergap-node/src/__tests__/support.ts
@@ -1,4 +1,4 @@
-/** Servers and callers on loopback for the tests of this package. */
+/** Servers and clients on the loopback interface for the tests of this package. */
 import http, { type IncomingHttpHeaders, type IncomingMessage, type ServerResponse } from "node:http";
 import net from "node:net";
 import * as either from "fp-ts/lib/Either.js";
@@ -20,7 +20,7 @@
 
 export const LOOPBACK = "127.0.0.1";
 
-/** Ends that run after a test, last first. */
+/** Registers a function that runs after the test. The functions run in reverse order. */
 export type Cleanup = (end: () => unknown) => void;
 
 export const createCleanup = (): { readonly add: Cleanup; readonly run: () => Promise<void> } => {
@@ -37,7 +37,7 @@
     };
 };
 
-/** Ports that are free now. */
+/** Returns ports that are currently free. */
 export const reservePorts = async (count: number): Promise<readonly number[]> => {
     const servers = await Promise.all(Array.from({ length: count }, () => new Promise<net.Server>((resolve) => {
         const server = net.createServer();
@@ -48,7 +48,7 @@
     return ports;
 };
 
-/** A plain server, used as a target. */
+/** Starts an HTTP server as a target. Returns its port. */
 export const startTarget = async (
     cleanup: Cleanup,
     handle: (request: IncomingMessage, response: ServerResponse) => void,
@@ -62,7 +62,7 @@
     return (server.address() as net.AddressInfo).port;
 };
 
-/** A server of raw connections, used as a target that breaks the protocol. */
+/** Starts a TCP server as a target that violates the HTTP protocol. Returns its port. */
 export const startRawTarget = async (cleanup: Cleanup, handle: (socket: net.Socket) => void): Promise<number> => {
     const sockets = new Set<net.Socket>();
     const server = net.createServer((socket) => {
@@ -98,7 +98,7 @@
     readonly statusCode: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
-    /** Whether the answer's end was reached as announced. */
+    /** Whether the response was received completely. */
     readonly whole: boolean;
 }
 
@@ -124,7 +124,7 @@
     response.on("close", finish);
 };
 
-/** One request on a connection of its own; rejects when there is no answer at all. */
+/** Sends a request on a new connection. Rejects if there is no response at all. */
 export const call = ({ port, method = "GET", path = "/", headers = {}, body, signal }: CallOptions): Promise<Received> =>
     new Promise((resolve, reject) => {
         const request = http.request({
@@ -134,7 +134,7 @@
         request.end(body);
     });
 
-/** Sends `text` as it is and gives everything that comes back until the connection closes. */
+/** Sends `text` unchanged and returns everything that is received until the connection closes. */
 export const callRaw = (port: number, text: string): Promise<string> =>
     new Promise((resolve) => {
         const socket = net.connect(port, LOOPBACK);
@@ -147,7 +147,7 @@
         socket.write(text);
     });
 
-/** Waits, turn by turn of the event loop, until `condition` holds. The test's own timeout bounds it. */
+/** Polls `condition` every millisecond until it is true. The timeout of the test limits the wait. */
 export const until = async (condition: () => boolean): Promise<void> => {
     while (!condition()) {
         await new Promise<void>((resolve) => setTimeout(resolve, 1));
@@ -156,15 +156,15 @@
 
 type Claims = Pick<ClaimKeeper, "claim">;
 
-/** What was asked of the claims, in order, and how each claim ended. */
+/** A claim keeper that records its calls, and the recorded events in order. */
 export interface RecordedClaims {
     readonly keeper: Claims;
     readonly events: string[];
 }
 
-/** Grants every claim unless `answer` says otherwise. */
+/** Creates a claim keeper that grants every claim unless `selectResult` returns another result. */
 export const createRecordedClaims = (
-    answer: (request: ClaimRequest) => ClaimResult | undefined = () => undefined,
+    selectResult: (request: ClaimRequest) => ClaimResult | undefined = () => undefined,
 ): RecordedClaims => {
     const events: string[] = [];
     const record = (event: string) => (): void => {
@@ -173,7 +173,7 @@
     const keeper: Claims = {
         claim: async (request) => {
             events.push(`claim ${request.key}`);
-            return answer(request) ?? either.right({
+            return selectResult(request) ?? either.right({
                 kind: "Granted",
                 claim: {
                     attemptId: "attempt",
@@ -203,7 +203,7 @@
     ...changes,
 });
 
-/** What a node that tells nobody, and hears of nobody, knows of crashes. */
+/** Creates the containment of a node that has no connection to other nodes. */
 export const createLoneContainment = <Peer = never>(
     clock: Clock,
     nodeId = "lone",
@@ -240,7 +240,7 @@
     readonly turns?: ListenerOptions["turns"];
 }
 
-/** A node's gate on loopback, without a target until one is announced. */
+/** Starts a node's gate on the loopback interface. It has no target until one is announced. */
 export const startGate = async (cleanup: Cleanup, options: GateHarnessOptions): Promise<GateHarness> => {
     const { clock, limit = TEST_LIMIT, claims = createRecordedClaims().keeper, catchUp = () => undefined } = options;
     const published: (MemberTarget | undefined)[] = [];
@@ -281,7 +281,7 @@
     return { port: listener.port, listener, serve, keeper, pools, published };
 };
 
-/** Headers that a node sends with a request to a gate. */
+/** Returns the headers that a node sends with a request to a gate. */
 export const gateHeaders = (changes: Readonly<Record<string, string>> = {}): Record<string, string> => ({
     host: "grant-filer.halloway",
     "oleandergap-service": "halloway/grant-filer",
--- a/packages/oleandergap-node/src/__tests__/targetKeeper.test.ts
+++ b/packages/oleandergap-node/src/__tests__/targetKeeper.test.ts
@@ -8,7 +8,7 @@
 
 const HEARTBEAT_TIMEOUT_MS = 3000;
 const TARGET_PORT = 17090;
-/** No table has a row of it. */
+/** A service without a row in any table. */
 const UNKNOWN_SERVICE = "elsewhere";
 
 interface Setup {
@@ -42,7 +42,7 @@
     };
 };
 
-const admit = (keeper: TargetKeeper, clock: ManualClock): Promise<string> | undefined =>
+const admitRequest = (keeper: TargetKeeper, clock: ManualClock): Promise<string> | undefined =>
     keeper.current()?.gate.admit({
         partner: "halloway",
         service: "grant-filer",
@@ -51,7 +51,7 @@
     }).then((admission) => admission._tag);
 
 describe("createTargetKeeper", () => {
-    it("publishes a target once and keeps it while it repeats its announcement", async () => {
+    it("publishes a target once and keeps it while it sends heartbeats", async () => {
         const { clock, keeper, published } = setUp();
 
         for (let heartbeat = 0; heartbeat < 10; heartbeat++) {
@@ -63,10 +63,9 @@
         expect(published[0]).to.include({ service: "grant-filer", slots: 12, leaving: false });
     });
 
-    // Symptom: requests go on to a VM whose target is dead.
-    // Sequence: the target is killed and cannot say goodbye; its node still lists it.
-    // Cause: nobody notices that the heartbeats have stopped.
-    it("withdraws a target that stays away", async () => {
+    // Guards against sending requests to a VM whose target was killed. Such a target cannot withdraw itself, so its
+    // node must notice the missing heartbeats.
+    it("removes a target without heartbeats", async () => {
         const { clock, keeper, published } = setUp();
         keeper.announce(createAnnouncement(TARGET_PORT));
 
@@ -78,10 +77,9 @@
         expect(published.at(-1)).to.equal(undefined);
     });
 
-    // Symptom: after a pause of the VM the whole fleet sees targets come and go.
-    // Sequence: the node is frozen for longer than the timeout; its timers fire before it reads the heartbeats.
-    // Cause: the node blames the target for its own pause.
-    it("gives the target as much time again after a pause of this process", async () => {
+    // Guards against removing healthy targets after a pause of the VM. If the node was frozen for longer than the
+    // timeout, its timers fire before it reads the heartbeats that have arrived meanwhile.
+    it("restarts the heartbeat timeout after a pause of this process", async () => {
         const { clock, keeper, published } = setUp();
         keeper.announce(createAnnouncement(TARGET_PORT));
 
@@ -95,22 +93,21 @@
         expect(published).to.have.length(1);
     });
 
-    it("lets a leaving target finish and admits nothing new", async () => {
+    it("lets a leaving target finish its requests and admits no new ones", async () => {
         const { clock, keeper, published } = setUp();
         keeper.announce(createAnnouncement(TARGET_PORT));
-        expect(await admit(keeper, clock)).to.equal("Right");
+        expect(await admitRequest(keeper, clock)).to.equal("Right");
 
         keeper.announce(createAnnouncement(TARGET_PORT, { leaving: true }));
 
         expect(published.at(-1)).to.include({ leaving: true });
-        expect(await admit(keeper, clock)).to.equal("Left");
+        expect(await admitRequest(keeper, clock)).to.equal("Left");
         expect(keeper.current()?.gate.load().inFlight).to.equal(1);
     });
 
-    // Symptom: an operator drains a target, and a second later it receives requests again.
-    // Sequence: the drain is noted, then the target's next heartbeat says that it is not leaving.
-    // Cause: the heartbeat overwrites the operator's order.
-    it("keeps a target drained that goes on announcing itself", async () => {
+    // Guards against undoing an operator's drain: the next heartbeat of the target states that it is not leaving, and
+    // must not overwrite the drain.
+    it("keeps a target drained while it sends heartbeats", async () => {
         const { clock, keeper } = setUp();
         keeper.announce(createAnnouncement(TARGET_PORT));
 
@@ -119,23 +116,23 @@
         keeper.announce(createAnnouncement(TARGET_PORT));
 
         expect(keeper.current()?.leaving).to.equal(true);
-        expect(await admit(keeper, clock)).to.equal("Left");
+        expect(await admitRequest(keeper, clock)).to.equal("Left");
     });
 
-    it("admits nothing while the table has no row, and everything the row allows once it has", async () => {
+    it("admits no requests without a row in the table, and applies the limit when a row appears", async () => {
         const { clock, keeper, setLimit } = setUp();
         setLimit(undefined);
         keeper.announce(createAnnouncement(TARGET_PORT));
-        expect(await admit(keeper, clock)).to.equal("Left");
+        expect(await admitRequest(keeper, clock)).to.equal("Left");
 
         setLimit({ ...TEST_LIMIT, concurrency: 1 });
         keeper.refreshLimit();
 
         expect(keeper.current()?.gate.load().capacity).to.equal(1);
-        expect(await admit(keeper, clock)).to.equal("Right");
+        expect(await admitRequest(keeper, clock)).to.equal("Right");
     });
 
-    it("takes a new process on another port for a new target", async () => {
+    it("treats a new process on another port as a new target", async () => {
         const { clock, keeper, published } = setUp();
         keeper.announce(createAnnouncement(TARGET_PORT));
         keeper.drain({ partner: "halloway", service: "grant-filer" });
@@ -145,23 +142,22 @@
         expect(published.slice(-2)).to.have.length(2);
         expect(published.at(-2)).to.equal(undefined);
         expect(keeper.current()?.leaving).to.equal(false);
-        expect(await admit(keeper, clock)).to.equal("Right");
+        expect(await admitRequest(keeper, clock)).to.equal("Right");
     });
 
-    it("refuses what still waits a short time after its target began to leave", async () => {
-        // Symptom: a target receives a request seconds after it announced its end, and the request is lost.
-        // Sequence: all slots are taken and a request waits; the target leaves; a slot becomes free seconds later.
-        // Cause: what waited at the time of the announcement keeps its place for as long as its deadline allows.
+    it("refuses requests that still wait a short time after their target started to leave", async () => {
+        // Guards against losing a request that a target receives seconds after it has announced that it leaves. If
+        // waiting requests keep their place until their deadline, a slot can become free after the target has ended.
         const { clock, keeper, setLimit } = setUp();
         setLimit({ ...TEST_LIMIT, concurrency: 1 });
         keeper.announce(createAnnouncement(TARGET_PORT));
         const gate = keeper.current()?.gate;
         const signal = new AbortController().signal;
-        const ask = (): ReturnType<NonNullable<typeof gate>["admit"]> | undefined => gate?.admit({
+        const requestAdmission = (): ReturnType<NonNullable<typeof gate>["admit"]> | undefined => gate?.admit({
             partner: "halloway", service: "grant-filer", deadline: clock.monotonic() + 20_000, signal,
         });
-        const running = await ask();
-        const waiting = ask();
+        const running = await requestAdmission();
+        const waiting = requestAdmission();
         keeper.announce({ ...createAnnouncement(TARGET_PORT), leaving: true });
         await clock.advance(1001);
         expect(gate?.load()).to.include({ inFlight: 1, queued: 0 });
@@ -169,19 +165,19 @@
         expect(running?._tag).to.equal("Right");
     });
 
-    it("takes a target that is warm for an old one", () => {
+    it("publishes an earlier start time for a target that is already warm", () => {
         const { clock, keeper, published } = setUp();
         keeper.announce({ ...createAnnouncement(TARGET_PORT), coldLeftMs: 0 });
         expect(published.at(-1)?.since).to.equal(clock.now() - 10_000);
     });
 
-    it("puts a new lifetime at the same address in the place of the old one", async () => {
+    it("replaces a target by a new lifetime at the same address", async () => {
         const { clock, keeper, published } = setUp();
         keeper.announce({ ...createAnnouncement(TARGET_PORT), instanceId: "first", sequence: 7 });
-        const old = keeper.current()?.gate;
+        const formerGate = keeper.current()?.gate;
         keeper.announce({ ...createAnnouncement(TARGET_PORT), instanceId: "second", sequence: 1 });
         expect(keeper.current()?.announcement.instanceId).to.equal("second");
-        expect(keeper.current()?.gate).to.not.equal(old);
+        expect(keeper.current()?.gate).to.not.equal(formerGate);
         keeper.withdraw("first");
         expect(keeper.current()?.announcement.instanceId).to.equal("second");
         keeper.withdraw("second");
@@ -189,14 +185,13 @@
         await clock.advance(0);
     });
 
-    // Symptom: requests are given up at the end of a node's time for draining, although other targets have room.
-    // Sequence: requests wait at a gate whose target is slow; its node is told to stop; they go on waiting there.
-    // Cause: what waits was told to go elsewhere when the target leaves, and not when the node does.
-    it("sends what waits elsewhere when its node stops", async () => {
+    // Guards against abandoning requests at the drain timeout although other targets have capacity. Requests that wait
+    // at the gate of a slow target must be refused not only when the target leaves, but also when the node stops.
+    it("refuses waiting requests when its node stops", async () => {
         const { clock, keeper } = setUp();
         keeper.announce(createAnnouncement(TARGET_PORT));
         const { signal } = new AbortController();
-        const ask = async (): Promise<string | undefined> => {
+        const requestAdmission = async (): Promise<string | undefined> => {
             const admission = await keeper.current()?.gate.admit({
                 partner: "halloway", service: "grant-filer", deadline: clock.monotonic() + 60_000, signal,
             });
@@ -205,24 +200,23 @@
                 admission?._tag;
         };
         const slots = createAnnouncement(TARGET_PORT).slots;
-        const running = Array.from({ length: Math.min(slots, TEST_LIMIT.concurrency) }, ask);
-        const waiting = ask();
+        const running = Array.from({ length: Math.min(slots, TEST_LIMIT.concurrency) }, requestAdmission);
+        const waiting = requestAdmission();
         void keeper.stop();
         await clock.advance(1001);
         expect(await Promise.all(running)).to.include("Right");
         expect(await waiting).to.equal("Draining");
     });
 
-    it("starts a new gate for a target that started again under its name", () => {
-        // Symptom: a restarted target gets fewer requests than it has slots.
-        // Sequence: a target crashes with requests under way and starts again under the same name.
-        // Cause: the gate of its former life still counted what was lost with it.
+    it("creates a new gate for a target that restarts with the same instance id", () => {
+        // Guards against a restarted target that receives fewer requests than it has slots. If it keeps the gate of its
+        // former lifetime, that gate still counts the requests that were lost in the crash.
         const { keeper, published } = setUp();
-        const inLife = (bornAt: number): Announcement =>
+        const createLifetimeAnnouncement = (bornAt: number): Announcement =>
             ({ ...createAnnouncement(TARGET_PORT), instanceId: "first", bornAt });
-        keeper.announce({ ...inLife(1000), sequence: 40 });
+        keeper.announce({ ...createLifetimeAnnouncement(1000), sequence: 40 });
         const former = keeper.current()?.gate;
-        keeper.announce({ ...inLife(2000), sequence: 0 });
+        keeper.announce({ ...createLifetimeAnnouncement(2000), sequence: 0 });
 
         expect(keeper.current()?.gate).to.not.equal(former);
         expect(keeper.current()?.announcement.bornAt).to.equal(2000);
@@ -231,9 +225,8 @@
     });
 
     it("keeps its target when an unknown service is announced", () => {
-        // Symptom: a target that is well receives no requests any more.
-        // Sequence: another writer sends an announcement of a service that no table names.
-        // Cause: whatever was announced last took the place of the present target.
+        // Guards against a healthy target that receives no requests. A foreign writer may announce a service that is
+        // not in any table, and that announcement must not replace the current target.
         const { keeper } = setUp();
         keeper.announce(createAnnouncement(TARGET_PORT));
         keeper.announce({ ...createAnnouncement(TARGET_PORT + 1), service: UNKNOWN_SERVICE });
--- a/packages/oleandergap-node/src/__tests__/zoneFetcher.test.ts
+++ b/packages/oleandergap-node/src/__tests__/zoneFetcher.test.ts
@@ -6,15 +6,15 @@
 import { createZoneFetcher } from "../control/zoneFetcher.js";
 
 const { timeoutMs } = defaultDistributionOptions.peer;
-/** Time that a target directory gives one fetch by default. */
+/** Default timeout of a fetch by the target directory. */
 const FETCH_TIMEOUT_MS = 1500;
 const ANSWER = { services: [] };
 
 const createContact = (id: string): Contact => ({ id, zone: "zone-1", address: "127.0.0.1", controlPort: 1024 });
 
 describe("createZoneFetcher", () => {
-    // Guards against silent contacts that are waited for one after the other while another one would answer.
-    it("has another zone's targets in time although two contacts are silent", async () => {
+    // Guards against waiting for silent contacts one after the other although another contact would respond.
+    it("fetches another zone's targets within the timeout although two contacts are silent", async () => {
         const clock = createManualClock();
         const zoneTargets: PeerDirectoryPort["zoneTargets"] = ({ id }, _request, signal) => async () => {
             if (id === "quick" && !signal.aborted) {
