--- a/packages/oleandergap-node/src/__tests__/crashModel.test.ts
+++ b/packages/oleandergap-node/src/__tests__/crashModel.test.ts
@@ -1,7 +1,10 @@
 import { expect } from "chai";
 import { simulateCrashes, type CrashOutcome, type CrashScenario } from "./crashModel.js";
 
-/** Number of seeds. More can be run manually: `CRASH_SCHEDULES=1000 npx mocha --grep "schedules of crashes"`. */
+/**
+ * Number of simulations, each with its own seed. More can be run manually: `CRASH_SCHEDULES=1000 npx mocha --grep
+ * "schedules of crashes"`.
+ */
 const SCENARIO_COUNT = Number(process.env["CRASH_SCHEDULES"] ?? 40);
 const FIRST_SEED = Number(process.env["CRASH_FIRST_SEED"] ?? 1);
 const NAIVE_SCENARIO_COUNT = 40;
--- a/packages/oleandergap-node/src/__tests__/crashes.test.ts
+++ b/packages/oleandergap-node/src/__tests__/crashes.test.ts
@@ -161,11 +161,11 @@
         const containment = createLoneContainment(clock);
         const target = await startCrashableTarget();
         const gate = await startGateWithTarget(target, containment);
-        const held = sendRequest(gate, "/held/1");
+        const heldRequest = sendRequest(gate, "/held/1");
         await until(() => target.held.length === 1);
         gate.keeper.announce(createAnnouncement(target.port, { leaving: true }));
         target.crash();
-        await held;
+        await heldRequest;
 
         expect(containment.hasSuspects()).to.equal(false);
     });
--- a/packages/oleandergap-node/src/__tests__/gateHandler.test.ts
+++ b/packages/oleandergap-node/src/__tests__/gateHandler.test.ts
@@ -73,7 +73,7 @@
         expect(gate.keeper.current()?.gate.load().inFlight).to.equal(0);
     });
 
-    it("passes a target's refusal on as notRun only when the target says so", async () => {
+    it("forwards a target's refusal as notRun only if the target's response states notRun", async () => {
         const target = await startTarget(cleanup.add, (request, response) => {
             if (request.url === "/shed") {
                 response.setHeader("oleandergap-verdict", "notRun");
@@ -96,11 +96,11 @@
         expect(failed.headers["oleandergap-reason"]).to.equal(undefined);
     });
 
-    // Symptom: a clerk gets half a page that looks whole.
-    // Sequence: the target dies within the body of its answer; the gate ends the answer cleanly.
-    // Cause: a chunked answer has no length, so only a broken connection tells that it is not whole.
+    // Guards against an incomplete response that looks complete. If the target crashes within the body and the gate
+    // ends the response cleanly, the caller cannot detect the loss: a chunked response has no length, so only a broken
+    // connection shows that it is incomplete.
     for (const framing of ["content-length", "chunked"]) {
-        it(`breaks an answer (${framing}) off visibly when the target dies within it`, async () => {
+        it(`closes the connection of a response (${framing}) if the target crashes within its body`, async () => {
             const target = await startTarget(cleanup.add, (_request, response) => {
                 if (framing === "content-length") {
                     response.setHeader("content-length", "1000");
--- a/packages/oleandergap-node/src/__tests__/peerAccess.test.ts
+++ b/packages/oleandergap-node/src/__tests__/peerAccess.test.ts
@@ -112,9 +112,9 @@
         // caller, anyone could call the fleet's drain at the control port with no key or with another one.
         const { node, drained, access } = await startControlPort(createKeyReader(NEW_KEY));
         for (const readKeys of [undefined, createKeyReader(OLD_KEY)]) {
-            const stranger = createCallers(readKeys);
-            const drain = await stranger.fleet.drain(node, { service }, neverAborted)();
-            const heads = await stranger.peers.heads(node, neverAborted)();
+            const unauthenticatedCallers = createCallers(readKeys);
+            const drain = await unauthenticatedCallers.fleet.drain(node, { service }, neverAborted)();
+            const heads = await unauthenticatedCallers.peers.heads(node, neverAborted)();
 
             expect(either.isLeft(drain) && drain.left.detail).to.equal("not a node of this fleet");
             expect(either.isLeft(heads) && heads.left).to.include({ kind: "Refused", status: 401 });
@@ -122,9 +122,10 @@
         expect(drained).to.deep.equal([]);
         expect(access.stats().refusedRequests).to.equal(4);
 
-        const member = createCallers(createKeyReader(NEW_KEY));
-        expect(either.isRight(await member.fleet.drain(node, { service }, neverAborted)())).to.equal(true);
-        expect(either.isRight(await member.peers.heads(node, neverAborted)())).to.equal(true);
+        const authenticatedCallers = createCallers(createKeyReader(NEW_KEY));
+        expect(either.isRight(await authenticatedCallers.fleet.drain(node, { service }, neverAborted)()))
+            .to.equal(true);
+        expect(either.isRight(await authenticatedCallers.peers.heads(node, neverAborted)())).to.equal(true);
         expect(drained).to.deep.equal(["grant-filer"]);
         const operator = await call({ port: node.controlPort, path: "/operator/x" });
         expect(operator.body.toString()).to.equal("operators");
--- a/packages/oleandergap-node/src/__tests__/support.ts
+++ b/packages/oleandergap-node/src/__tests__/support.ts
@@ -24,14 +24,14 @@
 export type Cleanup = (end: () => unknown) => void;
 
 export const createCleanup = (): { readonly add: Cleanup; readonly run: () => Promise<void> } => {
-    const ends: (() => unknown)[] = [];
+    const callbacks: (() => unknown)[] = [];
     return {
-        add: (end) => {
-            ends.push(end);
+        add: (callback) => {
+            callbacks.push(callback);
         },
         run: async () => {
-            for (const end of ends.splice(0).reverse()) {
-                await end();
+            for (const callback of callbacks.splice(0).reverse()) {
+                await callback();
             }
         },
     };
@@ -235,7 +235,7 @@
     readonly limit?: Limit;
     readonly claims?: Claims;
     readonly containment?: Containment<never>;
-    /** See `LoopLag`. */
+    /** Resolves when pending events have been processed; undefined if the event loop is not behind. See `LoopLag`. */
     readonly catchUp?: () => Promise<void> | undefined;
     readonly turns?: ListenerOptions["turns"];
 }
--- a/packages/oleandergap-node/src/admin/adminHandler.ts
+++ b/packages/oleandergap-node/src/admin/adminHandler.ts
@@ -21,9 +21,9 @@
 }
 
 const TARGET_PATH = "/v1/target";
-const JSON_TYPE = "application/json";
+const JSON_CONTENT_TYPE = "application/json";
 
-const send = (response: ServerResponse, statusCode: number, contentType: string, body: string): void => {
+const sendResponse = (response: ServerResponse, statusCode: number, contentType: string, body: string): void => {
     if (!response.req.complete) {
         response.setHeader("connection", "close");
     }
@@ -32,7 +32,7 @@
 };
 
 const sendJson = (response: ServerResponse, statusCode: number, value: unknown): void =>
-    send(response, statusCode, JSON_TYPE, JSON.stringify(value));
+    sendResponse(response, statusCode, JSON_CONTENT_TYPE, JSON.stringify(value));
 
 export const createAdminHandler = (dependencies: AdminHandlerDependencies) => {
     const { target, logger } = dependencies;
@@ -61,7 +61,7 @@
 
     const sendMetrics = async (response: ServerResponse): Promise<void> => {
         const metrics = await dependencies.readMetrics();
-        send(response, 200, metrics.contentType, metrics.body);
+        sendResponse(response, 200, metrics.contentType, metrics.body);
     };
 
     const route = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
--- a/packages/oleandergap-node/src/admin/gauges.ts
+++ b/packages/oleandergap-node/src/admin/gauges.ts
@@ -40,50 +40,50 @@
     const { controlPlane, requestPath, peerAccess, readiness } = sources;
     const { store, spread, spreadTransport, membership, directory, peers } = controlPlane;
     const { containment, evidenceTransport } = controlPlane;
-    const add = (name: string, help: string, labelNames: string[], read: () => readonly GaugeReading[]): void =>
+    const addGauge = (name: string, help: string, labelNames: string[], read: () => readonly GaugeReading[]): void =>
         metrics.addGauge({ name: `oleandergap_${name}`, help, labelNames, read });
 
-    add("ready", "1 when the node accepts requests.", [], () =>
+    addGauge("ready", "1 when the node accepts requests.", [], () =>
         createSingleReading(readiness.listening && readiness.recovered && !readiness.draining ? 1 : 0));
-    add("applied_sequence", "Version in force, by partner.", ["partner"], () =>
+    addGauge("applied_sequence", "Version in force, by partner.", ["partner"], () =>
         store.heads().map(({ partner, sequence }) => ({ labels: { partner }, value: sequence })));
-    add("applied_at_ms", "When the version in force was applied, since the Unix epoch.", ["partner"], () =>
+    addGauge("applied_at_ms", "When the version in force was applied, since the Unix epoch.", ["partner"], () =>
         spread.stats().applied.map(({ partner, appliedAt }) => ({ labels: { partner }, value: appliedAt })));
-    add("refused_versions", "Number of recently refused versions.", [], () =>
+    addGauge("refused_versions", "Number of recently refused versions.", [], () =>
         createSingleReading(store.refusals().length));
-    add("members", "Members of the own availability zone, by state.", ["state"], () => countStates(sources));
-    add("membership", "Counts of the membership.", ["figure"], () => readNumbers("figure", membership.stats()));
-    add("control_bytes", "Bytes exchanged with other nodes for control.", ["channel", "direction"], () => [
+    addGauge("members", "Members of the local availability zone, by state.", ["state"], () => countStates(sources));
+    addGauge("membership", "Counts of the membership.", ["figure"], () => readNumbers("figure", membership.stats()));
+    addGauge("control_bytes", "Bytes exchanged with other nodes for control.", ["channel", "direction"], () => [
         ...readDatagramBytes(membership.stats()),
         ...readDirections("peerCalls", peers.stats().bytesSent, peers.stats().bytesReceived),
         ...readDirections("spread", spreadTransport.stats().bytesSent, spreadTransport.stats().bytesReceived),
         ...readDirections("evidence", evidenceTransport.stats().bytesSent, evidenceTransport.stats().bytesReceived),
         ...readDirections("seals", peerAccess.stats().sealBytesSent, peerAccess.stats().sealBytesReceived),
     ]);
-    add("strangers", "Datagrams and requests refused because they lack a valid fleet key.", ["figure"], () => [
+    addGauge("strangers", "Datagrams and requests refused because they lack a valid fleet key.", ["figure"], () => [
         { labels: { figure: "datagrams" }, value: peerAccess.stats().rejectedDatagrams },
         { labels: { figure: "requests" }, value: peerAccess.stats().refusedRequests },
     ]);
-    add("distribution", "Counts of the distribution.", ["figure"], () => readNumbers("figure", spread.stats()));
-    add("spread_datagrams", "Counts of datagrams that carry versions.", ["figure"], () =>
+    addGauge("distribution", "Counts of the distribution.", ["figure"], () => readNumbers("figure", spread.stats()));
+    addGauge("spread_datagrams", "Counts of datagrams that carry versions.", ["figure"], () =>
         readNumbers("figure", spreadTransport.stats()));
-    add("peer_calls", "Counts of calls to peers.", ["figure"], () => readNumbers("figure", peers.stats()));
-    add(
+    addGauge("peer_calls", "Counts of calls to peers.", ["figure"], () => readNumbers("figure", peers.stats()));
+    addGauge(
         "containment",
         "Crashes of the local target, requests with crash evidence, requests refused because of crashes.",
         ["figure"],
         () => readNumbers("figure", containment.stats()),
     );
-    add("evidence_datagrams", "Counts of datagrams about crashes.", ["figure"], () =>
+    addGauge("evidence_datagrams", "Counts of datagrams about crashes.", ["figure"], () =>
         readNumbers("figure", evidenceTransport.stats()));
-    add("target_directory", "Counts of the target directory.", ["figure"], () =>
+    addGauge("target_directory", "Counts of the target directory.", ["figure"], () =>
         readNumbers("figure", directory.stats()));
-    add("platform", "Calls to the platform.", ["service", "figure"], () => readPlatformCalls(sources));
-    add("gate", "Load of the gate.", ["figure"], () =>
+    addGauge("platform", "Calls to the platform.", ["service", "figure"], () => readPlatformCalls(sources));
+    addGauge("gate", "Load of the gate.", ["figure"], () =>
         readNumbers("figure", requestPath.target.current()?.gate.load() ?? {}));
-    add("claims", "Counts of the claims.", ["figure"], () => readNumbers("figure", requestPath.claims.stats()));
-    add("owned_keys", "Counts of the key ownership.", ["figure"], () =>
+    addGauge("claims", "Counts of the claims.", ["figure"], () => readNumbers("figure", requestPath.claims.stats()));
+    addGauge("owned_keys", "Counts of the key ownership.", ["figure"], () =>
         readNumbers("figure", requestPath.claims.ownership?.stats() ?? {}));
-    add("connection_pools", "Pools of connections to nodes and to the target.", [], () =>
+    addGauge("connection_pools", "Pools of connections to nodes and to the target.", [], () =>
         createSingleReading(requestPath.pools.size()));
 };
--- a/packages/oleandergap-node/src/control/fleetClient.ts
+++ b/packages/oleandergap-node/src/control/fleetClient.ts
@@ -63,9 +63,9 @@
     ): TaskEither<FleetCallError, z.output<Schema>> => async () => {
         const limit = startTimeLimit(clock, timeoutMs, signal);
         try {
-            const answer = schema.safeParse(await sendQuery(createCallClient(node), limit.signal));
-            return answer.success ?
-                either.right(answer.data) :
+            const response = schema.safeParse(await sendQuery(createCallClient(node), limit.signal));
+            return response.success ?
+                either.right(response.data) :
                 either.left({ kind: "NodeUnreachable", detail: "the response is invalid" });
         }
         catch (error) {
@@ -80,13 +80,13 @@
         report: (node, query, signal) => call(
             node,
             zoneReportSchema,
-            (client, inner) => client.report.query(query, { signal: inner }),
+            (client, callSignal) => client.report.query(query, { signal: callSignal }),
             signal,
         ),
         drain: (node, query, signal) => call(
             node,
             drainAnswerSchema,
-            (client, inner) => client.drain.mutate(query, { signal: inner }),
+            (client, callSignal) => client.drain.mutate(query, { signal: callSignal }),
             signal,
         ),
     };
--- a/packages/oleandergap-node/src/control/fleetHandler.ts
+++ b/packages/oleandergap-node/src/control/fleetHandler.ts
@@ -10,7 +10,7 @@
 /** Maximum size of a request body, in bytes. */
 const MAX_QUERY_BYTES = 16 * 1024;
 
-const findProcedurePath = (request: IncomingMessage): string =>
+const extractProcedurePath = (request: IncomingMessage): string =>
     (request.url ?? "").slice(FLEET_PATH.length + 1).split("?")[0] ?? "";
 
 export const createFleetHandler = (context: FleetRouterContext, logger: Logger) =>
@@ -19,7 +19,7 @@
             router: fleetRouter,
             req: request,
             res: response,
-            path: findProcedurePath(request),
+            path: extractProcedurePath(request),
             createContext: () => Promise.resolve(context),
             maxBodySize: MAX_QUERY_BYTES,
             allowBatching: false,
--- a/packages/oleandergap-node/src/control/fleetKeyFile.ts
+++ b/packages/oleandergap-node/src/control/fleetKeyFile.ts
@@ -39,23 +39,24 @@
 }
 
 /**
- * Reloads the keys periodically and returns a reader for them. If the file is missing or invalid, the old keys stay.
+ * Reloads the keys periodically and returns a reader for them. If the file is missing or invalid, the old keys stay in
+ * use.
  */
 export const watchFleetKeys = ({ source, reloadMs, clock, logger, signal }: FleetKeyWatch): ReadFleetKeys => {
     let keys = source.initial;
     let lastProblem: string | undefined;
 
     const reload = async (): Promise<void> => {
-        const next = await source.load();
-        if (either.isRight(next)) {
-            keys = next.right;
+        const reloaded = await source.load();
+        if (either.isRight(reloaded)) {
+            keys = reloaded.right;
             lastProblem = undefined;
             return;
         }
-        if (next.left !== lastProblem) {
-            logger.warn("Reloading the fleet keys failed. The previous keys stay in use.", { problem: next.left });
+        if (reloaded.left !== lastProblem) {
+            logger.warn("Reloading the fleet keys failed. The previous keys stay in use.", { problem: reloaded.left });
         }
-        lastProblem = next.left;
+        lastProblem = reloaded.left;
     };
 
     const reloadRepeatedly = async (): Promise<void> => {
--- a/packages/oleandergap-node/src/control/fleetReport.ts
+++ b/packages/oleandergap-node/src/control/fleetReport.ts
@@ -45,8 +45,8 @@
         if (member.id === membership.self().id) {
             return { member, heads: [...ownHeads()] };
         }
-        const answer = await peers.heads(member, signal)();
-        return either.isRight(answer) ? { member, heads: answer.right.heads } : { member };
+        const response = await peers.heads(member, signal)();
+        return either.isRight(response) ? { member, heads: response.right.heads } : { member };
     };
 
     return async (query: ReportQuery, signal: AbortSignal): Promise<ZoneReport> => ({
@@ -83,14 +83,14 @@
     };
 
     const report: FleetPort["report"] = async (query, signal): Promise<FleetReport> => {
-        const [own, ...others] = await Promise.all([
+        const [localReport, ...otherOutcomes] = await Promise.all([
             reportLocalZone(query, signal),
             ...membership.zones().map((zone) => reportOtherZone(zone, query, signal)),
         ]);
-        const reports = [own, ...others.flatMap((other) => other.kind === "Known" ? [other.report] : [])];
+        const reports = [localReport, ...otherOutcomes.flatMap((other) => other.kind === "Known" ? [other.report] : [])];
         return {
             nodes: reports.flatMap(({ nodes }) => nodes.map(toFleetNode(query))),
-            unknownZones: others.flatMap((other) =>
+            unknownZones: otherOutcomes.flatMap((other) =>
                 other.kind === "Unknown" ? [{ zone: other.zone, detail: other.detail }] : []),
         };
     };
@@ -110,11 +110,11 @@
         if (node === undefined) {
             return either.left({ kind: "NoSuchTarget" });
         }
-        const answer = await client.drain(node, { service }, signal)();
-        if (either.isLeft(answer)) {
-            return answer;
+        const response = await client.drain(node, { service }, signal)();
+        if (either.isLeft(response)) {
+            return response;
         }
-        return answer.right.drained && answer.right.nodeId === nodeId ?
+        return response.right.drained && response.right.nodeId === nodeId ?
             either.right(undefined) :
             either.left({ kind: "NoSuchTarget" });
     };
--- a/packages/oleandergap-node/src/createControlPlane.ts
+++ b/packages/oleandergap-node/src/createControlPlane.ts
@@ -169,7 +169,7 @@
     store.subscribe(() => {
         membership.addZones([...store.view().values()].flatMap((table) => [...table.zones]));
     });
-    const zonesOf = ({ partner, service }: ServiceReference): readonly ZoneName[] => {
+    const listServiceZones = ({ partner, service }: ServiceReference): readonly ZoneName[] => {
         const table = store.view().get(partner);
         const row = table?.services.get(service);
         return table === undefined || row === undefined ? [] : listServingZones(table, row);
@@ -177,7 +177,7 @@
     const directory: TargetDirectory = createTargetDirectory({
         membership,
         fetchZone: createZoneFetcher({ clock, contactsOf: membership.contactsOf, peers }),
-        zones: zonesOf,
+        zones: listServiceZones,
         clock: backgroundClock,
         random,
         options: options.targetDirectory,
--- a/packages/oleandergap-node/src/gate/carefulServe.ts
+++ b/packages/oleandergap-node/src/gate/carefulServe.ts
@@ -1,7 +1,8 @@
 /**
  * Protects the local target from requests that are suspected of crashing targets. Contained requests are refused, and
- * suspect requests run one at a time. Two suspects that run concurrently would both be blamed for the same crash again,
- * so the whole fleet could end up refusing a harmless read that was retried together with the crashing request.
+ * suspect requests run one at a time. If two suspects ran concurrently, the same crash would count as evidence against
+ * both of them again, and the whole fleet could end up refusing a harmless read that was retried together with the
+ * crashing request.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Containment, Fingerprint, Judgement } from "oleandergap-containment";
--- a/packages/oleandergap-node/src/gate/claimedRun.ts
+++ b/packages/oleandergap-node/src/gate/claimedRun.ts
@@ -94,9 +94,9 @@
 
 /**
  * Returns the time by which a claim must be decided, which is earlier than the request's deadline. If both were the
- * same, this node and the gateway would time out together. The gateway only knows that it sent the request, so it would
- * report "may have run" for a request that never reached a target. A request that is running keeps its whole time,
- * because no more precise outcome can be reported before its deadline.
+ * same, this node and the gateway would time out together. The gateway has no information beyond the fact that the
+ * request was sent, so it would report "may have run" for a request that never reached a target. A request that is
+ * running keeps its whole time, because no more precise outcome can be reported before its deadline.
  */
 const computeClaimDeadline = (deadline: Milliseconds, now: Milliseconds): Milliseconds =>
     deadline - Math.min(MAX_REFUSAL_TRANSIT_MS, Math.max(0, deadline - now) * REFUSAL_TRANSIT_SHARE);
--- a/packages/oleandergap-node/src/gate/crashWatch.ts
+++ b/packages/oleandergap-node/src/gate/crashWatch.ts
@@ -28,7 +28,7 @@
 /** One run at the local target. */
 export interface ObservedRun {
     /** Marks the run as ended. Resolves with the id of the crash that caused the loss, if a crash did. */
-    readonly end: (how: RunEnd) => Promise<CrashId | undefined>;
+    readonly end: (runEnd: RunEnd) => Promise<CrashId | undefined>;
 }
 
 /** Observes the runs at the local target. */
@@ -185,13 +185,13 @@
             const lifetime = findLifetime(target);
             lifetime.running.add(request);
             return {
-                end: async (how) => {
+                end: async (runEnd) => {
                     lifetime.running.delete(request);
-                    if (how === "Completed") {
+                    if (runEnd === "Completed") {
                         return undefined;
                     }
-                    recordEndedRun(lifetime, request, how === "Lost" && isCurrent(target));
-                    return how === "Lost" ? findCrashOfLoss(target, lifetime) : undefined;
+                    recordEndedRun(lifetime, request, runEnd === "Lost" && isCurrent(target));
+                    return runEnd === "Lost" ? findCrashOfLoss(target, lifetime) : undefined;
                 },
             };
         },
--- a/packages/oleandergap-node/src/gate/gateHandler.ts
+++ b/packages/oleandergap-node/src/gate/gateHandler.ts
@@ -92,14 +92,14 @@
     return headerValue !== undefined && OBJECTIVE_PATTERN.test(headerValue) ? now + Number(headerValue) : undefined;
 };
 
-type GateHead = Omit<GateRequest, "body" | "onAdmitted" | "signal">;
+type GateRequestHead = Omit<GateRequest, "body" | "onAdmitted" | "signal">;
 
 /** Reads the request head. The timeout starts at `receivedAt`, the monotonic time at which the head was read. */
-const readHead = (
+const readRequestHead = (
     request: IncomingMessage,
     usualTimeoutMs: Milliseconds,
     receivedAt: Milliseconds,
-): Either<RequestFailure, GateHead> => {
+): Either<RequestFailure, GateRequestHead> => {
     const service = readService(request, SERVICE_HEADER);
     const requestId = readRequestHeader(request, REQUEST_ID_HEADER);
     if (service === undefined || requestId === undefined) {
@@ -157,7 +157,7 @@
             createGateHeaders(requestId),
         );
 
-    const serveBody = async (response: ServerResponse, head: GateHead, body: RequestBody): Promise<void> => {
+    const serveBody = async (response: ServerResponse, head: GateRequestHead, body: RequestBody): Promise<void> => {
         const progressSignals = startProgressSignals(clock, response, body.kind === "Streaming");
         const signal = callerSignals.create(response);
         const startedAt = clock.monotonic();
@@ -181,7 +181,7 @@
         response: ServerResponse,
         receivedAt: Milliseconds,
     ): Promise<void> => {
-        const head = readHead(request, dependencies.usualTimeoutMs, receivedAt);
+        const head = readRequestHead(request, dependencies.usualTimeoutMs, receivedAt);
         if (either.isLeft(head)) {
             refuse(response, head.left, readRequestHeader(request, REQUEST_ID_HEADER));
             return;
--- a/packages/oleandergap-node/src/gate/serveAtGate.ts
+++ b/packages/oleandergap-node/src/gate/serveAtGate.ts
@@ -34,7 +34,7 @@
     readonly explainFailure?: (startedAt: Milliseconds) => boolean;
     /** Observes the runs at the local target. If absent, crashes of the target are not attributed to requests. */
     readonly observeRun?: ObserveRun;
-    /** See `LoopLag`. */
+    /** Resolves when pending events have been processed; undefined if the event loop is not behind. See `LoopLag`. */
     readonly catchUp?: () => Promise<void> | undefined;
 }
 
@@ -89,15 +89,15 @@
 
 export const createServeAtGate = (dependencies: ServeAtGateDependencies): ServeAtGate => {
     const { clock, pools, dialect } = dependencies;
-    const latency = createLatencyMeter();
+    const latencyMeter = createLatencyMeter();
     let attemptCount = 0;
 
     const computeSilenceLimit = (request: GateRequest): Milliseconds | undefined => {
-        const unusualLatency = latency.unusualLatency();
-        const limit = Math.max(dependencies.minSilenceMs, unusualLatency ?? 0);
+        const unusualLatencyMs = latencyMeter.unusualLatency();
+        const limit = Math.max(dependencies.minSilenceMs, unusualLatencyMs ?? 0);
         const remaining = request.deadline - clock.monotonic();
         // A retry needs at least as much time as the first attempt had.
-        return unusualLatency === undefined || limit > remaining / 2 ? undefined : limit;
+        return unusualLatencyMs === undefined || limit > remaining / 2 ? undefined : limit;
     };
 
     const sendToTarget = async (target: LocalTarget, request: GateRequest): Promise<Outcome> => {
@@ -141,7 +141,7 @@
         // There is no other target to retry at, so the attempt that is still in flight is awaited.
         const outcome = await (watched.open?.outcome ?? watched.outcome);
         if (either.isRight(outcome)) {
-            latency.add(clock.monotonic() - startedAt);
+            latencyMeter.add(clock.monotonic() - startedAt);
         }
         return convertRefusal(dialect, outcome);
     };
--- a/packages/oleandergap-node/src/gate/watchedRun.ts
+++ b/packages/oleandergap-node/src/gate/watchedRun.ts
@@ -59,10 +59,10 @@
             await run.end("Completed");
             return failure;
         }
-        const how = classifyInterruption(request);
+        const runEnd = classifyInterruption(request);
         const ranMs = clock.monotonic() - startedAt;
-        const crash = await run.end(how);
-        if (how === "Lost") {
+        const crash = await run.end(runEnd);
+        if (runEnd === "Lost") {
             logLostRun({
                 fingerprint: fingerprintRequest(request, request.body),
                 attempt: request.requestId,
--- a/packages/oleandergap-node/src/profile/sampledProfile.ts
+++ b/packages/oleandergap-node/src/profile/sampledProfile.ts
@@ -28,7 +28,7 @@
 /** CPU time by part of the program, in milliseconds. */
 export type TimeByPart = ReadonlyMap<string, Milliseconds>;
 
-const IDLE = "(idle)";
+const IDLE_FUNCTION = "(idle)";
 const ENGINE_PARTS: ReadonlyMap<string, string> = new Map([
     ["(garbage collector)", "garbage collection"],
     ["(program)", "runtime outside JavaScript"],
@@ -36,28 +36,29 @@
 ]);
 /** Part for modules of the runtime that no part of this project called. */
 const RUNTIME_PART = "runtime";
-const OWN_PACKAGE = /packages\/oleandergap-([a-z]+)\/(?:src|lib)\/(?:([a-z]+)\/)?/;
-const ADAPTER = /(?:^|\/)platform\/(?:src|lib)\//;
-const LIBRARY = /node_modules\/((?:@[^/]+\/)?[^/]+)\//;
+const OWN_PACKAGE_PATTERN = /packages\/oleandergap-([a-z]+)\/(?:src|lib)\/(?:([a-z]+)\/)?/;
+const ADAPTER_PATTERN = /(?:^|\/)platform\/(?:src|lib)\//;
+const LIBRARY_PATTERN = /node_modules\/((?:@[^/]+\/)?[^/]+)\//;
 /** Package whose folders count as separate parts, because the daemon contains the whole request path. */
 const SPLIT_PACKAGE = "node";
 
 /** Returns the part that a file belongs to; undefined for the runtime and for libraries. */
 const findOwnPart = (file: string): string | undefined => {
-    if (LIBRARY.test(file)) {
+    if (LIBRARY_PATTERN.test(file)) {
         return undefined;
     }
-    const [, packageName, folder] = OWN_PACKAGE.exec(file) ?? [];
+    const [, packageName, folder] = OWN_PACKAGE_PATTERN.exec(file) ?? [];
     if (packageName !== undefined) {
         return packageName === SPLIT_PACKAGE && folder !== undefined ? `${packageName}/${folder}` : packageName;
     }
-    return ADAPTER.test(file) ? "adapter" : undefined;
+    return ADAPTER_PATTERN.test(file) ? "adapter" : undefined;
 };
 
 /** Returns the part of a function. The time of a library function counts for the part that called it. */
 const findPart = ({ position }: ProfileNode, callerPart: string | undefined): string => {
     const enginePart = ENGINE_PARTS.get(position.functionName);
-    return enginePart ?? findOwnPart(position.file) ?? callerPart ?? LIBRARY.exec(position.file)?.[1] ?? RUNTIME_PART;
+    return enginePart ?? findOwnPart(position.file) ?? callerPart ??
+        LIBRARY_PATTERN.exec(position.file)?.[1] ?? RUNTIME_PART;
 };
 
 /** Returns the part of each node by its id. Walks the call tree from the root, so callers are assigned first. */
@@ -86,12 +87,14 @@
 /** Returns the CPU time by part, excluding idle time. */
 export const sumProfile = ({ nodes, samples, intervals }: SampledProfile): TimeByPart => {
     const parts = assignParts(nodes);
-    const idle = new Set(nodes.filter(({ position }) => position.functionName === IDLE).map(({ id }) => id));
+    const idleNodeIds = new Set(
+        nodes.filter(({ position }) => position.functionName === IDLE_FUNCTION).map(({ id }) => id),
+    );
     const times = new Map<string, Milliseconds>();
     samples.forEach((id, index) => {
         // The time until the next sample counts for this one.
         const interval = intervals[index + 1] ?? 0;
-        if (!idle.has(id)) {
+        if (!idleNodeIds.has(id)) {
             const part = parts.get(id) ?? RUNTIME_PART;
             times.set(part, (times.get(part) ?? 0) + Math.max(0, interval));
         }
@@ -108,7 +111,7 @@
     const times = new Map<string, Milliseconds>();
     samples.forEach((id, index) => {
         const position = byId.get(id)?.position;
-        if (position !== undefined && position.functionName !== IDLE) {
+        if (position !== undefined && position.functionName !== IDLE_FUNCTION) {
             const file = position.file.split("/").slice(-2).join("/");
             const name = `${position.functionName === "" ? "(anonymous)" : position.functionName} ${file}`.trim();
             times.set(name, (times.get(name) ?? 0) + Math.max(0, intervals[index + 1] ?? 0));
--- a/packages/oleandergap-node/src/profile/sampler.ts
+++ b/packages/oleandergap-node/src/profile/sampler.ts
@@ -16,36 +16,36 @@
     readonly stop: () => SampledProfile | undefined;
 }
 
-const toFile = (url: string): string => url.startsWith("file:") ? fileURLToPath(url) : url;
+const toFilePath = (url: string): string => url.startsWith("file:") ? fileURLToPath(url) : url;
 
 /** Creates a lookup of source positions in bundled files. Each file's source map is loaded once. */
 const createSourceLookup = (): ((frame: Profiler.ProfileNode["callFrame"]) => SourcePosition) => {
-    const maps = new Map<string, TraceMap | undefined>();
+    const mapsByFile = new Map<string, TraceMap | undefined>();
     const readMap = (file: string): TraceMap | undefined => {
         const mapFile = `${file}.map`;
         return file.startsWith("/") && existsSync(mapFile) ? new TraceMap(readFileSync(mapFile, "utf8")) : undefined;
     };
     return ({ url, functionName, lineNumber, columnNumber }) => {
-        const file = toFile(url);
-        if (!maps.has(file)) {
-            maps.set(file, readMap(file));
+        const file = toFilePath(url);
+        if (!mapsByFile.has(file)) {
+            mapsByFile.set(file, readMap(file));
         }
-        const map = maps.get(file);
+        const map = mapsByFile.get(file);
         // The wrapper function of a bundle has a column before the first one.
         if (map === undefined || columnNumber < 0) {
             return { file, functionName };
         }
         // The engine counts lines from zero, the source map from one.
-        const found = originalPositionFor(map, { line: lineNumber + 1, column: columnNumber });
-        return { file: found.source ?? file, functionName: found.name ?? functionName };
+        const originalPosition = originalPositionFor(map, { line: lineNumber + 1, column: columnNumber });
+        return { file: originalPosition.source ?? file, functionName: originalPosition.name ?? functionName };
     };
 };
 
 const toProfile = (
     { nodes, samples = [], timeDeltas = [] }: Profiler.Profile,
-    locate: (frame: Profiler.ProfileNode["callFrame"]) => SourcePosition,
+    resolvePosition: (frame: Profiler.ProfileNode["callFrame"]) => SourcePosition,
 ): SampledProfile => ({
-    nodes: nodes.map(({ id, callFrame, children = [] }) => ({ id, position: locate(callFrame), children })),
+    nodes: nodes.map(({ id, callFrame, children = [] }) => ({ id, position: resolvePosition(callFrame), children })),
     samples,
     intervals: timeDeltas.map((microseconds) => microseconds / MILLISECONDS_PER_SECOND),
 });
@@ -56,14 +56,14 @@
     session.connect();
     session.post("Profiler.enable");
     session.post("Profiler.setSamplingInterval", { interval: SAMPLING_INTERVAL_MS * MILLISECONDS_PER_SECOND });
-    const locate = createSourceLookup();
+    const resolvePosition = createSourceLookup();
     return {
         start: () => session.post("Profiler.start"),
         stop: () => {
             let profile: SampledProfile | undefined;
             // The engine calls the callback synchronously.
             session.post("Profiler.stop", (_error, result?: Profiler.StopReturnType) => {
-                profile = result && toProfile(result.profile, locate);
+                profile = result && toProfile(result.profile, resolvePosition);
             });
             return profile;
         },
--- a/packages/oleandergap-node/src/stopNode.ts
+++ b/packages/oleandergap-node/src/stopNode.ts
@@ -69,8 +69,8 @@
 };
 
 /**
- * Abandons the remaining requests with a final response. If the connection were just closed, a caller would not know
- * whether its request ran or when to retry.
+ * Abandons the remaining requests with a final response. If the connection were just closed, a caller could not
+ * determine whether its request ran or when to retry.
  */
 const abandonRemaining = async (
     { clock, logger, requestPath, signal }: LifecycleDependencies,
@@ -79,9 +79,9 @@
     logger.warn("The drain timeout has passed; the remaining requests are abandoned.");
     requestPath.abandonAll();
     await clock.sleep(FINAL_RESPONSE_MS, signal);
-    const late = startTimeLimit(clock, LATE_RESPONSE_MS, signal);
-    await listeners.gateway.drain(0, late.signal);
-    late.cancel();
+    const lateLimit = startTimeLimit(clock, LATE_RESPONSE_MS, signal);
+    await listeners.gateway.drain(0, lateLimit.signal);
+    lateLimit.cancel();
 };
 
 const closeConnections = async (dependencies: LifecycleDependencies, listeners: NodeListeners): Promise<void> => {
--- a/packages/oleandergap-node/src/stopStages.ts
+++ b/packages/oleandergap-node/src/stopStages.ts
@@ -59,8 +59,8 @@
     const closeGateway = async (targetClosed: Promise<void>): Promise<void> => {
         await clock.sleep(acceptMs, signal);
         if (!canIdentifyLocalTarget) {
-            const left = Math.max(0, serveLongestMs - (clock.monotonic() - startedAt));
-            await Promise.race([targetClosed, clock.sleep(left, signal)]);
+            const remainingMs = Math.max(0, serveLongestMs - (clock.monotonic() - startedAt));
+            await Promise.race([targetClosed, clock.sleep(remainingMs, signal)]);
         }
         refuseCallers();
         await clock.sleep(lingerMs, signal);
--- a/packages/oleandergap-node/src/target/expiry.ts
+++ b/packages/oleandergap-node/src/target/expiry.ts
@@ -19,9 +19,9 @@
 
     const restart = (): void => {
         cancelTimer();
-        const due = clock.monotonic() + timeoutMs;
+        const dueAt = clock.monotonic() + timeoutMs;
         cancelTimer = clock.after(timeoutMs, () => {
-            const isLate = clock.monotonic() - due > timeoutMs / 2;
+            const isLate = clock.monotonic() - dueAt > timeoutMs / 2;
             if (isLate) {
                 restart();
             }
--- a/packages/oleandergap-node/src/target/targetKeeper.ts
+++ b/packages/oleandergap-node/src/target/targetKeeper.ts
@@ -101,7 +101,7 @@
  * an announcement may come from a foreign writer. If it replaced the current target, requests for a healthy target
  * would be refused.
  */
-const isUnknownServiceBesideTarget = (
+const isUnknownServiceReplacement = (
     target: LocalTarget | undefined,
     announcement: Announcement,
     limitOf: TargetKeeperDependencies["limitOf"],
@@ -113,7 +113,7 @@
  * counted as new, it would receive the reduced share of a cold target during the whole slow start, and other targets
  * would receive its load.
  */
-const estimateStart = (
+const estimateStartTime = (
     { clock, slowStartMs }: TargetKeeperDependencies,
     { coldLeftMs }: Announcement,
 ): Milliseconds => clock.now() - (coldLeftMs === undefined ? 0 : Math.max(0, slowStartMs - coldLeftMs));
@@ -179,16 +179,16 @@
         }
     };
 
-    const install = (announcement: Announcement): void => {
+    const installTarget = (announcement: Announcement): void => {
         const gate = dependencies.createGate(CLOSED_LIMIT, 0);
-        const since = estimateStart(dependencies, announcement);
+        const since = estimateStartTime(dependencies, announcement);
         target = { announcement, gate, since, leaving: false, predecessorGate: disappearedGate };
         applyLimit(dependencies, target);
         publish();
         logger.info("A target was announced.", { ...describeTarget(announcement) });
     };
 
-    const update = (local: LocalTarget, announcement: Announcement): void => {
+    const updateTarget = (local: LocalTarget, announcement: Announcement): void => {
         const isChanged = local.announcement.slots !== announcement.slots ||
             local.announcement.connections !== announcement.connections;
         target = { ...local, announcement };
@@ -205,7 +205,7 @@
         if (isStopping) {
             return;
         }
-        if (isUnknownServiceBesideTarget(target, announcement, dependencies.limitOf)) {
+        if (isUnknownServiceReplacement(target, announcement, dependencies.limitOf)) {
             logger.warn("Ignored an announcement of an unknown service.", { ...describeTarget(announcement) });
             return;
         }
@@ -214,14 +214,14 @@
         }
         heartbeatTimer.restart();
         if (target !== undefined && isSameTarget(target.announcement, announcement)) {
-            update(target, announcement);
+            updateTarget(target, announcement);
             return;
         }
         if (target !== undefined) {
             removeTarget();
             heartbeatTimer.restart();
         }
-        install(announcement);
+        installTarget(announcement);
         if (announcement.leaving && target !== undefined) {
             startLeaving(target);
         }
