--- a/packages/oleandergap-node/src/gate/gateHandler.ts
+++ b/packages/oleandergap-node/src/gate/gateHandler.ts
@@ -94,8 +94,8 @@
 
 type GateRequestHead = Omit<GateRequest, "body" | "onAdmitted" | "signal">;
 
-/** Reads the request head. The timeout starts at `receivedAt`, the monotonic time at which the head was read. */
-const readRequestHead = (
+/** Parses the request head. The timeout starts at `receivedAt`, the monotonic time at which the head was read. */
+const parseRequestHead = (
     request: IncomingMessage,
     usualTimeoutMs: Milliseconds,
     receivedAt: Milliseconds,
@@ -181,7 +181,7 @@
         response: ServerResponse,
         receivedAt: Milliseconds,
     ): Promise<void> => {
-        const head = readRequestHead(request, dependencies.usualTimeoutMs, receivedAt);
+        const head = parseRequestHead(request, dependencies.usualTimeoutMs, receivedAt);
         if (either.isLeft(head)) {
             refuse(response, head.left, readRequestHeader(request, REQUEST_ID_HEADER));
             return;
