--- a/packages/oleandergap-configuration/src/store/deltaHistory.ts
+++ b/packages/oleandergap-configuration/src/store/deltaHistory.ts
@@ -1,11 +1,11 @@
 /** The latest deltas of one partner, kept for peers that are a little behind. */
-import { getBaseSequence, MAX_CELLS_PER_STEP, type Delta, type Sequence } from "oleandergap-types";
+import { getBaseSequence, MAX_CELLS_PER_DELTA, type Delta, type Sequence } from "oleandergap-types";
 
 /**
  * Most changed cells kept, so that many large changes cannot fill the memory of a node: one step of the largest size,
  * 6 MB of heap (20,000 cells of routes, measured alone).
  */
-const MAX_CHANGES_KEPT = MAX_CELLS_PER_STEP;
+const MAX_CHANGES_KEPT = MAX_CELLS_PER_DELTA;
 
 /** A run of deltas without gaps that ends at the version in force. */
 export interface DeltaHistory {
--- a/packages/oleandergap-configuration/src/version/delta.ts
+++ b/packages/oleandergap-configuration/src/version/delta.ts
@@ -4,7 +4,7 @@
 import {
     getBaseSequence,
     MAX_CELLS_PER_CHANGE,
-    MAX_CELLS_PER_STEP,
+    MAX_CELLS_PER_DELTA,
     type CellChange,
     type Delta,
     type PartnerDocument,
@@ -79,11 +79,11 @@
 export const deriveDelta = (previous: PartnerDocument, next: PartnerDocument): Delta | undefined => {
     const [before, after] = [getRowIndex(previous), getRowIndex(next)];
     const rows = listChangedRows(before, after);
-    if (rows.length > MAX_CELLS_PER_STEP) {
+    if (rows.length > MAX_CELLS_PER_DELTA) {
         return undefined;
     }
     const usefulLength = Math.max(MAX_CELLS_PER_CHANGE, MAX_CHANGED_SHARE * after.cellCount);
-    const maximum = Math.min(MAX_CELLS_PER_STEP, usefulLength);
+    const maximum = Math.min(MAX_CELLS_PER_DELTA, usefulLength);
     // A node's first version is far from the empty one before it; its ten thousand changes need not be put together.
     if (countForeignCells(rows, before, after) > maximum) {
         return undefined;
--- a/packages/oleandergap-containment/src/__tests__/evidenceNetwork.ts
+++ b/packages/oleandergap-containment/src/__tests__/evidenceNetwork.ts
@@ -91,8 +91,8 @@
             network: {
                 members: () => zoneMembers.filter(({ id }) => findNode(id).isUp),
                 contacts: () => contacts,
-                isNear: ({ zone }) => zone === self.zone,
-                isFirst: () => zoneMembers.every(({ id }) => !findNode(id).isUp || self.id < id),
+                isInSameZone: ({ zone }) => zone === self.zone,
+                isFirstInZone: () => zoneMembers.every(({ id }) => !findNode(id).isUp || self.id < id),
                 send: (to, message) => {
                     const text = JSON.stringify(message);
                     network.datagramCount += 1;
--- a/packages/oleandergap-containment/src/evidenceSpread.ts
+++ b/packages/oleandergap-containment/src/evidenceSpread.ts
@@ -39,9 +39,9 @@
     readonly members: () => readonly Peer[];
     /** Some nodes of each other availability zone. */
     readonly contacts: () => readonly Peer[];
-    readonly isNear: (peer: Peer) => boolean;
+    readonly isInSameZone: (peer: Peer) => boolean;
     /** Returns whether this node is the first of its zone, in an order that all members of the zone share. */
-    readonly isFirst: () => boolean;
+    readonly isFirstInZone: () => boolean;
     /** Sends a message without guaranteed delivery. */
     readonly send: (to: Peer, message: EvidenceMessage) => void;
 }
@@ -122,7 +122,7 @@
      * double the datagrams.
      */
     const forwardEvidence = (from: Peer, evidence: Evidence): void => {
-        if (!network.isNear(from)) {
+        if (!network.isInSameZone(from)) {
             sendToMembers(evidence, FANOUT);
         }
         else if (network.members().length > FANOUT) {
@@ -174,7 +174,7 @@
         random,
         logger,
         queryPeers: () => pickPeers(PEERS_PER_QUERY).forEach((peer) => sendComparison(peer, false)),
-        isFirstInZone: network.isFirst,
+        isFirstInZone: network.isFirstInZone,
         load: loadContained,
         onLoaded: handleLoadedEvidence,
         signal,
--- a/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
@@ -49,7 +49,7 @@
             expect(from).to.deep.equal({ id: "hall-a-1", zone: "hall-a", address: "127.0.0.1", controlPort: 1_024 });
             heard.push(received);
         });
-        await spread.others.open((payload) => passed.push(payload), new AbortController().signal)();
+        await spread.remainingTransport.open((payload) => passed.push(payload), new AbortController().signal)();
         spread.send(to, message);
         const [payload] = loop.sent;
         expect(payload?.length).to.be.within(1, 400);
@@ -69,7 +69,7 @@
         spread.onMessage(() => {
             heard += 1;
         });
-        await spread.others.open(() => undefined, new AbortController().signal)();
+        await spread.remainingTransport.open(() => undefined, new AbortController().signal)();
         spread.send(to, message);
         const whole = loop.sent[0] ?? new Uint8Array();
         for (let length = 1; length < whole.length; length += 7) {
--- a/packages/oleandergap-distribution/src/spreadTransport.ts
+++ b/packages/oleandergap-distribution/src/spreadTransport.ts
@@ -29,4 +29,4 @@
 
 /** Wraps a transport. */
 export const createSpreadTransport = (dependencies: SpreadTransportDependencies): SpreadTransport =>
-    createMessageTransport({ ...dependencies, mark: SPREAD_MARK, schema: spreadMessageSchema });
+    createMessageTransport({ ...dependencies, markerByte: SPREAD_MARK, schema: spreadMessageSchema });
--- a/packages/oleandergap-idempotency/src/measure/memoryTable.ts
+++ b/packages/oleandergap-idempotency/src/measure/memoryTable.ts
@@ -6,7 +6,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import {
     isConditionMet,
-    UNTOLD_ERA,
+    DEFAULT_STORE_ERA,
     type Clock,
     type Milliseconds,
     type PlatformError,
@@ -59,7 +59,7 @@
             const version = (rows.get(operation.key)?.version.version ?? 0) + 1;
             rows.set(operation.key, {
                 key: operation.key,
-                version: { era: UNTOLD_ERA, version },
+                version: { era: DEFAULT_STORE_ERA, version },
                 value: structuredClone(operation.value),
             });
             counts.rowWrites += 1;
--- a/packages/oleandergap-idempotency/src/ownership/nodeLease.ts
+++ b/packages/oleandergap-idempotency/src/ownership/nodeLease.ts
@@ -4,7 +4,7 @@
  */
 import * as either from "fp-ts/lib/Either.js";
 import {
-    UNTOLD_ERA,
+    DEFAULT_STORE_ERA,
     type Clock,
     type Milliseconds,
     type RowCondition,
@@ -43,7 +43,7 @@
  * then reads the row.
  */
 const nextVersion = (version: RowVersion | undefined): RowVersion =>
-    ({ era: version?.era ?? UNTOLD_ERA, version: (version?.version ?? 0) + 1 });
+    ({ era: version?.era ?? DEFAULT_STORE_ERA, version: (version?.version ?? 0) + 1 });
 
 export const createNodeLease = (dependencies: NodeLeaseDependencies): NodeLease => {
     const { reader, writer, clock, logger, holder, options } = dependencies;
--- a/packages/oleandergap-membership/src/messageTransport.ts
+++ b/packages/oleandergap-membership/src/messageTransport.ts
@@ -25,7 +25,7 @@
 /** Datagram transport for the messages of one component, shared with other components. */
 export interface MessageTransport<Message> {
     /** Transport for all other datagrams, to be passed to the next component. */
-    readonly others: DatagramTransport;
+    readonly remainingTransport: DatagramTransport;
     /** Sends a message without a delivery guarantee. */
     readonly send: (to: Pick<Contact, "address" | "controlPort">, message: Message) => void;
     /** Sets the listener that receives each arriving message. A new listener replaces the previous one. */
@@ -42,7 +42,7 @@
      * First byte of the component's datagrams, 0xc0 or 0xc1. Membership datagrams are MessagePack arrays, which never
      * start with one of these bytes.
      */
-    readonly mark: number;
+    readonly markerByte: number;
     readonly schema: z.ZodType<Message>;
 }
 
@@ -57,7 +57,7 @@
 
 /** Creates a message transport that wraps a datagram transport. */
 export const createMessageTransport = <Message>(
-    { transport, self, mark, schema }: MessageTransportDependencies<Message>,
+    { transport, self, markerByte, schema }: MessageTransportDependencies<Message>,
 ): MessageTransport<Message> => {
     const datagramSchema = z.strictObject({ id: nodeIdSchema, zone: zoneNameSchema, message: schema });
     const counts = { messagesSent: 0, bytesSent: 0, messagesReceived: 0, bytesReceived: 0, dropped: 0 };
@@ -77,9 +77,9 @@
     };
 
     return {
-        others: {
+        remainingTransport: {
             open: (receive, signal) => transport.open((payload, from) => {
-                if (payload[0] === mark) {
+                if (payload[0] === markerByte) {
                     receiveDatagram(payload, from);
                     return;
                 }
@@ -89,7 +89,7 @@
         },
         send: (to, message) => {
             const { id, zone } = self;
-            const payload = Buffer.concat([Buffer.of(mark), packText(JSON.stringify({ id, zone, message }))]);
+            const payload = Buffer.concat([Buffer.of(markerByte), packText(JSON.stringify({ id, zone, message }))]);
             counts.messagesSent += 1;
             counts.bytesSent += payload.byteLength;
             transport.send({ address: to.address, port: to.controlPort }, payload);
--- a/packages/oleandergap-node/src/__tests__/crashModel.ts
+++ b/packages/oleandergap-node/src/__tests__/crashModel.ts
@@ -25,8 +25,8 @@
 import { createContainmentGuard, createContainmentCheck } from "../gate/carefulServe.js";
 import { createCrashDetector, type CrashDetector } from "../gate/crashWatch.js";
 import type { GateRequest, ServeAtGate } from "../gate/gateRequest.js";
-import { createRequestCare } from "../gateway/requestCare.js";
-import { createWholeBody } from "../http/answer.js";
+import { createRequestContainment } from "../gateway/requestCare.js";
+import { createBufferedBody } from "../http/answer.js";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
 import type { LocalTarget } from "../target/targetKeeper.js";
 
@@ -195,7 +195,7 @@
         if (ignoresGoodRuns !== true) {
             node.containment.noteGoodRun(fingerprintRequest(request, request.body));
         }
-        return either.right({ statusCode: 200, headers: {}, body: createWholeBody(Buffer.from("read")) });
+        return either.right({ statusCode: 200, headers: {}, body: createBufferedBody(Buffer.from("read")) });
     };
 
     const startNode = (node: SimulatedNode): void => {
@@ -212,8 +212,8 @@
             network: {
                 members: () => nodes.filter((other) => other !== node && zoneOf(other) === zoneOf(node)),
                 contacts: () => nodes.filter((other) => zoneOf(other) !== zoneOf(node)).slice(0, 6),
-                isNear: (other) => zoneOf(other) === zoneOf(node),
-                isFirst: () => nodes.find((other) => zoneOf(other) === zoneOf(node)) === node,
+                isInSameZone: (other) => zoneOf(other) === zoneOf(node),
+                isFirstInZone: () => nodes.find((other) => zoneOf(other) === zoneOf(node)) === node,
                 send: (to, message) => send(node, to, message),
             },
             tableService,
@@ -263,11 +263,11 @@
         }
         const { containment } = gatewayNode;
         const evidence = ignoresGoodRuns === true ? { ...containment, hearGoodRun: () => undefined } : containment;
-        const care = createRequestCare(evidence)(request, body);
+        const care = createRequestContainment(evidence)(request, body);
         const allowedTargets = care.chooseTargets(nodes.map(({ member }) => member));
         const triedNodeIds = new Set<string>();
         for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
-            const refusal = care.findObstacle(attempts);
+            const refusal = care.findRefusal(attempts);
             const targetNode = pickOne(random, nodes.filter((node) =>
                 allowedTargets.includes(node.member) && !triedNodeIds.has(node.member.nodeId) &&
                 node.target !== undefined && !arePartitioned(gatewayNode, node)));
@@ -282,14 +282,14 @@
                 objective: undefined, signal: new AbortController().signal, onAdmitted: () => undefined,
             });
             if (either.isRight(outcome)) {
-                care.watchAnswer(outcome.right).body.deliver({
+                care.observeResponse(outcome.right).body.deliver({
                     write: () => true, end: () => undefined, fail: () => undefined,
                 });
                 return outcome;
             }
             lastFailure = outcome.left;
             lostResponse ??= lastFailure.verdict === "notRun" ? undefined : lastFailure;
-            care.noteFailure(targetNode.member, lastFailure);
+            care.recordFailure(targetNode.member, lastFailure);
             if (lastFailure.verdict !== "notRun" && !isRetryable) {
                 return outcome;
             }
--- a/packages/oleandergap-node/src/__tests__/crashes.test.ts
+++ b/packages/oleandergap-node/src/__tests__/crashes.test.ts
@@ -8,18 +8,18 @@
 import { fingerprintRequest } from "../http/requestFingerprint.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import {
-    call,
+    sendHttpRequest,
     createAnnouncement,
     createCleanup,
-    createLoneContainment,
-    gateHeaders,
+    createIsolatedContainment,
+    createGateHeaders,
     LOOPBACK,
     startGate,
     startRawTarget,
-    until,
+    waitUntil,
     type CallOptions,
     type GateHarness,
-    type Received,
+    type ReceivedResponse,
 } from "./support.js";
 
 /** A target that can crash like a killed process. */
@@ -64,7 +64,7 @@
 
     const startGateWithTarget = async (
         target: CrashableTarget,
-        containment: Containment<never> = createLoneContainment(clock),
+        containment: Containment<never> = createIsolatedContainment(clock),
     ): Promise<GateHarness> => {
         const gate = await startGate(cleanup.add, { clock, containment });
         gate.keeper.announce(createAnnouncement(target.port));
@@ -75,18 +75,18 @@
         { port }: Pick<CallOptions, "port">,
         path: string,
         options: Partial<CallOptions> = {},
-    ): Promise<Received> =>
-        call({ port, path, headers: gateHeaders({ host: HOST }), ...options });
+    ): Promise<ReceivedResponse> =>
+        sendHttpRequest({ port, path, headers: createGateHeaders({ host: HOST }), ...options });
 
     const recordThreeCrashes = (containment: Containment<never>, path: string): void =>
         [1, 2, 3].forEach((crash) => containment.noteCrash(`c-${crash}`, `node-${crash}`, fingerprintOf(path)));
 
     it("is reported as a crash together with all requests that were running concurrently", async () => {
-        const containment = createLoneContainment(clock);
+        const containment = createIsolatedContainment(clock);
         const target = await startCrashableTarget();
         const gate = await startGateWithTarget(target, containment);
         const concurrentRequest = sendRequest(gate, "/held/1");
-        await until(() => target.held.length === 1);
+        await waitUntil(() => target.held.length === 1);
         const answers = [await sendRequest(gate, CRASH_PATH), await concurrentRequest];
 
         expect(answers.map(({ statusCode }) => statusCode)).to.deep.equal([502, 502]);
@@ -97,7 +97,7 @@
     });
 
     it("is reported as a crash even if its target has restarted before the connection loss is read", async () => {
-        const containment = createLoneContainment(clock);
+        const containment = createIsolatedContainment(clock);
         const port = await startRawTarget(cleanup.add, (socket) => socket.once("data", () => socket.destroy()));
         const gate = await startGate(cleanup.add, { clock, containment });
         gate.keeper.announce(createAnnouncement(port, { instanceId: "first" }));
@@ -133,7 +133,7 @@
     });
 
     it("is not suspected if its target leaves before another target replaces it", async () => {
-        const containment = createLoneContainment(clock);
+        const containment = createIsolatedContainment(clock);
         const port = await startRawTarget(cleanup.add, (socket) => socket.once("data", () => socket.destroy()));
         const gate = await startGate(cleanup.add, { clock, containment });
         gate.keeper.announce(createAnnouncement(port, { instanceId: "first" }));
@@ -146,7 +146,7 @@
     });
 
     it("is not suspected if its target resets the connection but keeps listening", async () => {
-        const containment = createLoneContainment(clock);
+        const containment = createIsolatedContainment(clock);
         const port = await startRawTarget(cleanup.add, (socket) => socket.once("data", () => socket.destroy()));
         const gate = await startGate(cleanup.add, { clock, containment });
         gate.keeper.announce(createAnnouncement(port));
@@ -158,11 +158,11 @@
     });
 
     it("is not suspected if its target ends after announcing that it leaves", async () => {
-        const containment = createLoneContainment(clock);
+        const containment = createIsolatedContainment(clock);
         const target = await startCrashableTarget();
         const gate = await startGateWithTarget(target, containment);
         const heldRequest = sendRequest(gate, "/held/1");
-        await until(() => target.held.length === 1);
+        await waitUntil(() => target.held.length === 1);
         gate.keeper.announce(createAnnouncement(target.port, { leaving: true }));
         target.crash();
         await heldRequest;
@@ -185,9 +185,9 @@
         const gate = await startGate(cleanup.add, { clock });
         gate.keeper.announce(createAnnouncement(target.port, { slots: 1 }));
         const running = sendRequest(gate, "/held/1");
-        await until(() => target.held.length === 1);
+        await waitUntil(() => target.held.length === 1);
         const waiting = sendRequest(gate, "/read");
-        await until(() => gate.keeper.current()?.gate.load().queued === 1);
+        await waitUntil(() => gate.keeper.current()?.gate.load().queued === 1);
         target.crash();
         await running;
 
@@ -195,7 +195,7 @@
     });
 
     it("is refused by the gateway and by the gate when it is contained", async () => {
-        const containment = createLoneContainment(clock);
+        const containment = createIsolatedContainment(clock);
         recordThreeCrashes(containment, "/read");
         const gate = await startGateWithTarget(await startCrashableTarget(), containment);
         const targets = [createMember("a", gate.port)];
@@ -212,23 +212,23 @@
     it("does not run concurrently with another suspect at the same target", async () => {
         const target = await startCrashableTarget();
         const gate = await startGateWithTarget(target);
-        const suspect = { headers: gateHeaders({ host: HOST, "oleandergap-suspect": "yes" }) };
+        const suspect = { headers: createGateHeaders({ host: HOST, "oleandergap-suspect": "yes" }) };
         const first = sendRequest(gate, "/held/1", suspect);
-        await until(() => target.held.length === 1);
+        await waitUntil(() => target.held.length === 1);
         const second = sendRequest(gate, "/held/2", suspect);
         expect((await sendRequest(gate, "/read")).statusCode).to.equal(200);
         expect(target.held.length).to.equal(1);
         target.held[0]?.end("first");
-        await until(() => target.held.length === 2);
+        await waitUntil(() => target.held.length === 2);
         target.held[1]?.end("second");
 
         expect((await first).body.toString() + (await second).body.toString()).to.equal("firstsecond");
     });
 
     it("is not retried after its second crash, even if other targets are available", async () => {
-        const containment = createLoneContainment(clock);
+        const containment = createIsolatedContainment(clock);
         const targetsWithGates = await Promise.all(["a", "b", "c", "d"].map(async (id) => {
-            const gate = await startGateWithTarget(await startCrashableTarget(), createLoneContainment(clock, id));
+            const gate = await startGateWithTarget(await startCrashableTarget(), createIsolatedContainment(clock, id));
             return { id, gate };
         }));
         const targets = targetsWithGates.map(({ id, gate }) => createMember(id, gate.port));
@@ -243,16 +243,16 @@
     it("costs a concurrent read only one retry", async () => {
         const crashableTargets = [await startCrashableTarget(), await startCrashableTarget()];
         const targets = await Promise.all(crashableTargets.map(async (target, index) => {
-            const gate = await startGateWithTarget(target, createLoneContainment(clock, `node-${index}`));
+            const gate = await startGateWithTarget(target, createIsolatedContainment(clock, `node-${index}`));
             return createMember(`node-${index}`, gate.port);
         }));
         const gateway = await startGateway(cleanup.add, { clock, targets });
         const read = sendRequest(gateway, "/held/1");
-        await until(() => crashableTargets.some(({ held }) => held.length === 1));
+        await waitUntil(() => crashableTargets.some(({ held }) => held.length === 1));
         const crashingTarget = crashableTargets.find(({ held }) => held.length === 1);
         const healthyTarget = crashableTargets.find((target) => target !== crashingTarget);
         crashingTarget?.crash();
-        await until(() => healthyTarget?.held.length === 1);
+        await waitUntil(() => healthyTarget?.held.length === 1);
         healthyTarget?.held[0]?.end("read after all");
 
         expect((await read).body.toString()).to.equal("read after all");
@@ -260,12 +260,12 @@
 
     it("is sent to the same single target by every gateway while on probation", async () => {
         const targets = await Promise.all(["a", "b", "c", "d"].map(async (id) => {
-            const gate = await startGateWithTarget(await startCrashableTarget(), createLoneContainment(clock, id));
+            const gate = await startGateWithTarget(await startCrashableTarget(), createIsolatedContainment(clock, id));
             return { id, gate };
         }));
         const members = targets.map(({ id, gate }) => createMember(id, gate.port));
         for (let gatewayNumber = 0; gatewayNumber < 3; gatewayNumber++) {
-            const containment = createLoneContainment(clock);
+            const containment = createIsolatedContainment(clock);
             [1, 2].forEach((crash) => containment.noteCrash(`c-${crash}`, "x", fingerprintOf(CRASH_PATH)));
             const gateway = await startGateway(cleanup.add, { clock, targets: members, containment });
             await sendRequest(gateway, CRASH_PATH);
@@ -275,14 +275,14 @@
     });
 
     it("is cleared by a complete response that is not an error", async () => {
-        const containment = createLoneContainment(clock);
+        const containment = createIsolatedContainment(clock);
         containment.noteCrash("c-1", "node-1", fingerprintOf("/read"));
         containment.noteCrash("c-1", "node-1", fingerprintOf("/held/1"));
         const target = await startCrashableTarget();
         const gate = await startGateWithTarget(target, containment);
         await sendRequest(gate, "/read");
         const failed = sendRequest(gate, "/held/1");
-        await until(() => target.held.length === 1);
+        await waitUntil(() => target.held.length === 1);
         target.held[0]?.writeHead(500).end();
         await failed;
 
@@ -291,7 +291,7 @@
     });
 
     it("is not fingerprinted while there is no evidence against any request", async () => {
-        const containment = createLoneContainment(createManualClock());
+        const containment = createIsolatedContainment(createManualClock());
         const judgedFingerprints: string[] = [];
         const recordingContainment = {
             ...containment,
--- a/packages/oleandergap-node/src/__tests__/cutAnswers.test.ts
+++ b/packages/oleandergap-node/src/__tests__/cutAnswers.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { createManualClock, createSystemClock } from "oleandergap-utils";
-import { createLoopLag } from "../http/loopLag.js";
-import { call, createAnnouncement, createCleanup, startGate, startRawTarget } from "./support.js";
+import { createEventLoopLagMonitor } from "../http/loopLag.js";
+import { sendHttpRequest, createAnnouncement, createCleanup, startGate, startRawTarget } from "./support.js";
 
 const HEAD = "HTTP/1.1 200 OK\r\nconnection: close\r\n";
 
@@ -32,8 +32,8 @@
             "oleandergap-request-id": "a",
             "oleandergap-timeout-ms": "5000",
         };
-        const received = await call({ port: gate.port, path: "/", headers });
-        return { whole: received.whole, body: received.body.toString("utf8") };
+        const received = await sendHttpRequest({ port: gate.port, path: "/", headers });
+        return { whole: received.isComplete, body: received.body.toString("utf8") };
     };
 
     // Guards against a part of a document that is delivered as the complete document. A target responds with
@@ -77,7 +77,7 @@
         const turn = async (): Promise<void> => {
             turns += 1;
         };
-        const lag = createLoopLag({ clock, nextTurn: turn, onPause: (lagMs) => pauses.push(lagMs) });
+        const lag = createEventLoopLagMonitor({ clock, nextTurn: turn, onPause: (lagMs) => pauses.push(lagMs) });
         const abortController = new AbortController();
         lag.start(abortController.signal);
         await clock.advance(200);
@@ -99,7 +99,7 @@
      */
     it("schedules the next check a full interval after the last one while requests arrive", async () => {
         const clock = createManualClock(1_000_000);
-        const lag = createLoopLag({ clock, nextTurn: async () => undefined, onPause: () => undefined });
+        const lag = createEventLoopLagMonitor({ clock, nextTurn: async () => undefined, onPause: () => undefined });
         const abortController = new AbortController();
         lag.start(abortController.signal);
         void lag.catchUp();
@@ -126,7 +126,7 @@
         const turn = async (): Promise<void> => {
             turns += 1;
         };
-        const lag = createLoopLag({ clock, nextTurn: turn, onPause: () => undefined });
+        const lag = createEventLoopLagMonitor({ clock, nextTurn: turn, onPause: () => undefined });
         const abortController = new AbortController();
         lag.start(abortController.signal);
         await clock.advance(200);
--- a/packages/oleandergap-node/src/__tests__/gateHandler.test.ts
+++ b/packages/oleandergap-node/src/__tests__/gateHandler.test.ts
@@ -3,18 +3,18 @@
 import * as either from "fp-ts/lib/Either.js";
 import { createManualClock } from "oleandergap-utils";
 import {
-    call,
+    sendHttpRequest,
     createAnnouncement,
     createCleanup,
     createRecordedClaims,
-    gateHeaders,
+    createGateHeaders,
     LOOPBACK,
-    type Received,
+    type ReceivedResponse,
     startGate,
     startRawTarget,
     startTarget,
     TEST_LIMIT,
-    until,
+    waitUntil,
 } from "./support.js";
 
 describe("createGateHandler", () => {
@@ -29,7 +29,7 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock() });
         gate.keeper.announce(createAnnouncement(target));
 
-        const answer = await call({ port: gate.port, path: "/grants?id=7", headers: gateHeaders() });
+        const answer = await sendHttpRequest({ port: gate.port, path: "/grants?id=7", headers: createGateHeaders() });
 
         expect(answer.statusCode).to.equal(200);
         expect(answer.body.toString()).to.equal("filed");
@@ -50,8 +50,8 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock() });
         gate.keeper.announce(createAnnouncement(target));
 
-        const headers = gateHeaders({ "oleandergap-service": "kushiro/grant-filer" });
-        const answer = await call({ port: gate.port, headers });
+        const headers = createGateHeaders({ "oleandergap-service": "kushiro/grant-filer" });
+        const answer = await sendHttpRequest({ port: gate.port, headers });
 
         expect(answer.statusCode).to.equal(421);
         expect(answer.headers).to.include({ "oleandergap-verdict": "notRun", "oleandergap-reason": "NoTarget" });
@@ -66,7 +66,7 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock() });
         gate.keeper.announce(createAnnouncement(port));
 
-        const answer = await call({ port: gate.port, method: "POST", headers: gateHeaders() });
+        const answer = await sendHttpRequest({ port: gate.port, method: "POST", headers: createGateHeaders() });
 
         expect(answer.statusCode).to.equal(503);
         expect(answer.headers).to.include({ "oleandergap-verdict": "notRun", "oleandergap-reason": "ConnectFailed" });
@@ -85,8 +85,8 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock() });
         gate.keeper.announce(createAnnouncement(target));
 
-        const shed = await call({ port: gate.port, path: "/shed", headers: gateHeaders() });
-        const failed = await call({ port: gate.port, path: "/fails", headers: gateHeaders() });
+        const shed = await sendHttpRequest({ port: gate.port, path: "/shed", headers: createGateHeaders() });
+        const failed = await sendHttpRequest({ port: gate.port, path: "/fails", headers: createGateHeaders() });
 
         expect(shed.headers).to.include({
             "oleandergap-verdict": "notRun", "oleandergap-reason": "LimitReached", "retry-after-ms": "2000",
@@ -111,10 +111,10 @@
             const gate = await startGate(cleanup.add, { clock: createManualClock() });
             gate.keeper.announce(createAnnouncement(target));
 
-            const answer = await call({ port: gate.port, headers: gateHeaders() }).catch(() => undefined);
+            const answer = await sendHttpRequest({ port: gate.port, headers: createGateHeaders() }).catch(() => undefined);
 
-            expect(answer?.whole ?? false).to.equal(false);
-            await until(() => gate.keeper.current()?.gate.load().inFlight === 0);
+            expect(answer?.isComplete ?? false).to.equal(false);
+            await waitUntil(() => gate.keeper.current()?.gate.load().inFlight === 0);
         });
     }
 
@@ -128,7 +128,7 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock() });
         gate.keeper.announce(createAnnouncement(target));
 
-        const answer = await call({ port: gate.port, headers: gateHeaders() });
+        const answer = await sendHttpRequest({ port: gate.port, headers: createGateHeaders() });
 
         expect(answer.statusCode).to.equal(502);
         expect(answer.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
@@ -151,13 +151,13 @@
         const gate = await startGate(cleanup.add, { clock });
         gate.keeper.announce(createAnnouncement(target, { connections: 1 }));
 
-        const late = call({
-            port: gate.port, method: "POST", path: "/late", headers: gateHeaders({ "oleandergap-timeout-ms": "1000" }),
+        const late = sendHttpRequest({
+            port: gate.port, method: "POST", path: "/late", headers: createGateHeaders({ "oleandergap-timeout-ms": "1000" }),
         });
-        await until(() => sockets.size === 1);
+        await waitUntil(() => sockets.size === 1);
         await clock.advance(1000);
         const given = await late;
-        const next = await call({ port: gate.port, headers: gateHeaders({ "oleandergap-request-id": "attempt-2" }) });
+        const next = await sendHttpRequest({ port: gate.port, headers: createGateHeaders({ "oleandergap-request-id": "attempt-2" }) });
 
         expect(given.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
         expect(next.body.toString()).to.equal("own answer");
@@ -179,14 +179,14 @@
         gate.keeper.announce(createAnnouncement(target));
         const caller = new AbortController();
 
-        const pending = call({ port: gate.port, headers: gateHeaders(), signal: caller.signal }).catch(() => undefined);
-        await until(() => arrived === 1);
+        const pending = sendHttpRequest({ port: gate.port, headers: createGateHeaders(), signal: caller.signal }).catch(() => undefined);
+        await waitUntil(() => arrived === 1);
         expect(gate.keeper.current()?.gate.load().inFlight).to.equal(1);
         caller.abort();
         await pending;
 
-        await until(() => cancelled === 1);
-        await until(() => gate.keeper.current()?.gate.load().inFlight === 0);
+        await waitUntil(() => cancelled === 1);
+        await waitUntil(() => gate.keeper.current()?.gate.load().inFlight === 0);
     });
 
     it("runs a request with an idempotency key under a claim and stores its response", async () => {
@@ -198,9 +198,9 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock(), claims: claims.keeper });
         gate.keeper.announce(createAnnouncement(target));
 
-        const headers = gateHeaders({ "idempotency-key": "lodgement-0001" });
-        await call({ port: gate.port, method: "POST", headers, body: "grant" });
-        await call({ port: gate.port, method: "GET", headers });
+        const headers = createGateHeaders({ "idempotency-key": "lodgement-0001" });
+        await sendHttpRequest({ port: gate.port, method: "POST", headers, body: "grant" });
+        await sendHttpRequest({ port: gate.port, method: "GET", headers });
 
         expect(claims.events).to.deep.equal(["claim lodgement-0001", "complete 201 lodged"]);
     });
@@ -223,8 +223,8 @@
         gate.keeper.announce(createAnnouncement(target));
 
         for (const timeout of ["2000", "80"]) {
-            const headers = gateHeaders({ "idempotency-key": "lodgement-0001", "oleandergap-timeout-ms": timeout });
-            await call({ port: gate.port, method: "POST", headers, body: "grant" });
+            const headers = createGateHeaders({ "idempotency-key": "lodgement-0001", "oleandergap-timeout-ms": timeout });
+            await sendHttpRequest({ port: gate.port, method: "POST", headers, body: "grant" });
         }
 
         expect(claimTimes).to.deep.equal([1900, 60]);
@@ -242,8 +242,8 @@
             undefined);
         const gate = await startGate(cleanup.add, { clock: createManualClock(), claims: claims.keeper });
         gate.keeper.announce(createAnnouncement(target));
-        const lodge = (key: string): Promise<Received> =>
-            call({ port: gate.port, method: "POST", headers: gateHeaders({ "idempotency-key": key }), body: "grant" });
+        const lodge = (key: string): Promise<ReceivedResponse> =>
+            sendHttpRequest({ port: gate.port, method: "POST", headers: createGateHeaders({ "idempotency-key": key }), body: "grant" });
 
         const lost = await lodge("lodgement-0001");
         const repeat = await lodge("lodgement-0002");
@@ -268,7 +268,7 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock() });
         gate.keeper.announce(createAnnouncement(target));
 
-        const answer = await call({ port: gate.port, method: "POST", headers: gateHeaders(), body: "sign" });
+        const answer = await sendHttpRequest({ port: gate.port, method: "POST", headers: createGateHeaders(), body: "sign" });
 
         expect(answer.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
         expect(runs).to.equal(1);
@@ -292,10 +292,10 @@
         });
         const gate = await startGate(cleanup.add, { clock });
         gate.keeper.announce(createAnnouncement(target));
-        await call({ port: gate.port, headers: gateHeaders() });
+        await sendHttpRequest({ port: gate.port, headers: createGateHeaders() });
 
-        const pending = call({ port: gate.port, headers: gateHeaders() });
-        await until(() => connectionOfRequest.length === 2);
+        const pending = sendHttpRequest({ port: gate.port, headers: createGateHeaders() });
+        await waitUntil(() => connectionOfRequest.length === 2);
         await clock.advance(1000);
         const answer = await pending;
 
@@ -311,10 +311,10 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock(), limit });
         gate.keeper.announce(createAnnouncement(target));
         const caller = new AbortController();
-        const pending = call({ port: gate.port, headers: gateHeaders(), signal: caller.signal }).catch(() => undefined);
-        await until(() => gate.keeper.current()?.gate.load().inFlight === 1);
+        const pending = sendHttpRequest({ port: gate.port, headers: createGateHeaders(), signal: caller.signal }).catch(() => undefined);
+        await waitUntil(() => gate.keeper.current()?.gate.load().inFlight === 1);
 
-        const answer = await call({ port: gate.port, headers: gateHeaders() });
+        const answer = await sendHttpRequest({ port: gate.port, headers: createGateHeaders() });
         caller.abort();
         await pending;
 
--- a/packages/oleandergap-node/src/__tests__/gatewayHandler.test.ts
+++ b/packages/oleandergap-node/src/__tests__/gatewayHandler.test.ts
@@ -4,14 +4,14 @@
 import { createManualClock, createSystemClock } from "oleandergap-utils";
 import { createMember, createRow, createView, HOST, startGateway } from "./gatewaySupport.js";
 import {
-    call,
+    sendHttpRequest,
     createAnnouncement,
     createCleanup,
     startGate,
     startRawTarget,
     startTarget,
     TEST_LIMIT,
-    until,
+    waitUntil,
 } from "./support.js";
 
 const LARGE_BODY_BYTES = 3 * 1024 * 1024;
@@ -33,7 +33,7 @@
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
 
         const headers = { host: HOST, "oleandergap-request-id": "file-17", "oleandergap-timeout-ms": "800" };
-        const clientResponse = await call({ port: gateway.port, method: "PUT", headers, body: "codicil" });
+        const clientResponse = await sendHttpRequest({ port: gateway.port, method: "PUT", headers, body: "codicil" });
 
         expect(clientResponse.statusCode).to.equal(200);
         expect(clientResponse.body.toString()).to.equal("codicil");
@@ -49,8 +49,8 @@
 
     it("distinguishes unknown services, invalid hosts, invalid timeouts and missing targets", async () => {
         const gateway = await startGateway(cleanup.add, { clock: createManualClock(), targets: [] });
-        const sendRequest = (headers: Record<string, string>): ReturnType<typeof call> =>
-            call({ port: gateway.port, headers });
+        const sendRequest = (headers: Record<string, string>): ReturnType<typeof sendHttpRequest> =>
+            sendHttpRequest({ port: gateway.port, headers });
 
         const unknown = await sendRequest({ host: "nothing.halloway" });
         const malformed = await sendRequest({ host: "halloway" });
@@ -75,8 +75,8 @@
         gate.keeper.announce(createAnnouncement(target));
         const row = createRow({ idempotency: "required" });
         const gateway = await startGateway(cleanup.add, { clock, row, targets: [createMember("a", gate.port)] });
-        const sendWithKey = (method: string, headers: Record<string, string>): ReturnType<typeof call> =>
-            call({ port: gateway.port, method, headers: { host: HOST, ...headers } });
+        const sendWithKey = (method: string, headers: Record<string, string>): ReturnType<typeof sendHttpRequest> =>
+            sendHttpRequest({ port: gateway.port, method, headers: { host: HOST, ...headers } });
 
         const keyless = await sendWithKey("POST", {});
         expect(keyless.statusCode).to.equal(400);
@@ -104,8 +104,8 @@
         const targets = [createMember("a", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets, view: () => view });
 
-        const clientResponse = await call({ port: gateway.port, headers: { host: HOST } });
-        const next = await call({ port: gateway.port, headers: { host: HOST } });
+        const clientResponse = await sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
+        const next = await sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
 
         expect(clientResponse.headers["oleandergap-version"]).to.equal("halloway:7");
         expect(next.headers["oleandergap-reason"]).to.equal("UnknownService");
@@ -126,7 +126,7 @@
         const targets = [createMember("a", failingGate), createMember("b", failingGate)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
 
-        const clientResponse = await call({ port: gateway.port, method: "POST", headers: { host: HOST }, body: "grant" });
+        const clientResponse = await sendHttpRequest({ port: gateway.port, method: "POST", headers: { host: HOST }, body: "grant" });
 
         expect(receivedCount).to.equal(1);
         expect(clientResponse.statusCode).to.equal(502);
@@ -144,7 +144,7 @@
         const targets = [createMember("a", failingGate), createMember("b", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
 
-        const sendRequest = (): ReturnType<typeof call> => call({ port: gateway.port, headers: { host: HOST } });
+        const sendRequest = (): ReturnType<typeof sendHttpRequest> => sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
         const clientResponses = await Promise.all([sendRequest(), sendRequest(), sendRequest(), sendRequest()]);
 
         expect(clientResponses.map((response) => response.body.toString())).to.deep.equal(["file", "file", "file", "file"]);
@@ -184,7 +184,7 @@
 
         for (let round = 0; round < 4; round++) {
             received = "";
-            const clientResponse = await call({ port: gateway.port, method: "POST", headers: { host: HOST }, body: upload });
+            const clientResponse = await sendHttpRequest({ port: gateway.port, method: "POST", headers: { host: HOST }, body: upload });
             expect(clientResponse.statusCode).to.equal(200);
             expect(received).to.equal(createHash("sha256").update(upload).digest("hex"));
         }
@@ -204,9 +204,9 @@
         const clock = createManualClock();
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate)] });
 
-        const clientResponse = await call({ port: gateway.port, headers: { host: HOST } }).catch(() => undefined);
+        const clientResponse = await sendHttpRequest({ port: gateway.port, headers: { host: HOST } }).catch(() => undefined);
 
-        expect(clientResponse?.whole ?? false).to.equal(false);
+        expect(clientResponse?.isComplete ?? false).to.equal(false);
     });
 
     // Guards against a caller that receives the response to another request. A response without an id, or with another
@@ -219,7 +219,7 @@
             const clock = createManualClock();
             const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate)] });
 
-            const clientResponse = await call({ port: gateway.port, headers: { host: HOST } });
+            const clientResponse = await sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
 
             expect(clientResponse.statusCode).to.equal(502);
             expect(clientResponse.body.toString()).not.to.include("kitchen");
@@ -245,8 +245,8 @@
         });
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", silentGate)] });
 
-        const pending = call({ port: gateway.port, headers: { host: HOST } });
-        await until(() => requests === 1);
+        const pending = sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
+        await waitUntil(() => requests === 1);
         await clock.advance(GATE_SILENCE_MS);
         const clientResponse = await pending;
 
@@ -272,13 +272,13 @@
         gate.keeper.announce(createAnnouncement(target));
         const targets = [createMember("a", frozenGate), createMember("b", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
-        const sendRequest = (count: number, method: string): ReturnType<typeof call>[] =>
-            Array.from({ length: count }, () => call({ port: gateway.port, method, headers: { host: HOST } }));
+        const sendRequest = (count: number, method: string): ReturnType<typeof sendHttpRequest>[] =>
+            Array.from({ length: count }, () => sendHttpRequest({ port: gateway.port, method, headers: { host: HOST } }));
 
         sendRequest(4, "POST").forEach((lodgement) => void lodgement.catch(() => undefined));
-        await until(() => receivedCount + servedCount === 4);
+        await waitUntil(() => receivedCount + servedCount === 4);
         const reads = sendRequest(8, "GET");
-        await until(() => receivedCount + servedCount === 12);
+        await waitUntil(() => receivedCount + servedCount === 12);
         const receivedBefore = receivedCount;
         await clock.advance(GATE_SILENCE_MS);
         const clientResponses = await Promise.all([...reads, ...sendRequest(10, "POST")]);
@@ -300,8 +300,8 @@
         gate.keeper.announce(createAnnouncement(target));
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
 
-        const pending = call({ port: gateway.port, headers: { host: HOST } });
-        await until(() => runs === 1);
+        const pending = sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
+        await waitUntil(() => runs === 1);
         for (let step = 0; step < 30; step++) {
             await clock.advance(100);
             // The heartbeats are sent over real sockets.
@@ -324,13 +324,13 @@
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
 
         const headers = { host: HOST, "oleandergap-timeout-ms": "300" };
-        const pending = call({ port: gateway.port, method: "POST", headers, body: "grant" });
-        await until(() => receivedRequests === 1);
+        const pending = sendHttpRequest({ port: gateway.port, method: "POST", headers, body: "grant" });
+        await waitUntil(() => receivedRequests === 1);
         await clock.advance(300);
         const clientResponse = await pending;
 
         expect(clientResponse.statusCode).to.equal(504);
         expect(clientResponse.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
-        await until(() => gate.keeper.current()?.gate.load().inFlight === 0);
+        await waitUntil(() => gate.keeper.current()?.gate.load().inFlight === 0);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/gatewaySupport.ts
+++ b/packages/oleandergap-node/src/__tests__/gatewaySupport.ts
@@ -5,19 +5,19 @@
 import { createRequestRouter, createTargetPicker } from "oleandergap-routing";
 import type { Clock, PartnerTable, ServiceRow, TableView } from "oleandergap-types";
 import { createSeededRandom } from "oleandergap-utils";
-import type { Closure } from "../admin/readiness.js";
+import type { AdmissionRefusal } from "../admin/readiness.js";
 import { createGatewayHandler } from "../gateway/gatewayHandler.js";
 import type { FindOwnerRouter } from "../gateway/ownerRouting.js";
 import { createElapsedWaitEstimator } from "../gateway/callerPatience.js";
-import { createRequestCare } from "../gateway/requestCare.js";
+import { createRequestContainment } from "../gateway/requestCare.js";
 import { createServiceChooser } from "../gateway/routeTable.js";
 import type { LogSilentGate } from "../gateway/silenceLog.js";
 import { createSendToGate } from "../gateway/sendToGate.js";
-import { ownDialects } from "../http/dialect.js";
+import { defaultDialects } from "../http/dialect.js";
 import { createCallerSignals, type CallerSignals } from "../http/callerSignal.js";
 import { createConnectionPools } from "../http/connectionPools.js";
 import type { Listener, ListenerOptions } from "../http/listener.js";
-import { createLoneContainment, LOOPBACK, startTestListener, TEST_LIMIT, type Cleanup } from "./support.js";
+import { createIsolatedContainment, LOOPBACK, startTestListener, TEST_LIMIT, type Cleanup } from "./support.js";
 
 export const HOST = "grant-filer.halloway";
 
@@ -56,7 +56,7 @@
     readonly targets: readonly TargetMember[];
     readonly row?: ServiceRow;
     readonly view?: () => TableView;
-    readonly closed?: () => Closure | undefined;
+    readonly closed?: () => AdmissionRefusal | undefined;
     readonly maxBodyBytes?: number;
     readonly callerSignals?: CallerSignals;
     readonly findOwnerRouter?: FindOwnerRouter;
@@ -73,11 +73,11 @@
     const pools = createConnectionPools({ clock, connectTimeoutMs: 500, idleMs: 4000, poolIdleMs: 60_000 });
     cleanup(() => pools.destroy());
     let attempts = 0;
-    const picker = createTargetPicker<TargetMember>({ ownZone: "hall-a", clock, random: createSeededRandom(1) });
+    const picker = createTargetPicker<TargetMember>({ localZone: "hall-a", clock, random: createSeededRandom(1) });
     return startTestListener(cleanup, clock, createGatewayHandler({
         clock,
         logger: createLogger("test"),
-        dialect: ownDialects.caller,
+        dialect: defaultDialects.caller,
         callerSignals: options.callerSignals ?? createCallerSignals(),
         chooseService: createServiceChooser(createSeededRandom(1)),
         estimateElapsedWait: createElapsedWaitEstimator(),
@@ -97,11 +97,11 @@
             bodySilenceMs: 30_000,
             logSilence: options.logSilence ?? (() => undefined),
         }),
-        createRequestContainment: createRequestCare(options.containment ?? createLoneContainment(clock)),
+        createRequestContainment: createRequestContainment(options.containment ?? createIsolatedContainment(clock)),
         closed,
         findCallingService: () => undefined,
         maxBodyBytes: options.maxBodyBytes ?? 64 * 1024 * 1024,
-        noteUnserved: () => undefined,
+        recordUnserved: () => undefined,
         countRequest: () => undefined,
         logFailure: () => undefined,
     }), options.turns);
--- a/packages/oleandergap-node/src/__tests__/giveUp.test.ts
+++ b/packages/oleandergap-node/src/__tests__/giveUp.test.ts
@@ -2,7 +2,7 @@
 import { createSystemClock } from "oleandergap-utils";
 import { createCallerSignals } from "../http/callerSignal.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
-import { call, createAnnouncement, createCleanup, startGate, startTarget } from "./support.js";
+import { sendHttpRequest, createAnnouncement, createCleanup, startGate, startTarget } from "./support.js";
 
 describe("aborting the requests in flight", () => {
     const cleanup = createCleanup();
@@ -24,11 +24,11 @@
         const callerSignals = createCallerSignals();
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)], callerSignals });
         const headers = { host: HOST, "oleandergap-timeout-ms": "10000" };
-        const request = call({ port: gateway.port, headers });
+        const request = sendHttpRequest({ port: gateway.port, headers });
         await running;
-        callerSignals.giveUpAll();
+        callerSignals.abortAll();
         const clientResponse = await request;
-        expect(clientResponse.whole).to.equal(true);
+        expect(clientResponse.isComplete).to.equal(true);
         expect(clientResponse.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
         expect(clientResponse.statusCode).to.equal(502);
     });
--- a/packages/oleandergap-node/src/__tests__/lateSigns.test.ts
+++ b/packages/oleandergap-node/src/__tests__/lateSigns.test.ts
@@ -4,7 +4,7 @@
 import { createManualClock, type ManualClock } from "oleandergap-utils";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import {
-    call, createAnnouncement, createCleanup, LOOPBACK, startGate, startTarget, until, type Cleanup, type Received,
+    sendHttpRequest, createAnnouncement, createCleanup, LOOPBACK, startGate, startTarget, waitUntil, type Cleanup, type ReceivedResponse,
 } from "./support.js";
 
 const GATE_SILENCE_MS = 1200;
@@ -87,7 +87,7 @@
         readonly otherRequests: () => number;
         /** Responds to a request at the other gate. */
         respondElsewhere: Handle;
-        readonly sendRequest: () => Promise<Received>;
+        readonly sendRequest: () => Promise<ReceivedResponse>;
         /** Announces that the gateway's node stops. */
         readonly stop: () => void;
     }
@@ -124,7 +124,7 @@
             aborts: () => aborts,
             otherRequests: () => otherRequests,
             respondElsewhere: (response) => void response.end("other"),
-            sendRequest: () => call({ port: gateway.port, headers: HEADERS }),
+            sendRequest: () => sendHttpRequest({ port: gateway.port, headers: HEADERS }),
             stop: gateway.announceClose,
         };
         return scenario;
@@ -135,7 +135,7 @@
         relay.hold();
         let pending = sendRequest();
         while (relay.requests() === 0) {
-            await Promise.race([pending, until(() => relay.requests() > 0)]);
+            await Promise.race([pending, waitUntil(() => relay.requests() > 0)]);
             if (relay.requests() === 0) {
                 pending = sendRequest();
             }
@@ -145,7 +145,7 @@
             isAnswered = true;
         });
         await clock.advance(GATE_SILENCE_MS);
-        await until(() => relay.requests() === 2);
+        await waitUntil(() => relay.requests() === 2);
         while (!isAnswered) {
             await clock.advance(GATE_SILENCE_MS);
         }
@@ -158,19 +158,19 @@
     const startProbe = async (
         scenario: Scenario,
         respondElsewhere: Handle,
-    ): Promise<{ readonly answer: Promise<Received> }> => {
+    ): Promise<{ readonly answer: Promise<ReceivedResponse> }> => {
         const { clock, relay, runningResponses, sendRequest, otherRequests, stop } = scenario;
         await makeSilent(scenario);
         scenario.respondElsewhere = respondElsewhere;
         const previousRequests = otherRequests();
         const answer = sendRequest();
-        await until(() => relay.requests() === 3);
+        await waitUntil(() => relay.requests() === 3);
         stop();
         await clock.advance(ARRIVAL_MS);
         relay.release();
-        await until(() => runningResponses.length === 1);
+        await waitUntil(() => runningResponses.length === 1);
         await clock.advance(PROBE_SILENCE_MS - ARRIVAL_MS);
-        await until(() => otherRequests() > previousRequests);
+        await waitUntil(() => otherRequests() > previousRequests);
         // Some event loop iterations, in which the other gate's response is read.
         await clock.advance(1);
         await clock.advance(1);
--- a/packages/oleandergap-node/src/__tests__/listener.test.ts
+++ b/packages/oleandergap-node/src/__tests__/listener.test.ts
@@ -3,10 +3,10 @@
 import { expect } from "chai";
 import { createManualClock, createSystemClock } from "oleandergap-utils";
 import { createReceivedBody } from "../http/receivedBody.js";
-import { writeAnswer } from "../http/writeAnswer.js";
+import { writeResponse } from "../http/writeAnswer.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import {
-    call, callRaw, createAnnouncement, createCleanup, LOOPBACK, startGate, startTarget, startTestListener, until,
+    sendHttpRequest, callRaw, createAnnouncement, createCleanup, LOOPBACK, startGate, startTarget, startTestListener, waitUntil,
 } from "./support.js";
 
 const LARGE_BODY_BYTES = 3 * 1024 * 1024;
@@ -29,10 +29,10 @@
         const targets = [createMember("a", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets, maxBodyBytes: 1024 * 1024 });
 
-        const declared = await call({
+        const declared = await sendHttpRequest({
             port: gateway.port, method: "PUT", headers: { host: HOST }, body: Buffer.alloc(LARGE_BODY_BYTES),
         }).catch(() => undefined);
-        const chunked = await call({
+        const chunked = await sendHttpRequest({
             port: gateway.port,
             method: "PUT",
             headers: { host: HOST, "transfer-encoding": "chunked" },
@@ -62,7 +62,7 @@
         const statuses = clientResponses.map((response) => /^HTTP\/1\.1 (\d+)/.exec(response)?.[1]);
         expect(statuses).to.deep.equal(["400", "400", "400", "431", "400"]);
         expect(clientResponses.every((response) => response.includes("oleandergap-verdict: notRun"))).to.equal(true);
-        expect((await call({ port: gateway.port, headers: { host: HOST } })).body.toString()).to.equal("ok");
+        expect((await sendHttpRequest({ port: gateway.port, headers: { host: HOST } })).body.toString()).to.equal("ok");
     });
 
     // Guards against requests that are cut off by a restart of the fleet. A stopping node must finish the requests in
@@ -85,11 +85,11 @@
             closed: () => closed ? { reason: "Draining", retryAfterMs: 1000 } : undefined,
         });
 
-        const inFlight = call({ port: gateway.port, headers: { host: HOST } });
-        await until(() => arrived === 1);
+        const inFlight = sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
+        await waitUntil(() => arrived === 1);
         closed = true;
         const drained = gateway.drain(1000, new AbortController().signal);
-        const refused = await call({ port: gateway.port, headers: { host: HOST } });
+        const refused = await sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
         await clock.advance(1000);
         finish();
 
@@ -108,13 +108,13 @@
         let serverResponse: ServerResponse | undefined;
         const listener = await startTestListener(cleanup.add, createSystemClock(), (_request, response) => {
             serverResponse = response;
-            writeAnswer(response, { statusCode: 200, headers: {}, body }, {});
+            writeResponse(response, { statusCode: 200, headers: {}, body }, {});
         });
         const client = net.connect(listener.port, LOOPBACK);
         cleanup.add(() => client.destroy());
         client.on("error", () => undefined);
         client.write(`GET / HTTP/1.1\r\nhost: ${HOST}\r\n\r\n`);
-        await until(() => serverResponse !== undefined);
+        await waitUntil(() => serverResponse !== undefined);
         while (serverResponse?.writableLength === 0) {
             body.push(Buffer.alloc(PART_BYTES));
             await new Promise<void>((resolve) => setImmediate(resolve));
@@ -126,7 +126,7 @@
         client.on("data", (chunk) => {
             lastBytes = (lastBytes + chunk.subarray(-LAST_CHUNK.length).toString("latin1")).slice(-LAST_CHUNK.length);
         });
-        await until(() => lastBytes === LAST_CHUNK || client.destroyed);
+        await waitUntil(() => lastBytes === LAST_CHUNK || client.destroyed);
         expect(lastBytes === LAST_CHUNK, "whole").to.equal(true);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/main.test.ts
+++ b/packages/oleandergap-node/src/__tests__/main.test.ts
@@ -6,7 +6,7 @@
 import path from "node:path";
 import { fileURLToPath } from "node:url";
 import { expect } from "chai";
-import { call, createCleanup, LOOPBACK, reservePorts, until } from "./support.js";
+import { sendHttpRequest, createCleanup, LOOPBACK, reservePorts, waitUntil } from "./support.js";
 
 const MAIN = fileURLToPath(new URL("../main.js", import.meta.url));
 
@@ -61,12 +61,12 @@
         let isUp = false;
         const poll = async (): Promise<void> => {
             while (!isUp) {
-                const answer = call({ port: adminPort, path: "/healthz" });
+                const answer = sendHttpRequest({ port: adminPort, path: "/healthz" });
                 isUp = await answer.then(({ statusCode }) => statusCode === 200, () => false);
             }
         };
         void poll();
-        await until(() => isUp);
+        await waitUntil(() => isUp);
     };
 
     it("checks settings without running, and rejects invalid settings with their path", async () => {
@@ -118,9 +118,9 @@
         const node = run("--settings", await writeSettings(ports));
         await waitUntilUp(admin);
 
-        const ready = await call({ port: admin, path: "/readyz" });
-        const refused = await call({ port: gateway, headers: { host: "grant-filer.halloway" } });
-        const metrics = await call({ port: admin, path: "/metrics" });
+        const ready = await sendHttpRequest({ port: admin, path: "/readyz" });
+        const refused = await sendHttpRequest({ port: gateway, headers: { host: "grant-filer.halloway" } });
+        const metrics = await sendHttpRequest({ port: admin, path: "/metrics" });
         node.stop("SIGTERM");
         const ended = await node.ended;
 
@@ -153,15 +153,15 @@
         const node = run("--settings", settings);
         await waitUntilUp(admin);
 
-        const drain = await call({ port: control, method: "POST", path: "/fleet/drain", body: "{}" });
-        const heads = await call({ port: control, method: "POST", path: "/peer/heads" });
+        const drain = await sendHttpRequest({ port: control, method: "POST", path: "/fleet/drain", body: "{}" });
+        const heads = await sendHttpRequest({ port: control, method: "POST", path: "/peer/heads" });
         const socket = dgram.createSocket("udp4");
         cleanup.add(() => socket.close());
         await new Promise((resolve) => {
             socket.send(Uint8Array.of(1, 2, 3), control, LOOPBACK, resolve);
         });
         const readMetrics = async (): Promise<string> =>
-            (await call({ port: admin, path: "/metrics" })).body.toString();
+            (await sendHttpRequest({ port: admin, path: "/metrics" })).body.toString();
         let metrics = await readMetrics();
         while (!metrics.includes("oleandergap_strangers{figure=\"datagrams\"} 1")) {
             metrics = await readMetrics();
--- a/packages/oleandergap-node/src/__tests__/nodeLifecycle.test.ts
+++ b/packages/oleandergap-node/src/__tests__/nodeLifecycle.test.ts
@@ -4,7 +4,7 @@
 import { createManualClock } from "oleandergap-utils";
 import { createReadinessState } from "../admin/readiness.js";
 import { createNodeLifecycle, type LifecycleDependencies, type NodeLifecycle } from "../nodeLifecycle.js";
-import { call, createCleanup, LOOPBACK, reservePorts, until, type Received } from "./support.js";
+import { sendHttpRequest, createCleanup, LOOPBACK, reservePorts, waitUntil, type ReceivedResponse } from "./support.js";
 
 const DRAIN_MS = 5000;
 /** Time after the drain timeout within which the stop must be complete. */
@@ -104,7 +104,7 @@
         } as unknown as LifecycleDependencies);
         cleanup.add(() => abortController.abort());
         expect(either.isRight(await node.start()())).to.equal(true);
-        await until(() => readiness.recovered === isRecovered);
+        await waitUntil(() => readiness.recovered === isRecovered);
         let isStopped = false;
         const stop = (): void => void node.stop().then(() => {
             isStopped = true;
@@ -121,11 +121,11 @@
     };
 
     /** Sends a request. Resolves when it is in flight, with a function that waits for its response. */
-    const startCall = async ({ gatewayPort, open }: Harness): Promise<() => Promise<Received>> => {
+    const startCall = async ({ gatewayPort, open }: Harness): Promise<() => Promise<ReceivedResponse>> => {
         const previousCount = open.length;
-        const answer = call({ port: gatewayPort });
+        const answer = sendHttpRequest({ port: gatewayPort });
         answer.catch(() => undefined);
-        await until(() => open.length > previousCount);
+        await waitUntil(() => open.length > previousCount);
         return () => answer;
     };
 
--- a/packages/oleandergap-node/src/__tests__/ownerRouting.test.ts
+++ b/packages/oleandergap-node/src/__tests__/ownerRouting.test.ts
@@ -2,7 +2,7 @@
 import { createManualClock } from "oleandergap-utils";
 import { createOwnerRouting } from "../gateway/ownerRouting.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
-import { call, createAnnouncement, createCleanup, startGate, startTarget } from "./support.js";
+import { sendHttpRequest, createAnnouncement, createCleanup, startGate, startTarget } from "./support.js";
 
 const TIMED_KEYS = Array.from({ length: 12 }, (_, index) =>
     `01932c5e-7b2a-7000-8000-${String(index).padStart(12, "0")}`);
@@ -28,7 +28,7 @@
         const second = await startGateway(cleanup.add, { clock, targets: [...members].reverse(), findOwnerRouter });
         const sendRequest = async (port: number, key: string): Promise<string> => {
             const headers = { host: HOST, "idempotency-key": key };
-            return (await call({ port, method: "POST", headers })).body.toString();
+            return (await sendHttpRequest({ port, method: "POST", headers })).body.toString();
         };
 
         const atFirst = await Promise.all(TIMED_KEYS.map((key) => sendRequest(first.port, key)));
--- a/packages/oleandergap-node/src/__tests__/peerAccess.test.ts
+++ b/packages/oleandergap-node/src/__tests__/peerAccess.test.ts
@@ -18,7 +18,7 @@
 import { createFleetHandler, FLEET_PATH } from "../control/fleetHandler.js";
 import { watchFleetKeys } from "../control/fleetKeyFile.js";
 import { createPeerAccess, type PeerAccess } from "../control/peerAccess.js";
-import { call, createCleanup, LOOPBACK, startTestListener } from "./support.js";
+import { sendHttpRequest, createCleanup, LOOPBACK, startTestListener } from "./support.js";
 
 const OLD_KEY = "old-key-of-the-fleet-0123456789abcdef";
 const NEW_KEY = "new-key-of-the-fleet-0123456789abcdef";
@@ -127,7 +127,7 @@
             .to.equal(true);
         expect(either.isRight(await authenticatedCallers.peers.heads(node, neverAborted)())).to.equal(true);
         expect(drained).to.deep.equal(["grant-filer"]);
-        const operator = await call({ port: node.controlPort, path: "/operator/x" });
+        const operator = await sendHttpRequest({ port: node.controlPort, path: "/operator/x" });
         expect(operator.body.toString()).to.equal("operators");
     });
 
--- a/packages/oleandergap-node/src/__tests__/readiness.test.ts
+++ b/packages/oleandergap-node/src/__tests__/readiness.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { createSeededRandom } from "oleandergap-utils";
-import { createReadinessState, findClosure } from "../admin/readiness.js";
+import { createReadinessState, findAdmissionRefusal } from "../admin/readiness.js";
 
 describe("findClosure", () => {
     // Guards against a retry peak after all nodes have restarted together. Each node refuses callers for 0.4 s. With
@@ -8,7 +8,7 @@
     it("spreads the retry delays of callers at a node that is recovering", () => {
         const random = createSeededRandom(4);
         const state = createReadinessState();
-        const times = Array.from({ length: 700 }, () => findClosure(state, false, 200, random)?.retryAfterMs ?? 0);
+        const times = Array.from({ length: 700 }, () => findAdmissionRefusal(state, false, 200, random)?.retryAfterMs ?? 0);
         expect(Math.min(...times)).to.be.within(300, 350);
         expect(Math.max(...times)).to.be.within(950, 1000);
         const busiest = Math.max(...Array.from({ length: 10 }, (_, slice) =>
@@ -19,8 +19,8 @@
     it("refuses callers of a stopping node, but not its local target", () => {
         const state = { ...createReadinessState(), recovered: true, refusing: true };
         const random = createSeededRandom(4);
-        expect(findClosure(state, false, 200, random)).to.deep.equal({ reason: "Draining", retryAfterMs: 200 });
-        expect(findClosure(state, true, 200, random)).to.equal(undefined);
-        expect(findClosure({ ...state, refusing: false }, false, 200, random)).to.equal(undefined);
+        expect(findAdmissionRefusal(state, false, 200, random)).to.deep.equal({ reason: "Draining", retryAfterMs: 200 });
+        expect(findAdmissionRefusal(state, true, 200, random)).to.equal(undefined);
+        expect(findAdmissionRefusal({ ...state, refusing: false }, false, 200, random)).to.equal(undefined);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/requestFingerprint.test.ts
+++ b/packages/oleandergap-node/src/__tests__/requestFingerprint.test.ts
@@ -5,7 +5,7 @@
 import { createSystemClock } from "oleandergap-utils";
 import { receiveBody, MAX_REPLAY_BYTES } from "../http/requestBody.js";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
-import { createCleanup, LOOPBACK, startTarget, until } from "./support.js";
+import { createCleanup, LOOPBACK, startTarget, waitUntil } from "./support.js";
 
 describe("fingerprintRequest", () => {
     const cleanup = createCleanup();
@@ -32,7 +32,7 @@
             const sendRest = (): boolean => socket.write(body.subarray(firstPiece));
             socket.write(body.subarray(0, firstPiece), () => setTimeout(sendRest, 20));
         }
-        await until(() => fingerprints.length === 3);
+        await waitUntil(() => fingerprints.length === 3);
 
         expect(new Set(fingerprints).size).to.equal(1);
     });
--- a/packages/oleandergap-node/src/__tests__/secondTries.test.ts
+++ b/packages/oleandergap-node/src/__tests__/secondTries.test.ts
@@ -3,7 +3,7 @@
 import { createManualClock, type ManualClock } from "oleandergap-utils";
 import type { LogSilentGate, SilentGate } from "../gateway/silenceLog.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
-import { call, createCleanup, startTarget, until, type Received } from "./support.js";
+import { sendHttpRequest, createCleanup, startTarget, waitUntil, type ReceivedResponse } from "./support.js";
 
 const GATE_SILENCE_MS = 500;
 const HEADERS = { host: HOST, "oleandergap-timeout-ms": "10000" };
@@ -33,12 +33,12 @@
         gate: Gate,
         clock: ManualClock,
         logSilence: LogSilentGate = () => undefined,
-    ): Promise<{ readonly answer: Promise<Received> }> => {
+    ): Promise<{ readonly answer: Promise<ReceivedResponse> }> => {
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)], logSilence });
-        const answer = call({ port: gateway.port, headers: HEADERS });
-        await until(() => gate.attempts.length === 1);
+        const answer = sendHttpRequest({ port: gateway.port, headers: HEADERS });
+        await waitUntil(() => gate.attempts.length === 1);
         await clock.advance(GATE_SILENCE_MS);
-        await until(() => gate.attempts.length === 2);
+        await waitUntil(() => gate.attempts.length === 2);
         return { answer };
     };
 
--- a/packages/oleandergap-node/src/__tests__/silentGates.test.ts
+++ b/packages/oleandergap-node/src/__tests__/silentGates.test.ts
@@ -2,7 +2,7 @@
 import { createManualClock, createSystemClock } from "oleandergap-utils";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import {
-    call, createAnnouncement, createCleanup, gateHeaders, startGate, startTarget, until, type Received,
+    sendHttpRequest, createAnnouncement, createCleanup, createGateHeaders, startGate, startTarget, waitUntil, type ReceivedResponse,
 } from "./support.js";
 
 /** Longer than the silence timeout of the gateway in these tests, and shorter than twice that. */
@@ -55,9 +55,9 @@
         return { port, attempts: () => attempts, aborts: () => aborts };
     };
 
-    const sendRequest = async (gate: Gate): Promise<Received> => {
+    const sendRequest = async (gate: Gate): Promise<ReceivedResponse> => {
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
-        return call({ port: gateway.port, headers: HEADERS });
+        return sendHttpRequest({ port: gateway.port, headers: HEADERS });
     };
 
     // The first attempt may still run when the second one is refused.
@@ -83,9 +83,9 @@
         });
         const gate = await startGate(cleanup.add, { clock });
         gate.keeper.announce(createAnnouncement(target));
-        const headers = gateHeaders({ "oleandergap-timeout-ms": "4000" });
-        await call({ port: gate.port, headers });
-        const clientResponse = await call({ port: gate.port, headers });
+        const headers = createGateHeaders({ "oleandergap-timeout-ms": "4000" });
+        await sendHttpRequest({ port: gate.port, headers });
+        const clientResponse = await sendHttpRequest({ port: gate.port, headers });
         expect(requests).to.equal(3);
         expect(clientResponse.headers["oleandergap-verdict"]).to.equal("mayHaveRun");
     });
@@ -110,11 +110,11 @@
         const targets = [createMember("a", gate.port), createMember("b", other)];
         const gateway = await startGateway(cleanup.add, { clock: manualClock, targets });
         // Sends requests until the silent gate is selected first.
-        let pending = call({ port: gateway.port, headers: HEADERS });
+        let pending = sendHttpRequest({ port: gateway.port, headers: HEADERS });
         while (gate.attempts() === 0) {
-            await Promise.race([pending, until(() => gate.attempts() > 0)]);
+            await Promise.race([pending, waitUntil(() => gate.attempts() > 0)]);
             if (gate.attempts() === 0) {
-                pending = call({ port: gateway.port, headers: HEADERS });
+                pending = sendHttpRequest({ port: gateway.port, headers: HEADERS });
             }
         }
         await manualClock.advance(GATE_SILENCE_MS);
@@ -124,7 +124,7 @@
     it("delivers the responses of all running requests when it is known to be silent", async () => {
         const gate = await startSilentGate(SLOW_MS, 2);
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
-        const clientResponses = await Promise.all([1, 2].map(() => call({ port: gateway.port, headers: HEADERS })));
+        const clientResponses = await Promise.all([1, 2].map(() => sendHttpRequest({ port: gateway.port, headers: HEADERS })));
         expect(clientResponses.map(({ statusCode }) => statusCode)).to.deep.equal([200, 200]);
         expect(gate.aborts()).to.equal(0);
     });
--- a/packages/oleandergap-node/src/__tests__/staleRequests.test.ts
+++ b/packages/oleandergap-node/src/__tests__/staleRequests.test.ts
@@ -9,23 +9,23 @@
 import { createNodeMetrics } from "../admin/metrics.js";
 import { createReadinessState } from "../admin/readiness.js";
 import { createRequestPath } from "../createRequestPath.js";
-import { ownDialects } from "../http/dialect.js";
+import { defaultDialects } from "../http/dialect.js";
 import { startListener } from "../http/listener.js";
-import { startLoopLag } from "../http/loopLag.js";
+import { startEventLoopLagMonitor } from "../http/loopLag.js";
 import { createTurnQueue } from "../http/turnQueue.js";
 import { nodeOptionsSchema } from "../options.js";
 import { createMember, createRow, createView, HOST } from "./gatewaySupport.js";
 import {
-    call,
+    sendHttpRequest,
     createAnnouncement,
     createCleanup,
-    createLoneContainment,
-    gateHeaders,
+    createIsolatedContainment,
+    createGateHeaders,
     LOOPBACK,
     startGate,
     startTarget,
     TEST_LIMIT,
-    until,
+    waitUntil,
 } from "./support.js";
 
 /** Longer than the longest pause that does not count as event loop lag. */
@@ -81,14 +81,14 @@
             random,
             createPartLogger: createLogger,
             metrics: createNodeMetrics(),
-            containment: createLoneContainment(clock),
+            containment: createIsolatedContainment(clock),
             view: () => view,
             publishTarget: () => undefined,
             directory: { targetsOf: () => targets },
             tableService: createMemoryTableService(),
             bootId: "boot",
             readiness: { ...createReadinessState(), listening: true, recovered: true },
-            dialects: ownDialects,
+            dialects: defaultDialects,
             callerService: undefined,
             signal: abortController.signal,
         });
@@ -125,7 +125,7 @@
         socket.on("data", (chunk: Buffer) => {
             text += chunk.toString("latin1");
         });
-        await until(() => text.includes("answer"));
+        await waitUntil(() => text.includes("answer"));
         socket.removeAllListeners("data");
     };
 
@@ -172,17 +172,17 @@
         });
         const abortController = new AbortController();
         cleanup.add(() => abortController.abort());
-        const { catchUp } = startLoopLag({ clock, onPause: () => undefined }, abortController.signal);
+        const { catchUp } = startEventLoopLagMonitor({ clock, onPause: () => undefined }, abortController.signal);
         const limit = { ...TEST_LIMIT, concurrency: 1 };
         const gate = await startGate(cleanup.add, { clock, limit, catchUp });
         gate.keeper.announce(createAnnouncement(target));
         const waitingCaller = await openConnection(gate.port);
-        const first = call({ port: gate.port, path: "/first", headers: gateHeaders() });
-        await until(() => received.length === 1);
-        const headers = Object.entries(gateHeaders({ "oleandergap-request-id": "second" }));
+        const first = sendHttpRequest({ port: gate.port, path: "/first", headers: createGateHeaders() });
+        await waitUntil(() => received.length === 1);
+        const headers = Object.entries(createGateHeaders({ "oleandergap-request-id": "second" }));
         const lines = ["GET /left HTTP/1.1", ...headers.map(([name, value]) => `${name}: ${value}`)];
         waitingCaller.write(`${lines.join("\r\n")}\r\n\r\n`);
-        await until(() => gate.keeper.current()?.gate.load().queued === 1);
+        await waitUntil(() => gate.keeper.current()?.gate.load().queued === 1);
 
         respondToFirst();
         waitingCaller.destroy();
--- a/packages/oleandergap-node/src/__tests__/support.ts
+++ b/packages/oleandergap-node/src/__tests__/support.ts
@@ -15,8 +15,8 @@
 import { createServeAtGate } from "../gate/serveAtGate.js";
 import { createConnectionPools, type ConnectionPools } from "../http/connectionPools.js";
 import { startListener, type HandleArrival, type Listener, type ListenerOptions } from "../http/listener.js";
-import { ownDialects } from "../http/dialect.js";
-import { createTargetKeeper, type TargetKeeper } from "../target/targetKeeper.js";
+import { defaultDialects } from "../http/dialect.js";
+import { createLocalTargetManager, type LocalTargetManager } from "../target/targetKeeper.js";
 
 export const LOOPBACK = "127.0.0.1";
 
@@ -94,12 +94,12 @@
     return listener.right;
 };
 
-export interface Received {
+export interface ReceivedResponse {
     readonly statusCode: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
     /** Whether the response was received completely. */
-    readonly whole: boolean;
+    readonly isComplete: boolean;
 }
 
 export interface CallOptions {
@@ -111,13 +111,13 @@
     readonly signal?: AbortSignal;
 }
 
-const receive = (response: IncomingMessage, resolve: (received: Received) => void): void => {
+const receive = (response: IncomingMessage, resolve: (received: ReceivedResponse) => void): void => {
     const chunks: Buffer[] = [];
     const finish = (): void => resolve({
         statusCode: response.statusCode ?? 0,
         headers: response.headers,
         body: Buffer.concat(chunks),
-        whole: response.complete,
+        isComplete: response.complete,
     });
     response.on("data", (chunk: Buffer) => chunks.push(chunk));
     response.on("error", () => undefined);
@@ -125,7 +125,7 @@
 };
 
 /** Sends a request on a new connection. Rejects if there is no response at all. */
-export const call = ({ port, method = "GET", path = "/", headers = {}, body, signal }: CallOptions): Promise<Received> =>
+export const sendHttpRequest = ({ port, method = "GET", path = "/", headers = {}, body, signal }: CallOptions): Promise<ReceivedResponse> =>
     new Promise((resolve, reject) => {
         const request = http.request({
             host: LOOPBACK, port, method, path, headers, agent: false, ...(signal === undefined ? {} : { signal }),
@@ -148,7 +148,7 @@
     });
 
 /** Polls `condition` every millisecond until it is true. The timeout of the test limits the wait. */
-export const until = async (condition: () => boolean): Promise<void> => {
+export const waitUntil = async (condition: () => boolean): Promise<void> => {
     while (!condition()) {
         await new Promise<void>((resolve) => setTimeout(resolve, 1));
     }
@@ -204,7 +204,7 @@
 });
 
 /** Creates the containment of a node that has no connection to other nodes. */
-export const createLoneContainment = <Peer = never>(
+export const createIsolatedContainment = <Peer = never>(
     clock: Clock,
     nodeId = "lone",
 ): Containment<Peer> => createContainment<Peer>({
@@ -215,7 +215,7 @@
     logger: createLogger("test"),
     options: defaultContainmentOptions,
     network: {
-        members: () => [], contacts: () => [], isNear: () => true, isFirst: () => true, send: () => undefined,
+        members: () => [], contacts: () => [], isInSameZone: () => true, isFirstInZone: () => true, send: () => undefined,
     },
     tableService: createMemoryTableService(),
     signal: new AbortController().signal,
@@ -225,7 +225,7 @@
     readonly port: number;
     readonly listener: Listener;
     readonly serve: ServeAtGate;
-    readonly keeper: TargetKeeper;
+    readonly keeper: LocalTargetManager;
     readonly pools: ConnectionPools;
     readonly published: (MemberTarget | undefined)[];
 }
@@ -246,7 +246,7 @@
     const published: (MemberTarget | undefined)[] = [];
     const pools = createConnectionPools({ clock, connectTimeoutMs: 500, idleMs: 4000, poolIdleMs: 60_000 });
     cleanup(() => pools.destroy());
-    const keeper = createTargetKeeper({
+    const keeper = createLocalTargetManager({
         clock,
         logger: createLogger("test"),
         publish: (target) => published.push(target),
@@ -256,13 +256,13 @@
         leavingQueueMs: 1000,
         slowStartMs: 10_000,
     });
-    const { containment = createLoneContainment(clock) } = options;
+    const { containment = createIsolatedContainment(clock) } = options;
     const serve = createContainmentGuard(clock, containment, createServeAtGate({
         clock,
         pools,
         currentTarget: keeper.current,
         claims,
-        dialect: ownDialects.target,
+        dialect: defaultDialects.target,
         maxAnswerBytes: 1024,
         minSilenceMs: 1000,
         bodySilenceMs: 30_000,
@@ -282,7 +282,7 @@
 };
 
 /** Returns the headers that a node sends with a request to a gate. */
-export const gateHeaders = (changes: Readonly<Record<string, string>> = {}): Record<string, string> => ({
+export const createGateHeaders = (changes: Readonly<Record<string, string>> = {}): Record<string, string> => ({
     host: "grant-filer.halloway",
     "oleandergap-service": "halloway/grant-filer",
     "oleandergap-request-id": "attempt-1",
--- a/packages/oleandergap-node/src/__tests__/targetKeeper.test.ts
+++ b/packages/oleandergap-node/src/__tests__/targetKeeper.test.ts
@@ -3,7 +3,7 @@
 import { createLogger } from "oleandergap-logger";
 import type { Announcement, Limit, MemberTarget } from "oleandergap-types";
 import { createManualClock, type ManualClock } from "oleandergap-utils";
-import { createTargetKeeper, type TargetKeeper } from "../target/targetKeeper.js";
+import { createLocalTargetManager, type LocalTargetManager } from "../target/targetKeeper.js";
 import { createAnnouncement, TEST_LIMIT } from "./support.js";
 
 const HEARTBEAT_TIMEOUT_MS = 3000;
@@ -13,7 +13,7 @@
 
 interface Setup {
     readonly clock: ManualClock;
-    readonly keeper: TargetKeeper;
+    readonly keeper: LocalTargetManager;
     readonly published: (MemberTarget | undefined)[];
     readonly setLimit: (limit: Limit | undefined) => void;
 }
@@ -22,7 +22,7 @@
     const clock = createManualClock();
     const published: (MemberTarget | undefined)[] = [];
     let limit: Limit | undefined = TEST_LIMIT;
-    const keeper = createTargetKeeper({
+    const keeper = createLocalTargetManager({
         clock,
         logger: createLogger("test"),
         publish: (target) => published.push(target),
@@ -42,7 +42,7 @@
     };
 };
 
-const admitRequest = (keeper: TargetKeeper, clock: ManualClock): Promise<string> | undefined =>
+const admitRequest = (keeper: LocalTargetManager, clock: ManualClock): Promise<string> | undefined =>
     keeper.current()?.gate.admit({
         partner: "halloway",
         service: "grant-filer",
--- a/packages/oleandergap-node/src/__tests__/turnQueue.test.ts
+++ b/packages/oleandergap-node/src/__tests__/turnQueue.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "chai";
 import { createCallerSignals } from "../http/callerSignal.js";
 import { createTurnQueue } from "../http/turnQueue.js";
-import { createCleanup, LOOPBACK, until } from "./support.js";
+import { createCleanup, LOOPBACK, waitUntil } from "./support.js";
 
 describe("createTurnQueue", () => {
     it("starts one task in each iteration, in order, and the first one immediately", () => {
@@ -104,11 +104,11 @@
         cleanup.add(() => server.close());
         const client = net.connect((server.address() as net.AddressInfo).port, LOOPBACK);
         client.write("GET / HTTP/1.1\r\nhost: a.example\r\n\r\n");
-        await until(() => serverResponse !== undefined);
+        await waitUntil(() => serverResponse !== undefined);
         client.end();
-        await until(() => serverResponse?.req.socket.readableEnded === true);
+        await waitUntil(() => serverResponse?.req.socket.readableEnded === true);
         expect(serverResponse !== undefined && signals.create(serverResponse).aborted).to.equal(true);
-        await until(() => serverResponse?.destroyed === true);
+        await waitUntil(() => serverResponse?.destroyed === true);
         expect(serverResponse !== undefined && signals.create(serverResponse).aborted).to.equal(true);
     });
 
@@ -130,7 +130,7 @@
         client.write("GET / HTTP/1.1\r\nhost: a.example\r\n\r\n");
         await new Promise((resolve) => setTimeout(resolve, 20));
         client.end();
-        await until(() => wasAborted !== undefined);
+        await waitUntil(() => wasAborted !== undefined);
         expect(wasAborted).to.equal(true);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/unreadSigns.test.ts
+++ b/packages/oleandergap-node/src/__tests__/unreadSigns.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { createManualClock, type ManualClock } from "oleandergap-utils";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
-import { call, createCleanup, startTarget, until, type Received } from "./support.js";
+import { sendHttpRequest, createCleanup, startTarget, waitUntil, type ReceivedResponse } from "./support.js";
 
 const GATE_SILENCE_MS = 500;
 const TIMEOUT_MS = 10_000;
@@ -17,7 +17,7 @@
     interface Scenario {
         readonly clock: ManualClock;
         readonly attempts: readonly ServerResponse[];
-        readonly answer: Promise<Received>;
+        readonly answer: Promise<ReceivedResponse>;
     }
 
     /** Starts a gateway and sends a request, which has reached its gate. */
@@ -30,8 +30,8 @@
         });
         const clock = createManualClock();
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", port)] });
-        const answer = call({ port: gateway.port, headers: { host: HOST, "oleandergap-timeout-ms": String(TIMEOUT_MS) } });
-        await until(() => attempts.length === 1);
+        const answer = sendHttpRequest({ port: gateway.port, headers: { host: HOST, "oleandergap-timeout-ms": String(TIMEOUT_MS) } });
+        await waitUntil(() => attempts.length === 1);
         return { clock, attempts, answer };
     };
 
--- a/packages/oleandergap-node/src/__tests__/uploadTries.test.ts
+++ b/packages/oleandergap-node/src/__tests__/uploadTries.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { createManualClock } from "oleandergap-utils";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
-import { createCleanup, LOOPBACK, startTarget, until } from "./support.js";
+import { createCleanup, LOOPBACK, startTarget, waitUntil } from "./support.js";
 
 const GATE_SILENCE_MS = 500;
 const PART_BYTES = 48 * 1024;
@@ -49,16 +49,16 @@
         for (let part = 0; part < 2; part++) {
             upload.write(Buffer.alloc(PART_BYTES));
         }
-        await until(() => attempts.length === 1);
+        await waitUntil(() => attempts.length === 1);
         await clock.advance(GATE_SILENCE_MS);
-        await until(() => attempts.length === 2);
+        await waitUntil(() => attempts.length === 2);
         attempts.forEach((response) => response.writeProcessing());
         for (let part = 2; part < PARTS; part++) {
             upload.write(Buffer.alloc(PART_BYTES));
             await new Promise<void>((resolve) => setTimeout(resolve, 5));
         }
         upload.end();
-        await until(() => isOver || sizes.length > 0);
+        await waitUntil(() => isOver || sizes.length > 0);
         expect(sizes.filter((size) => size !== PARTS * PART_BYTES)).to.deep.equal([]);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/uploads.test.ts
+++ b/packages/oleandergap-node/src/__tests__/uploads.test.ts
@@ -3,15 +3,15 @@
 import { expect } from "chai";
 import { createManualClock } from "oleandergap-utils";
 import {
-    call,
+    sendHttpRequest,
     createAnnouncement,
     createCleanup,
-    gateHeaders,
+    createGateHeaders,
     LOOPBACK,
     startGate,
     startRawTarget,
     startTarget,
-    until,
+    waitUntil,
 } from "./support.js";
 
 const LARGE_BODY_BYTES = 3 * 1024 * 1024;
@@ -59,7 +59,7 @@
         const upload = Buffer.alloc(LARGE_BODY_BYTES * 10, "deed");
 
         const request = http.request({
-            host: LOOPBACK, port: gate.port, method: "PUT", headers: gateHeaders(), agent: false,
+            host: LOOPBACK, port: gate.port, method: "PUT", headers: createGateHeaders(), agent: false,
         });
         const responseText = new Promise<string>((resolve) => request.on("response", (response) => {
             let text = "";
@@ -69,7 +69,7 @@
             response.on("end", () => resolve(text));
         }));
         request.end(upload);
-        await until(() => gate.keeper.current()?.gate.load().inFlight === 1);
+        await waitUntil(() => gate.keeper.current()?.gate.load().inFlight === 1);
         const heldBack = await waitUntilSteady(() => request.socket?.writableLength ?? 0);
         release();
 
@@ -88,11 +88,11 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock() });
         gate.keeper.announce(createAnnouncement(target));
 
-        const clientResponse = await call({
-            port: gate.port, method: "PUT", headers: gateHeaders(), body: Buffer.alloc(LARGE_BODY_BYTES),
+        const clientResponse = await sendHttpRequest({
+            port: gate.port, method: "PUT", headers: createGateHeaders(), body: Buffer.alloc(LARGE_BODY_BYTES),
         }).catch(() => undefined);
 
         expect(clientResponse === undefined || clientResponse.headers["oleandergap-verdict"] === "mayHaveRun").to.equal(true);
-        await until(() => gate.keeper.current()?.gate.load().inFlight === 0);
+        await waitUntil(() => gate.keeper.current()?.gate.load().inFlight === 0);
     });
 });
--- a/packages/oleandergap-node/src/__tests__/waitingTurns.test.ts
+++ b/packages/oleandergap-node/src/__tests__/waitingTurns.test.ts
@@ -2,7 +2,7 @@
 import { createManualClock, type ManualClock } from "oleandergap-utils";
 import type { ListenerOptions } from "../http/listener.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
-import { call, createAnnouncement, createCleanup, gateHeaders, startGate, startTarget, until } from "./support.js";
+import { sendHttpRequest, createAnnouncement, createCleanup, createGateHeaders, startGate, startTarget, waitUntil } from "./support.js";
 
 const TIMEOUT_MS = 1000;
 /** Time that a request spends in the queue of the node. */
@@ -31,7 +31,7 @@
     afterEach(() => cleanup.run());
 
     const runQueuedTasksAfterWait = async (): Promise<void> => {
-        await until(() => queuedTasks.length === 1);
+        await waitUntil(() => queuedTasks.length === 1);
         await clock.advance(WAIT_MS);
         queuedTasks.forEach((start) => start());
     };
@@ -51,7 +51,7 @@
         const receiver = await startReceiver();
         const gateway = await startGateway(cleanup.add, { clock, turns, targets: [createMember("a", receiver.port)] });
         const headers = { host: HOST, "oleandergap-timeout-ms": String(TIMEOUT_MS) };
-        const clientResponse = call({ port: gateway.port, headers });
+        const clientResponse = sendHttpRequest({ port: gateway.port, headers });
         await runQueuedTasksAfterWait();
         await clientResponse;
         expect(receiver.timeouts).to.deep.equal([TIMEOUT_MS - WAIT_MS]);
@@ -61,8 +61,8 @@
         const receiver = await startReceiver();
         const gate = await startGate(cleanup.add, { clock, turns });
         gate.keeper.announce(createAnnouncement(receiver.port));
-        const clientResponse = call({
-            port: gate.port, headers: gateHeaders({ "oleandergap-timeout-ms": String(TIMEOUT_MS) }),
+        const clientResponse = sendHttpRequest({
+            port: gate.port, headers: createGateHeaders({ "oleandergap-timeout-ms": String(TIMEOUT_MS) }),
         });
         await runQueuedTasksAfterWait();
         await clientResponse;
--- a/packages/oleandergap-node/src/adapters.ts
+++ b/packages/oleandergap-node/src/adapters.ts
@@ -13,10 +13,10 @@
 import type { Clock, ServiceReference } from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
 import type { Readiness } from "./admin/readiness.js";
-import { ownDialects, type Dialects } from "./http/dialect.js";
+import { defaultDialects, type Dialects } from "./http/dialect.js";
 import type { HandleArrival } from "./http/listener.js";
 import type { NodeOptions } from "./options.js";
-import type { TargetKeeper } from "./target/targetKeeper.js";
+import type { LocalTargetManager } from "./target/targetKeeper.js";
 
 /** The services of the platform that a node uses. */
 export interface PlatformPorts {
@@ -36,7 +36,7 @@
 
 /** Parts of the node that an additional listener may use. */
 export interface ListenerContext {
-    readonly target: TargetKeeper;
+    readonly target: LocalTargetManager;
     readonly readiness: () => Readiness;
     readonly createPartLogger: (part: string) => Logger;
 }
@@ -67,7 +67,7 @@
 
 /** The project's own headers, the two platform services at the addresses in the settings, no additional listeners. */
 export const defaultAdapters: NodeAdapters = {
-    dialects: ownDialects,
+    dialects: defaultDialects,
     openPlatform: ({ options, clock, logger, signal }) => {
         const { tableService: tableOptions, objectStore: objectOptions } = options.platform;
         const createEraSource = (): EraSource => ({ watch: createEraWatch(logger), header: ERA_HEADER });
--- a/packages/oleandergap-node/src/admin/adminHandler.ts
+++ b/packages/oleandergap-node/src/admin/adminHandler.ts
@@ -3,7 +3,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
 import { announcementSchema } from "oleandergap-types";
-import type { TargetKeeper } from "../target/targetKeeper.js";
+import type { LocalTargetManager } from "../target/targetKeeper.js";
 import { readJson } from "./readJson.js";
 import type { Readiness } from "./readiness.js";
 
@@ -14,7 +14,7 @@
 }
 
 export interface AdminHandlerDependencies {
-    readonly target: TargetKeeper;
+    readonly target: LocalTargetManager;
     readonly readiness: () => Readiness;
     readonly readMetrics: () => Promise<MetricsText>;
     readonly logger: Logger;
--- a/packages/oleandergap-node/src/admin/metrics.ts
+++ b/packages/oleandergap-node/src/admin/metrics.ts
@@ -2,7 +2,7 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Milliseconds, Verdict } from "oleandergap-types";
 import { reasonOfFailure } from "../http/refusal.js";
-import type { RequestEnd } from "../http/requestEnd.js";
+import type { RequestResult } from "../http/requestEnd.js";
 import type { MetricsText } from "./adminHandler.js";
 
 /** A value of a gauge with its labels, at the time of the scrape. */
@@ -22,7 +22,7 @@
 export type ServedAt = "gateway" | "gate";
 
 export interface NodeMetrics {
-    readonly countRequest: (at: ServedAt, end: RequestEnd, duration: Milliseconds) => void;
+    readonly countRequest: (at: ServedAt, end: RequestResult, duration: Milliseconds) => void;
     readonly addGauge: (source: GaugeSource) => void;
     readonly read: () => Promise<MetricsText>;
 }
@@ -38,10 +38,10 @@
 const MILLISECONDS_PER_SECOND = 1000;
 const STATUS_CLASS_SIZE = 100;
 
-const getVerdict = (end: RequestEnd): Verdict => end.kind === "Answered" ? "ran" : end.failure.verdict;
+const getVerdict = (end: RequestResult): Verdict => end.kind === "Answered" ? "ran" : end.failure.verdict;
 
 /** Returns the class of the response's status, such as `2xx`, or the reason of the failure. */
-export const formatEndReason = (end: RequestEnd): string =>
+export const formatEndReason = (end: RequestResult): string =>
     end.kind === "Answered" ? `${Math.floor(end.statusCode / STATUS_CLASS_SIZE)}xx` : reasonOfFailure(end.failure);
 
 export const createNodeMetrics = (): NodeMetrics => {
@@ -68,7 +68,7 @@
      */
     const pendingCounts = new Map<string, RequestCount>();
 
-    const findCount = (at: ServedAt, end: RequestEnd): RequestCount => {
+    const findCount = (at: ServedAt, end: RequestResult): RequestCount => {
         const verdict = getVerdict(end);
         const reason = formatEndReason(end);
         const key = `${at} ${verdict} ${reason}`;
@@ -88,7 +88,7 @@
         }
     };
 
-    const countRequest = (at: ServedAt, end: RequestEnd, duration: Milliseconds): void => {
+    const countRequest = (at: ServedAt, end: RequestResult, duration: Milliseconds): void => {
         findCount(at, end).value += 1;
         durations[at].observe(duration / MILLISECONDS_PER_SECOND);
     };
--- a/packages/oleandergap-node/src/admin/readiness.ts
+++ b/packages/oleandergap-node/src/admin/readiness.ts
@@ -37,7 +37,7 @@
 };
 
 /** Reason why the node does not accept requests, and the delay after which the caller may retry. */
-export interface Closure {
+export interface AdmissionRefusal {
     readonly reason: RefusalReason;
     readonly retryAfterMs: Milliseconds;
 }
@@ -55,12 +55,12 @@
  * Returns why the node does not accept a request; undefined if it accepts the request. A stopping node still accepts
  * requests from its local target, which may need to call other services to finish its requests in flight.
  */
-export const findClosure = (
+export const findAdmissionRefusal = (
     state: Readonly<ReadinessState>,
     isOwnTarget: boolean,
     lingerMs: Milliseconds,
     random: Random,
-): Closure | undefined => {
+): AdmissionRefusal | undefined => {
     if (!state.recovered) {
         return { reason: "NotReady", retryAfterMs: RECOVERY_RETRY_AFTER_MS + RECOVERY_RETRY_SPREAD_MS * random() };
     }
--- a/packages/oleandergap-node/src/admin/tallyEnd.ts
+++ b/packages/oleandergap-node/src/admin/tallyEnd.ts
@@ -1,14 +1,14 @@
 /** Records the end of a request in the tally. */
 import type { Milliseconds } from "oleandergap-types";
-import { isFailedEnd, type RequestEnd } from "../http/requestEnd.js";
+import { isFailedResult, type RequestResult } from "../http/requestEnd.js";
 import { formatEndReason, type ServedAt } from "./metrics.js";
 import type { RequestTally } from "./requestTally.js";
 
 /** Records how a request ended. `kind` is the name of the route, or empty. */
-export const tallyEnd = (
+export const recordRequestEnd = (
     tally: RequestTally,
     at: ServedAt,
     kind: string,
-    end: RequestEnd,
+    end: RequestResult,
     durationMs: Milliseconds,
-): void => tally.note({ at, kind, end: formatEndReason(end), isFailure: isFailedEnd(end), durationMs });
+): void => tally.note({ at, kind, end: formatEndReason(end), isFailure: isFailedResult(end), durationMs });
--- a/packages/oleandergap-node/src/createControlPlane.ts
+++ b/packages/oleandergap-node/src/createControlPlane.ts
@@ -101,15 +101,15 @@
             logger: createPartLogger("membership"),
         })),
         self,
-        mark: EVIDENCE_MARK,
+        markerByte: EVIDENCE_MARK,
         schema: evidenceMessageSchema,
     });
-    const spreadTransport = createSpreadTransport({ transport: evidenceTransport.others, self });
+    const spreadTransport = createSpreadTransport({ transport: evidenceTransport.remainingTransport, self });
     const membership = createMembership({
         self,
         clock: backgroundClock,
         random,
-        transport: spreadTransport.others,
+        transport: spreadTransport.remainingTransport,
         logger: createPartLogger("membership"),
         options: options.membership,
         piggyback: { heads: store.heads, receiveHeads: (from, heads) => spread.receiveHeads(from, heads) },
@@ -157,8 +157,8 @@
         network: {
             members: () => fleet.members().filter(({ id }) => id !== nodeId),
             contacts: fleet.contacts,
-            isNear: (contact) => contact.zone === zone,
-            isFirst: () => fleet.members().every(({ id }) => id >= nodeId),
+            isInSameZone: (contact) => contact.zone === zone,
+            isFirstInZone: () => fleet.members().every(({ id }) => id >= nodeId),
             send: evidenceTransport.send,
         },
         tableService,
--- a/packages/oleandergap-node/src/createRequestPath.ts
+++ b/packages/oleandergap-node/src/createRequestPath.ts
@@ -5,7 +5,7 @@
 import { createGatewayPath } from "./gateway/createGatewayPath.js";
 import { createCallerSignals } from "./http/callerSignal.js";
 import { createConnectionPools, type ConnectionPools } from "./http/connectionPools.js";
-import { startLoopLag } from "./http/loopLag.js";
+import { startEventLoopLagMonitor } from "./http/loopLag.js";
 import type { RequestPath, RequestPathDependencies } from "./requestPathTypes.js";
 import { createLocalService } from "./target/ownService.js";
 
@@ -27,7 +27,7 @@
     const { clock, signal } = dependencies;
     const pools = createPools(dependencies);
     const target = createTarget(dependencies);
-    const { catchUp } = startLoopLag({ clock, onPause: createPauseLog(dependencies) }, signal);
+    const { catchUp } = startEventLoopLagMonitor({ clock, onPause: createPauseLog(dependencies) }, signal);
     const callerSignals = createCallerSignals();
     const unservedCalls = createUnservedCalls(clock);
     const localService = createLocalService(dependencies, target);
@@ -35,7 +35,7 @@
         pools, target, localService: localService, catchUp, explainFailure: unservedCalls.explain,
     });
     const handleGateway = createGatewayPath(dependencies, {
-        pools, target, gate, callerSignals, catchUp, noteUnserved: unservedCalls.note,
+        pools, target, gate, callerSignals, catchUp, recordUnserved: unservedCalls.note,
     });
     return {
         target,
@@ -44,7 +44,7 @@
         pools,
         handleGate: gate.handleGate,
         handleGateway,
-        abandonAll: callerSignals.giveUpAll,
+        abandonAll: callerSignals.abortAll,
         hasSubstitute: localService.hasSubstitute,
         canIdentifyLocalTarget: dependencies.callerService === undefined,
     };
--- a/packages/oleandergap-node/src/gate/carefulServe.ts
+++ b/packages/oleandergap-node/src/gate/carefulServe.ts
@@ -26,7 +26,7 @@
 });
 
 /** Returns the refusal if the request is contained, undefined otherwise. */
-export const refuseContained = (containment: ContainmentQueries, judgement: Judgement): RequestFailure | undefined =>
+export const createContainedRefusal = (containment: ContainmentQueries, judgement: Judgement): RequestFailure | undefined =>
     judgement.kind === "Contained" ?
         { kind: "Refused", verdict: "notRun", reason: "Contained", retryAfterMs: containment.retryAfter(judgement) } :
         undefined;
@@ -39,7 +39,7 @@
     containment: ContainmentQueries,
 ) => (request: GateRequest): RequestFailure | undefined =>
     containment.hasSuspects() ?
-        refuseContained(containment, containment.judge(fingerprintRequest(request, request.body))) :
+        createContainedRefusal(containment, containment.judge(fingerprintRequest(request, request.body))) :
         undefined;
 
 /** Calls `serve` and releases the lock when the request has failed or the response body has ended. */
@@ -70,7 +70,7 @@
         if (release === undefined) {
             return either.left(createQueueRefusal(request));
         }
-        const refusal = refuseContained(containment, containment.judge(fingerprint));
+        const refusal = createContainedRefusal(containment, containment.judge(fingerprint));
         if (refusal !== undefined) {
             release();
             return either.left(refusal);
@@ -84,7 +84,7 @@
         }
         const fingerprint = fingerprintRequest(request, request.body);
         const judgement = containment.judge(fingerprint);
-        const refusal = refuseContained(containment, judgement);
+        const refusal = createContainedRefusal(containment, judgement);
         if (refusal !== undefined) {
             return either.left(refusal);
         }
--- a/packages/oleandergap-node/src/gate/claimedRun.ts
+++ b/packages/oleandergap-node/src/gate/claimedRun.ts
@@ -3,8 +3,8 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import { computeFingerprint, type Claim, type ClaimGrant, type ClaimKeeper } from "oleandergap-idempotency";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
-import { createWholeBody, observeBody, type Answer } from "../http/answer.js";
-import { flattenAnswerHeaders, readHeaderPair } from "../http/headers.js";
+import { createBufferedBody, observeBody, type UpstreamResponse } from "../http/answer.js";
+import { flattenResponseHeaders, readHeaderPair } from "../http/headers.js";
 import type { GateRequest, ServeAtGate } from "./gateRequest.js";
 
 /** Response header that marks a replay of the response to the first request with the same key. */
@@ -15,7 +15,7 @@
 /** Upper bound of that reserved time. It covers several stalls of an event loop. */
 const MAX_REFUSAL_TRANSIT_MS = 100;
 
-type Outcome = Either<RequestFailure, Answer>;
+type Outcome = Either<RequestFailure, UpstreamResponse>;
 type RecordedOutcome = Exclude<ClaimGrant, { readonly kind: "Granted" }>;
 
 const readContentLength = (request: GateRequest): number | undefined => {
@@ -42,7 +42,7 @@
         either.right({
             statusCode: recorded.answer.status,
             headers: { ...Object.fromEntries(recorded.answer.headers), [REPLAYED_HEADER]: "true" },
-            body: createWholeBody(Buffer.from(recorded.answer.body)),
+            body: createBufferedBody(Buffer.from(recorded.answer.body)),
         }) :
         either.left({
             kind: "AnswerCut",
@@ -51,8 +51,8 @@
         });
 
 /** Buffers the response body while it is forwarded, up to a limit, so that it can be replayed for the same key. */
-const recordResponse = (claim: Claim, answer: Answer, maxAnswerBytes: number): Answer => {
-    const headers = flattenAnswerHeaders(answer.headers);
+const recordResponse = (claim: Claim, answer: UpstreamResponse, maxAnswerBytes: number): UpstreamResponse => {
+    const headers = flattenResponseHeaders(answer.headers);
     let chunks: Buffer[] = [];
     let collectedBytes = 0;
     return {
--- a/packages/oleandergap-node/src/gate/createGatePath.ts
+++ b/packages/oleandergap-node/src/gate/createGatePath.ts
@@ -3,14 +3,14 @@
 import { createClaimSweeper, type ClaimSweeper } from "oleandergap-idempotency";
 import type { Clock, GateLoad } from "oleandergap-types";
 import { createRequestTally, type RequestTally } from "../admin/requestTally.js";
-import { tallyEnd } from "../admin/tallyEnd.js";
+import { recordRequestEnd } from "../admin/tallyEnd.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import type { HandleArrival } from "../http/listener.js";
-import type { LoopLag } from "../http/loopLag.js";
-import { toRequestEnd } from "../http/requestEnd.js";
+import type { EventLoopLagMonitor } from "../http/loopLag.js";
+import { toRequestResult } from "../http/requestEnd.js";
 import type { RequestPathDependencies } from "../requestPathTypes.js";
 import { findServiceRow, type LocalService } from "../target/ownService.js";
-import { createTargetKeeper, type TargetKeeper } from "../target/targetKeeper.js";
+import { createLocalTargetManager, type LocalTargetManager } from "../target/targetKeeper.js";
 import { createContainmentGuard } from "./carefulServe.js";
 import { createClaims, type Claims } from "./createClaims.js";
 import { createGateHandler } from "./gateHandler.js";
@@ -22,9 +22,9 @@
 /** Parts of the node that the gate shares with the gateway. */
 export interface GatePathParts {
     readonly pools: ConnectionPools;
-    readonly target: TargetKeeper;
+    readonly target: LocalTargetManager;
     readonly localService: LocalService;
-    readonly catchUp: LoopLag["catchUp"];
+    readonly catchUp: EventLoopLagMonitor["catchUp"];
     readonly explainFailure: UnservedCalls["explain"];
 }
 
@@ -44,7 +44,7 @@
 /** Creates the keeper of the local target and of its gate. */
 export const createTarget = ({
     options, clock, createPartLogger, publishTarget, view,
-}: RequestPathDependencies): TargetKeeper => createTargetKeeper({
+}: RequestPathDependencies): LocalTargetManager => createLocalTargetManager({
     clock,
     logger: createPartLogger("target"),
     publish: publishTarget,
@@ -58,7 +58,7 @@
 const countGateRequests = (clock: Clock, tally: RequestTally, serve: ServeAtGate): ServeAtGate => async (request) => {
     const startedAt = clock.monotonic();
     const outcome = await serve(request);
-    tallyEnd(tally, "gate", request.kind, toRequestEnd(outcome), clock.monotonic() - startedAt);
+    recordRequestEnd(tally, "gate", request.kind, toRequestResult(outcome), clock.monotonic() - startedAt);
     return outcome;
 };
 
--- a/packages/oleandergap-node/src/gate/createRunWatch.ts
+++ b/packages/oleandergap-node/src/gate/createRunWatch.ts
@@ -3,7 +3,7 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock } from "oleandergap-types";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
-import type { TargetKeeper } from "../target/targetKeeper.js";
+import type { LocalTargetManager } from "../target/targetKeeper.js";
 import { createContainmentCheck } from "./carefulServe.js";
 import { createCrashDetector, createListenerProbe } from "./crashWatch.js";
 import { createLostRunLog } from "./lostRunLog.js";
@@ -14,7 +14,7 @@
     readonly clock: Clock;
     readonly containment: Containment<never>;
     readonly createPartLogger: (part: string) => Logger;
-    readonly target: Pick<TargetKeeper, "current" | "lose">;
+    readonly target: Pick<LocalTargetManager, "current" | "lose">;
 }
 
 /** Creates the observer that detects crashes and successful runs of the local target. */
--- a/packages/oleandergap-node/src/gate/gateHandler.ts
+++ b/packages/oleandergap-node/src/gate/gateHandler.ts
@@ -17,7 +17,7 @@
     type RequestFailure,
     type ServiceReference,
 } from "oleandergap-types";
-import { toRequestEnd, type RequestEnd } from "../http/requestEnd.js";
+import { toRequestResult, type RequestResult } from "../http/requestEnd.js";
 import { createCallerSignals } from "../http/callerSignal.js";
 import {
     CALLER_HEADER,
@@ -34,12 +34,12 @@
 import { isIdempotentMethod } from "../http/idempotentMethods.js";
 import { formatLoad } from "../http/loadHeader.js";
 import { describeFailure, HTTP_STATUS, statusOfFailure } from "../http/refusal.js";
-import { createRememberedParser } from "../http/rememberedParser.js";
+import { createCachedParser } from "../http/rememberedParser.js";
 import { receiveBody, toRequestFailure, type RequestBody } from "../http/requestBody.js";
 import { parseTimeout } from "../http/timeoutHeader.js";
-import { writeAnswer, writeFailure } from "../http/writeAnswer.js";
+import { writeResponse, writeFailure } from "../http/writeAnswer.js";
 import type { GateRequest, ServeAtGate } from "./gateRequest.js";
-import { startProgressSignals } from "./signsOfLife.js";
+import { startRequestHeartbeats } from "./signsOfLife.js";
 
 export interface GateHandlerDependencies {
     readonly clock: Clock;
@@ -50,7 +50,7 @@
     readonly maxBodyBytes: number;
     /** Timeout of a request that has no timeout header, in milliseconds. */
     readonly usualTimeoutMs: Milliseconds;
-    readonly countRequest: (end: RequestEnd, duration: Milliseconds) => void;
+    readonly countRequest: (end: RequestResult, duration: Milliseconds) => void;
 }
 
 const createBadRequest = (detail: string): RequestFailure => ({ kind: "BadRequest", verdict: "notRun", detail });
@@ -61,7 +61,7 @@
     return parsed.success && rest.length === 0 ? parsed.data : undefined;
 };
 
-const parseService = createRememberedParser(validateService);
+const parseService = createCachedParser(validateService);
 
 /** Reads a header that holds `partner/service`. */
 const readService = (request: IncomingMessage, header: string): ServiceReference | undefined => {
@@ -158,18 +158,18 @@
         );
 
     const serveBody = async (response: ServerResponse, head: GateRequestHead, body: RequestBody): Promise<void> => {
-        const progressSignals = startProgressSignals(clock, response, body.kind === "Streaming");
+        const requestHeartbeats = startRequestHeartbeats(clock, response, body.kind === "Streaming");
         const signal = callerSignals.create(response);
         const startedAt = clock.monotonic();
-        const outcome = await serve({ ...head, body, signal, onAdmitted: progressSignals.markAdmitted });
-        progressSignals.stop();
-        dependencies.countRequest(toRequestEnd(outcome), clock.monotonic() - startedAt);
+        const outcome = await serve({ ...head, body, signal, onAdmitted: requestHeartbeats.markAdmitted });
+        requestHeartbeats.stop();
+        dependencies.countRequest(toRequestResult(outcome), clock.monotonic() - startedAt);
         if (either.isLeft(outcome)) {
             refuse(response, outcome.left, head.requestId);
             return;
         }
         const starvedHeader = outcome.right.isStarved === true ? { [STARVED_HEADER]: "yes" } : {};
-        writeAnswer(response, outcome.right, {
+        writeResponse(response, outcome.right, {
             ...createGateHeaders(head.requestId),
             ...starvedHeader,
             [VERDICT_HEADER]: "ran",
--- a/packages/oleandergap-node/src/gate/gateRequest.ts
+++ b/packages/oleandergap-node/src/gate/gateRequest.ts
@@ -1,7 +1,7 @@
 /** A request at the gate of the node that hosts its target, received over the network or from the local gateway. */
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Milliseconds, RequestFailure, ServiceReference } from "oleandergap-types";
-import type { Answer } from "../http/answer.js";
+import type { UpstreamResponse } from "../http/answer.js";
 import type { RequestBody } from "../http/requestBody.js";
 
 export interface GateRequest {
@@ -39,4 +39,4 @@
 }
 
 /** Serves a request at the local target. Never rejects. */
-export type ServeAtGate = (request: GateRequest) => Promise<Either<RequestFailure, Answer>>;
+export type ServeAtGate = (request: GateRequest) => Promise<Either<RequestFailure, UpstreamResponse>>;
--- a/packages/oleandergap-node/src/gate/serveAtGate.ts
+++ b/packages/oleandergap-node/src/gate/serveAtGate.ts
@@ -4,11 +4,11 @@
 import type { Admission, ReleaseOutcome } from "oleandergap-gate";
 import type { ClaimKeeper } from "oleandergap-idempotency";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
-import { discardBody, observeBody, type Answer } from "../http/answer.js";
+import { discardBody, observeBody, type UpstreamResponse } from "../http/answer.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import type { TargetDialect, TargetRequest } from "../http/dialect.js";
 import { FIRST_ERROR_STATUS } from "../http/requestEnd.js";
-import { sendWatched } from "../http/watchedExchange.js";
+import { sendMonitored } from "../http/watchedExchange.js";
 import type { LocalTarget } from "../target/targetKeeper.js";
 import { createClaimedRun } from "./claimedRun.js";
 import type { GateRequest, ServeAtGate } from "./gateRequest.js";
@@ -38,7 +38,7 @@
     readonly catchUp?: () => Promise<void> | undefined;
 }
 
-type Outcome = Either<RequestFailure, Answer>;
+type Outcome = Either<RequestFailure, UpstreamResponse>;
 
 /** The connection counts as lost if the target is silent for this multiple of the silence limit. */
 const LOSS_SILENCE_FACTOR = 2;
@@ -64,7 +64,7 @@
 };
 
 /** Releases the slot when the response has been sent, was interrupted or was abandoned, whichever happens first. */
-const releaseAtEnd = (answer: Answer, admission: Admission): Answer => ({
+const releaseAtEnd = (answer: UpstreamResponse, admission: Admission): UpstreamResponse => ({
     ...answer,
     body: observeBody(answer.body, {
         onFinish: (failure) => admission.release(failure === undefined ? "Answered" : "Lost"),
@@ -105,13 +105,13 @@
         const describeAttempt = (attemptId: string): TargetRequest => ({
             headers: request.headers,
             caller: request.caller,
-            tryId: attemptId,
+            attemptId: attemptId,
             remainingMs: Math.max(0, Math.floor(request.deadline - clock.monotonic())),
             instanceId,
         });
         const startedAt = clock.monotonic();
         const silenceMs = request.idempotent ? computeSilenceLimit(request) : undefined;
-        const watched = await sendWatched(clock, {
+        const watched = await sendMonitored(clock, {
             method: request.method,
             path: request.path,
             body: request.body,
@@ -122,20 +122,20 @@
             signal: request.signal,
             idempotent: request.idempotent,
             silenceMs,
-            lossMs: silenceMs && silenceMs * LOSS_SILENCE_FACTOR,
-            takeDispatcher: () => pools.take(address, port, connections),
-            renewConnections: () => pools.renew(address, port),
+            connectionLossMs: silenceMs && silenceMs * LOSS_SILENCE_FACTOR,
+            getDispatcher: () => pools.getPool(address, port, connections),
+            replaceConnections: () => pools.replaceConnections(address, port),
             nextRequestId: () => {
                 attemptCount++;
                 return `${request.requestId}.${attemptCount}`;
             },
             readFailure: ({ statusCode, headers }) => dialect.readRefusal(statusCode, headers),
-            answerIdHeader: dialect.answerIdHeader,
-            answerIdOf: (tryId) => dialect.expectAnswerId(describeAttempt(tryId)),
-            headersOf: (tryId) => [
+            responseIdHeader: dialect.responseIdHeader,
+            getResponseId: (attemptId) => dialect.expectResponseId(describeAttempt(attemptId)),
+            createHeaders: (attemptId) => [
                 "host", request.host,
                 ...request.headers,
-                ...dialect.describeRequest(describeAttempt(tryId)),
+                ...dialect.describeRequest(describeAttempt(attemptId)),
             ],
         });
         // There is no other target to retry at, so the attempt that is still in flight is awaited.
--- a/packages/oleandergap-node/src/gate/signsOfLife.ts
+++ b/packages/oleandergap-node/src/gate/signsOfLife.ts
@@ -12,12 +12,12 @@
  * Interval between two progress signals. Nodes treat a connection as silent after several intervals. Each signal costs
  * a wake-up of two processes, and most requests end before the first signal.
  */
-export const PROGRESS_INTERVAL_MS: Milliseconds = 200;
+export const REQUEST_HEARTBEAT_INTERVAL_MS: Milliseconds = 200;
 
 /** `writeEarlyHints` requires a link header; this one has an empty target. */
 const WAITING_HINT = { link: "<>; rel=waiting" };
 
-export interface ProgressSignals {
+export interface RequestHeartbeats {
     /**
      * Marks the request as admitted: later signals use status 102 instead of 103, and the first one may be immediate.
      */
@@ -30,11 +30,11 @@
  *
  * @param signalsAdmission Whether to send a signal immediately when the request is admitted
  */
-export const startProgressSignals = (
+export const startRequestHeartbeats = (
     clock: Clock,
     response: ServerResponse,
     signalsAdmission: boolean,
-): ProgressSignals => {
+): RequestHeartbeats => {
     let isAdmitted = false;
     let isStopped = false;
     let cancel: CancelTimer = () => undefined;
@@ -52,7 +52,7 @@
     };
 
     const schedule = (): void => {
-        cancel = clock.after(PROGRESS_INTERVAL_MS, () => {
+        cancel = clock.after(REQUEST_HEARTBEAT_INTERVAL_MS, () => {
             sendProgress();
             if (!isStopped) {
                 schedule();
--- a/packages/oleandergap-node/src/gate/watchedRun.ts
+++ b/packages/oleandergap-node/src/gate/watchedRun.ts
@@ -1,7 +1,7 @@
 /** Runs requests at the local target and reports successful, lost and crashed runs. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
-import { observeBody, type Answer } from "../http/answer.js";
+import { observeBody, type UpstreamResponse } from "../http/answer.js";
 import { FIRST_ERROR_STATUS } from "../http/requestEnd.js";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
 import type { LocalTarget } from "../target/targetKeeper.js";
@@ -37,7 +37,7 @@
     const classifyInterruption = (request: GateRequest): RunEnd =>
         wasAbandoned(request, clock.monotonic()) ? "Abandoned" : "Lost";
 
-    const observeResponse = (request: GateRequest, answer: Answer, run: ObservedRun): Answer => ({
+    const observeResponse = (request: GateRequest, answer: UpstreamResponse, run: ObservedRun): UpstreamResponse => ({
         ...answer,
         body: observeBody(answer.body, {
             onFinish: (failure) => {
--- a/packages/oleandergap-node/src/gateway/callerRequest.ts
+++ b/packages/oleandergap-node/src/gateway/callerRequest.ts
@@ -16,7 +16,7 @@
 import type { CallerDialect } from "../http/dialect.js";
 import { countHeader, selectRequestHeaders } from "../http/headers.js";
 import { isIdempotentMethod } from "../http/idempotentMethods.js";
-import { createRememberedParser } from "../http/rememberedParser.js";
+import { createCachedParser } from "../http/rememberedParser.js";
 import type { EstimateElapsedWait } from "./callerPatience.js";
 import { findRoute, type ChooseService } from "./routeTable.js";
 
@@ -41,7 +41,7 @@
     /** Monotonic time of the latency objective; undefined if there is no route. */
     readonly objective: Milliseconds | undefined;
     /** Whether the caller seems to have been refused before. */
-    readonly isClientRetry: boolean;
+    readonly isCallerRetry: boolean;
 }
 
 const MAX_HOST_LENGTH = 2 * MAX_NAME_LENGTH + ".:65535".length;
@@ -63,7 +63,7 @@
 };
 
 /** Parses a Host header of the form `service.partner` with an optional port. */
-export const parseHost = createRememberedParser(readServiceHost);
+export const parseHost = createCachedParser(readServiceHost);
 
 /** Priority of a request that matches no route. */
 const DEFAULT_PRIORITY = 0;
@@ -190,6 +190,6 @@
         idempotencyKey: idempotent ? undefined : idempotencyKey,
         deadline: receivedAt + chooseTimeout(destination.right, timeout.right),
         objective: route && receivedAt + route.targetLatencyMs - elapsedMs,
-        isClientRetry: elapsedMs > 0,
+        isCallerRetry: elapsedMs > 0,
     });
 };
--- a/packages/oleandergap-node/src/gateway/createGatewayPath.ts
+++ b/packages/oleandergap-node/src/gateway/createGatewayPath.ts
@@ -11,21 +11,21 @@
     type RequestRouter,
     type TargetPicker,
 } from "oleandergap-routing";
-import { findClosure } from "../admin/readiness.js";
-import { tallyEnd } from "../admin/tallyEnd.js";
+import { findAdmissionRefusal } from "../admin/readiness.js";
+import { recordRequestEnd } from "../admin/tallyEnd.js";
 import type { GatePath } from "../gate/createGatePath.js";
 import type { UnservedCalls } from "../gate/unservedCalls.js";
 import type { CallerSignals } from "../http/callerSignal.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import type { HandleArrival } from "../http/listener.js";
-import type { LoopLag } from "../http/loopLag.js";
+import type { EventLoopLagMonitor } from "../http/loopLag.js";
 import type { RequestPathDependencies } from "../requestPathTypes.js";
-import { createCallerLookup } from "../target/ownService.js";
-import type { TargetKeeper } from "../target/targetKeeper.js";
+import { createCallerServiceLookup } from "../target/ownService.js";
+import type { LocalTargetManager } from "../target/targetKeeper.js";
 import { createElapsedWaitEstimator } from "./callerPatience.js";
 import { createGatewayHandler } from "./gatewayHandler.js";
 import { createOwnerRouting } from "./ownerRouting.js";
-import { createRequestCare } from "./requestCare.js";
+import { createRequestContainment } from "./requestCare.js";
 import { createRequestLog, type LogFailedRequest } from "./requestLog.js";
 import { createServiceChooser } from "./routeTable.js";
 import { createSendToGate, type SendToGate } from "./sendToGate.js";
@@ -35,11 +35,11 @@
 /** Components that the gateway shares with the gate. */
 export interface GatewayPathParts {
     readonly pools: ConnectionPools;
-    readonly target: TargetKeeper;
+    readonly target: LocalTargetManager;
     readonly gate: GatePath;
     readonly callerSignals: CallerSignals;
-    readonly catchUp: LoopLag["catchUp"];
-    readonly noteUnserved: UnservedCalls["note"];
+    readonly catchUp: EventLoopLagMonitor["catchUp"];
+    readonly recordUnserved: UnservedCalls["note"];
 }
 
 const createFailureLog = ({ options, clock, createPartLogger }: RequestPathDependencies): LogFailedRequest =>
@@ -63,8 +63,8 @@
 const createPicker = (
     { options, clock, random }: RequestPathDependencies,
 ): TargetPicker<TargetMember> => createTargetPicker<TargetMember>({
-    ownNode: options.nodeId,
-    ownZone: options.zone,
+    localNodeId: options.nodeId,
+    localZone: options.zone,
     clock,
     random,
     options: options.routing.picker,
@@ -115,21 +115,21 @@
             createOwnerRouting({ clock, partitions: options.keyOwnership.partitions }) :
             () => undefined,
         send: createSender(dependencies, parts),
-        createRequestContainment: createRequestCare(dependencies.containment),
+        createRequestContainment: createRequestContainment(dependencies.containment),
         catchUp: parts.catchUp,
         closed: (callingService) =>
-            findClosure(
+            findAdmissionRefusal(
                 dependencies.readiness,
                 callingService !== undefined && dependencies.callerService === undefined,
                 options.stop.lingerMs,
                 random,
             ),
-        findCallingService: createCallerLookup(dependencies, parts.target),
+        findCallingService: createCallerServiceLookup(dependencies, parts.target),
         maxBodyBytes: requests.maxBodyBytes,
-        noteUnserved: parts.noteUnserved,
+        recordUnserved: parts.recordUnserved,
         countRequest: (end, duration, kind) => {
             metrics.countRequest("gateway", end, duration);
-            tallyEnd(parts.gate.tally, "gateway", kind, end, duration);
+            recordRequestEnd(parts.gate.tally, "gateway", kind, end, duration);
         },
         logFailure: createFailureLog(dependencies),
     });
--- a/packages/oleandergap-node/src/gateway/gatewayHandler.ts
+++ b/packages/oleandergap-node/src/gateway/gatewayHandler.ts
@@ -15,15 +15,15 @@
     TableView,
     Verdict,
 } from "oleandergap-types";
-import type { Closure } from "../admin/readiness.js";
+import type { AdmissionRefusal } from "../admin/readiness.js";
 import { discardBody } from "../http/answer.js";
 import type { CallerSignals } from "../http/callerSignal.js";
 import type { CallerDialect } from "../http/dialect.js";
 import type { RequestArrival } from "../http/listener.js";
 import { HTTP_STATUS } from "../http/refusal.js";
 import { isReplayable, receiveBody, toRequestFailure, type RequestBody } from "../http/requestBody.js";
-import type { RequestEnd } from "../http/requestEnd.js";
-import { writeAnswer, writeFailure } from "../http/writeAnswer.js";
+import type { RequestResult } from "../http/requestEnd.js";
+import { writeResponse, writeFailure } from "../http/writeAnswer.js";
 import type { EstimateElapsedWait } from "./callerPatience.js";
 import { readCallerRequest, type CallerRequest } from "./callerRequest.js";
 import type { FindOwnerRouter } from "./ownerRouting.js";
@@ -54,7 +54,7 @@
      * Returns the reason why a request from this calling service, or from an unknown caller, is currently not accepted;
      * undefined if it is accepted.
      */
-    readonly closed: (callingService: ServiceReference | undefined) => Closure | undefined;
+    readonly closed: (callingService: ServiceReference | undefined) => AdmissionRefusal | undefined;
     /**
      * Returns the service of this node's target if `address` is the target's address, so that the caller is that
      * service.
@@ -62,9 +62,9 @@
     readonly findCallingService: (address: string | undefined) => ServiceReference | undefined;
     readonly maxBodyBytes: number;
     /** Called when a request at this gateway was not served; it may have been an outgoing call of the local target. */
-    readonly noteUnserved: () => void;
+    readonly recordUnserved: () => void;
     /** Counts a finished request. `kind` is the name of the route, or an empty string. */
-    readonly countRequest: (end: RequestEnd, duration: Milliseconds, kind: string) => void;
+    readonly countRequest: (end: RequestResult, duration: Milliseconds, kind: string) => void;
     readonly logFailure: LogFailedRequest;
 }
 
@@ -112,7 +112,7 @@
         { caller, requestId, isRetried }: RequestState,
         verdict: Verdict,
     ): Record<string, string> =>
-        dialect.describeAnswer({ verdict, version: caller?.table.head, requestId, isRetried });
+        dialect.describeResponse({ verdict, version: caller?.table.head, requestId, isRetried });
 
     const refuse = (
         state: RequestState,
@@ -121,7 +121,7 @@
         tried: readonly TriedTarget[] = [],
     ): void => {
         if (failure.kind !== "BadRequest") {
-            dependencies.noteUnserved();
+            dependencies.recordUnserved();
         }
         const now = clock.monotonic();
         const isLate = failure.kind === "AnswerLost" && now >= state.deadline - TIMER_TOLERANCE_MS;
@@ -157,13 +157,13 @@
             row,
             targets,
             idempotent: caller.idempotent,
-            replayable: () => isReplayable(body),
+            canReplayBody: () => isReplayable(body),
             deadline,
             retriesAllowed: !dialect.forbidsRetries(state.request),
             maximumTargets: caller.maximumTargets,
             kind: caller.kind,
-            isReturning: caller.isClientRetry,
-            findObstacle: containment.findObstacle,
+            isCallerRetry: caller.isCallerRetry,
+            findRefusal: containment.findRefusal,
             signal,
         }, sendWithContainment(containment, (target, isSuspect, context) =>
             dependencies.send(target, {
@@ -171,18 +171,18 @@
             })), discardBody);
 
         if (either.isLeft(routed)) {
-            state.isRetried = routed.left.retriedBelow;
-            refuse(state, routed.left.failure, routed.left.retryAfterMs, routed.left.tried);
+            state.isRetried = routed.left.retriedDownstream;
+            refuse(state, routed.left.failure, routed.left.retryAfterMs, routed.left.triedTargets);
             return;
         }
-        const { answer, retriedBelow, isStarved } = routed.right;
+        const { answer, retriedDownstream, isStarved } = routed.right;
         if (isStarved === true) {
-            dependencies.noteUnserved();
+            dependencies.recordUnserved();
         }
-        state.isRetried = retriedBelow;
+        state.isRetried = retriedDownstream;
         const duration = clock.monotonic() - state.startedAt;
         dependencies.countRequest({ kind: "Answered", statusCode: answer.statusCode }, duration, caller.kind);
-        writeAnswer(state.response, answer, describeResponse(state, "ran"));
+        writeResponse(state.response, answer, describeResponse(state, "ran"));
     };
 
     const handle = async (state: RequestState): Promise<void> => {
--- a/packages/oleandergap-node/src/gateway/ownerRouting.ts
+++ b/packages/oleandergap-node/src/gateway/ownerRouting.ts
@@ -33,17 +33,17 @@
     target: owner,
     progress: {
         isProbe: false,
-        expectSigns: () => undefined,
-        heard: () => undefined,
+        expectHeartbeats: () => undefined,
+        recordHeartbeat: () => undefined,
         silent: () => false,
-        bodyEnded: () => undefined,
+        recordBodyEnd: () => undefined,
     },
     report: () => undefined,
 });
 
 const createOwnerPicker = (owner: TargetMember): TargetPicker<TargetMember> => ({
     pick: ({ exclude }) => exclude.includes(owner.nodeId) ? undefined : createOwnerPick(owner),
-    hasRoom: () => false,
+    hasFreeSlot: () => false,
     retryAfter: () => OWNER_RETRY_AFTER_MS,
     zones: () => [],
 });
--- a/packages/oleandergap-node/src/gateway/requestCare.ts
+++ b/packages/oleandergap-node/src/gateway/requestCare.ts
@@ -8,8 +8,8 @@
 import type { Attempt, AttemptContext } from "oleandergap-routing";
 import type { RequestFailure } from "oleandergap-types";
 import { rankByRendezvous } from "oleandergap-utils";
-import { refuseContained } from "../gate/carefulServe.js";
-import { observeBody, type Answer } from "../http/answer.js";
+import { createContainedRefusal } from "../gate/carefulServe.js";
+import { observeBody, type UpstreamResponse } from "../http/answer.js";
 import type { RequestBody } from "../http/requestBody.js";
 import { FIRST_ERROR_STATUS } from "../http/requestEnd.js";
 import { fingerprintRequest, type FingerprintedRequest } from "../http/requestFingerprint.js";
@@ -26,15 +26,15 @@
     /**
      * Returns the reason why the request may not be sent after this number of attempts; undefined if it may be sent.
      */
-    readonly findObstacle: (attempts: number) => RequestFailure | undefined;
+    readonly findRefusal: (attempts: number) => RequestFailure | undefined;
     /** Returns the targets that the request may be sent to. */
     readonly chooseTargets: (targets: readonly TargetMember[]) => readonly TargetMember[];
     /** Returns whether the gate must not run the request at the same time as another suspect request. */
     readonly isSuspect: () => boolean;
     /** Records the failure of an attempt at `target`. */
-    readonly noteFailure: (target: TargetMember, failure: RequestFailure) => void;
+    readonly recordFailure: (target: TargetMember, failure: RequestFailure) => void;
     /** Returns the response, with its end observed if it is relevant for the containment. */
-    readonly watchAnswer: (response: Answer) => Answer;
+    readonly observeResponse: (response: UpstreamResponse) => UpstreamResponse;
 }
 
 /** Creates the crash containment of one request. */
@@ -47,14 +47,14 @@
 export const sendWithContainment = (
     requestContainment: RequestContainment,
     send: SendAttempt,
-): Attempt<TargetMember, Answer> =>
+): Attempt<TargetMember, UpstreamResponse> =>
     async (target, context) => {
         const result = await send(target, requestContainment.isSuspect(), context);
         if (either.isLeft(result.outcome)) {
-            requestContainment.noteFailure(target, result.outcome.left);
+            requestContainment.recordFailure(target, result.outcome.left);
             return result;
         }
-        return { ...result, outcome: either.right(requestContainment.watchAnswer(result.outcome.right)) };
+        return { ...result, outcome: either.right(requestContainment.observeResponse(result.outcome.right)) };
     };
 
 const UNRESTRICTED: Judgement = { kind: "Free" };
@@ -69,31 +69,31 @@
 /**
  * Creates the containment of requests. The fingerprint of a request is computed only while there are suspect requests.
  */
-export const createRequestCare = (containment: GatewayContainment): CreateRequestContainment => (request, body) => {
+export const createRequestContainment = (containment: GatewayContainment): CreateRequestContainment => (request, body) => {
     let fingerprint: Fingerprint | undefined;
     let hasCrashed = false;
     const getFingerprint = (): Fingerprint => fingerprint ??= fingerprintRequest(request, body);
     const judge = (): Judgement => containment.hasSuspects() ? containment.judge(getFingerprint()) : UNRESTRICTED;
 
     return {
-        findObstacle: (attempts) => {
+        findRefusal: (attempts) => {
             const judgement = judge();
             // A request that has just crashed its second target would crash a third one if it was sent again.
             const mustStop = attempts > 0 && hasCrashed && judgement.kind === "Probation";
             return mustStop ?
                 { kind: "Refused", verdict: "notRun", reason: "Contained", retryAfterMs: 0 } :
-                refuseContained(containment, judgement);
+                createContainedRefusal(containment, judgement);
         },
         chooseTargets: (targets) =>
             judge().kind === "Probation" ? chooseSingleTarget(getFingerprint(), targets) : targets,
         isSuspect: () => judge().kind !== "Free",
-        noteFailure: ({ nodeId }, failure) => {
+        recordFailure: ({ nodeId }, failure) => {
             if (failure.kind === "AnswerLost" && failure.crash !== undefined) {
                 hasCrashed = true;
                 containment.noteCrash(failure.crash, nodeId, getFingerprint());
             }
         },
-        watchAnswer: (response) => !containment.hasSuspects() || response.statusCode >= FIRST_ERROR_STATUS ?
+        observeResponse: (response) => !containment.hasSuspects() || response.statusCode >= FIRST_ERROR_STATUS ?
             response :
             {
                 ...response,
--- a/packages/oleandergap-node/src/gateway/sendToGate.ts
+++ b/packages/oleandergap-node/src/gateway/sendToGate.ts
@@ -21,7 +21,7 @@
     type ServiceReference,
 } from "oleandergap-types";
 import type { ServeAtGate } from "../gate/gateRequest.js";
-import { discardBody, observeBody, readAnswerHeader, type Answer } from "../http/answer.js";
+import { discardBody, observeBody, readResponseHeader, type UpstreamResponse } from "../http/answer.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import {
     CALLER_HEADER,
@@ -35,7 +35,7 @@
 import { parseLoad } from "../http/loadHeader.js";
 import { readFailure } from "../http/refusal.js";
 import type { RequestBody } from "../http/requestBody.js";
-import { sendWatched, type PendingAttempt, type Silence } from "../http/watchedExchange.js";
+import { sendMonitored, type PendingAttempt, type Silence } from "../http/watchedExchange.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { LogSilentGate } from "./silenceLog.js";
 
@@ -66,7 +66,7 @@
 }
 
 /** Result of an attempt at a gate. */
-export type GateOutcome = AttemptResult<Answer>;
+export type GateOutcome = AttemptResult<UpstreamResponse>;
 
 export type SendToGate = (target: TargetMember, attempt: GateAttempt) => Promise<GateOutcome>;
 
@@ -78,28 +78,28 @@
 /** Number of regular silence timeouts after which a gate counts as lost, also in a probe. */
 const LOSS_SILENCE_FACTOR = 2;
 
-const readGateResponse = (response: Answer): GateOutcome => {
-    const load = parseLoad(readAnswerHeader(response.headers, LOAD_HEADER));
-    const retriedBelow = readAnswerHeader(response.headers, RETRY_HEADER) === "no";
+const readGateResponse = (response: UpstreamResponse): GateOutcome => {
+    const load = parseLoad(readResponseHeader(response.headers, LOAD_HEADER));
+    const retriedDownstream = readResponseHeader(response.headers, RETRY_HEADER) === "no";
     const failure = readFailure(response.headers);
     if (failure === undefined) {
-        const isStarved = readAnswerHeader(response.headers, STARVED_HEADER) !== undefined;
-        return { outcome: either.right(response), load, retriedBelow, isStarved };
+        const isStarved = readResponseHeader(response.headers, STARVED_HEADER) !== undefined;
+        return { outcome: either.right(response), load, retriedDownstream, isStarved };
     }
     discardBody(response);
-    return { outcome: either.left(failure), load, retriedBelow, isStarved: false };
+    return { outcome: either.left(failure), load, retriedDownstream, isStarved: false };
 };
 
 /**
  * Reports the end of the response body to the router. A caller that disconnects also cuts its response off, which is
  * not the target's fault.
  */
-const observeResponseBody = (response: Answer, { signal, progress }: GateAttempt): Answer => ({
+const observeResponseBody = (response: UpstreamResponse, { signal, progress }: GateAttempt): UpstreamResponse => ({
     ...response,
     body: observeBody(response.body, {
         onFinish: (failure) => {
             if (failure === undefined || !signal.aborted) {
-                progress.bodyEnded(failure === undefined);
+                progress.recordBodyEnd(failure === undefined);
             }
         },
     }),
@@ -110,19 +110,19 @@
         result :
         { ...result, outcome: either.right(observeResponseBody(result.outcome.right, attempt)) };
 
-const readOutcome = (outcome: Either<RequestFailure, Answer>, attempt: GateAttempt): GateOutcome =>
+const readOutcome = (outcome: Either<RequestFailure, UpstreamResponse>, attempt: GateAttempt): GateOutcome =>
     either.isLeft(outcome) ?
-        { outcome, load: undefined, retriedBelow: false, isStarved: false } :
+        { outcome, load: undefined, retriedDownstream: false, isStarved: false } :
         observeResult(readGateResponse(outcome.right), attempt);
 
 /**
  * Converts a pending attempt to the router's type. A response that arrives after a silence ends the silence of its
  * gate.
  */
-const toOpenAttempt = ({ outcome, cancel }: PendingAttempt, attempt: GateAttempt): OpenAttempt<Answer> => ({
+const toOpenAttempt = ({ outcome, cancel }: PendingAttempt, attempt: GateAttempt): OpenAttempt<UpstreamResponse> => ({
     result: outcome.then((settled) => {
         if (either.isRight(settled)) {
-            attempt.progress.heard();
+            attempt.progress.recordHeartbeat();
         }
         return readOutcome(settled, attempt);
     }),
@@ -155,7 +155,7 @@
             onAdmitted: () => undefined,
         });
         const isStarved = either.isRight(outcome) && outcome.right.isStarved === true;
-        return { outcome, load: dependencies.localLoad(), retriedBelow: false, isStarved };
+        return { outcome, load: dependencies.localLoad(), retriedDownstream: false, isStarved };
     };
 
     const createHeaders = ({ request, caller, isSuspect, deadline }: GateAttempt) => (requestId: string): string[] => {
@@ -183,10 +183,10 @@
 
     const sendToNode = async (target: TargetMember, attempt: GateAttempt): Promise<GateOutcome> => {
         const { request, body, deadline, signal, progress } = attempt;
-        progress.expectSigns();
+        progress.expectHeartbeats();
         const logSilence = (silence: Silence, wasSilent: boolean): void =>
             dependencies.logSilence({ nodeId: target.nodeId, wasSilent, isProbe: progress.isProbe, ...silence });
-        const { outcome, open } = await sendWatched(clock, {
+        const { outcome, open } = await sendMonitored(clock, {
             method: request.method,
             path: request.path,
             body,
@@ -197,15 +197,15 @@
             signal,
             idempotent: request.idempotent,
             silenceMs: dependencies.gateSilenceMs * (progress.isProbe ? PROBE_SILENCE_FACTOR : 1),
-            lossMs: dependencies.gateSilenceMs * LOSS_SILENCE_FACTOR,
-            takeDispatcher: () => pools.take(target.address, target.gatePort, dependencies.connectionsPerNode),
-            renewConnections: () => pools.renew(target.address, target.gatePort),
+            connectionLossMs: dependencies.gateSilenceMs * LOSS_SILENCE_FACTOR,
+            getDispatcher: () => pools.getPool(target.address, target.gatePort, dependencies.connectionsPerNode),
+            replaceConnections: () => pools.replaceConnections(target.address, target.gatePort),
             nextRequestId: dependencies.nextAttemptId,
             readFailure: ({ headers }) => readFailure(headers),
-            answerIdHeader: REQUEST_ID_HEADER,
-            answerIdOf: (requestId) => requestId,
-            headersOf: createHeaders(attempt),
-            onHeartbeat: progress.heard,
+            responseIdHeader: REQUEST_ID_HEADER,
+            getResponseId: (requestId) => requestId,
+            createHeaders: createHeaders(attempt),
+            onHeartbeat: progress.recordHeartbeat,
             onSilence: (silence) => {
                 const wasSilent = progress.silent();
                 logSilence(silence, wasSilent);
--- a/packages/oleandergap-node/src/http/answer.ts
+++ b/packages/oleandergap-node/src/http/answer.ts
@@ -2,7 +2,7 @@
 import type { RequestFailure } from "oleandergap-types";
 
 /** Header names in lower case. */
-export type AnswerHeaders = Readonly<Record<string, string | readonly string[] | undefined>>;
+export type ResponseHeaders = Readonly<Record<string, string | readonly string[] | undefined>>;
 
 /** Receives the body of a response. Exactly one of `end` and `fail` is called, exactly once and as the last call. */
 export interface ResponseSink {
@@ -23,22 +23,22 @@
     readonly cancel: (detail: string) => void;
 }
 
-export interface Answer {
+export interface UpstreamResponse {
     readonly statusCode: number;
-    readonly headers: AnswerHeaders;
+    readonly headers: ResponseHeaders;
     readonly body: ResponseBody;
     /** True if the target failed because an outgoing call that it made was not served. */
     readonly isStarved?: boolean | undefined;
 }
 
 /** Returns the first value of a header, or undefined when the response does not contain it. */
-export const readAnswerHeader = (headers: AnswerHeaders, name: string): string | undefined => {
+export const readResponseHeader = (headers: ResponseHeaders, name: string): string | undefined => {
     const headerValue = headers[name];
     return typeof headerValue === "object" ? headerValue[0] : headerValue;
 };
 
 /** Creates a response body from bytes that are completely in memory. */
-export const createWholeBody = (bytes: Buffer): ResponseBody => ({
+export const createBufferedBody = (bytes: Buffer): ResponseBody => ({
     deliver: (sink) => {
         if (bytes.length > 0) {
             sink.write(bytes);
@@ -96,7 +96,7 @@
 const MAX_DISCARDED_BYTES = 16 * 1024;
 
 /** Discards the body. A short body is read to its end so that the connection can be reused. */
-export const discardBody = (response: Answer): void => {
+export const discardBody = (response: UpstreamResponse): void => {
     let discardedBytes = 0;
     response.body.deliver({
         write: (chunk) => {
--- a/packages/oleandergap-node/src/http/callerSignal.ts
+++ b/packages/oleandergap-node/src/http/callerSignal.ts
@@ -9,7 +9,7 @@
      */
     readonly create: (response: ServerResponse) => AbortSignal;
     /** Aborts all requests in flight, so that each of them still gets a final response before the process exits. */
-    readonly giveUpAll: () => void;
+    readonly abortAll: () => void;
 }
 
 export const createCallerSignals = (): CallerSignals => {
@@ -40,6 +40,6 @@
             });
             return controller.signal;
         },
-        giveUpAll: () => controllers.forEach((controller) => controller.abort()),
+        abortAll: () => controllers.forEach((controller) => controller.abort()),
     };
 };
--- a/packages/oleandergap-node/src/http/connectionPools.ts
+++ b/packages/oleandergap-node/src/http/connectionPools.ts
@@ -22,12 +22,12 @@
 
 export interface ConnectionPools {
     /** Returns the pool of an address, with at most `connections` connections. */
-    readonly take: (address: string, port: number, connections: number) => Dispatcher;
+    readonly getPool: (address: string, port: number, connections: number) => Dispatcher;
     /**
      * Replaces the connections to an address: requests in flight finish on the old connections, later requests use new
      * ones.
      */
-    readonly renew: (address: string, port: number) => void;
+    readonly replaceConnections: (address: string, port: number) => void;
     /** Closes idle pools and, after a freeze of this process, all connections. Called about once a second. */
     readonly sweep: () => void;
     readonly size: () => number;
@@ -81,7 +81,7 @@
     };
 
     return {
-        take: (address, port, connections) => {
+        getPool: (address, port, connections) => {
             const now = clock.monotonic();
             if (now - lastSweepAt > options.idleMs) {
                 handleFreeze(now);
@@ -99,7 +99,7 @@
             entries.set(origin, { pool, connections, lastUsedAt: now });
             return pool;
         },
-        renew: (address, port) => {
+        replaceConnections: (address, port) => {
             const origin = formatOrigin(address, port);
             const entry = entries.get(origin);
             if (entry !== undefined) {
--- a/packages/oleandergap-node/src/http/dialect.ts
+++ b/packages/oleandergap-node/src/http/dialect.ts
@@ -18,13 +18,13 @@
     type ServiceReference,
     type Verdict,
 } from "oleandergap-types";
-import type { AnswerHeaders } from "./answer.js";
+import type { ResponseHeaders } from "./answer.js";
 import { readRequestHeader } from "./headers.js";
-import { describeFailure, readTargetRefusal, type FailureAnswer, type FailureContext } from "./refusal.js";
+import { describeFailure, readTargetRefusal, type FailureResponse, type FailureContext } from "./refusal.js";
 import { parseTimeout } from "./timeoutHeader.js";
 
 /** Metadata that the gateway adds to a response besides the target's own headers. */
-export interface AnswerNotes {
+export interface ResponseMetadata {
     readonly verdict: Verdict;
     /** Configuration version that the request was served by; undefined until it has been determined. */
     readonly version: Head | undefined;
@@ -48,8 +48,8 @@
      * are dropped.
      */
     readonly reservedHeaders: ReadonlySet<string>;
-    readonly describeAnswer: (notes: AnswerNotes) => Record<string, string>;
-    readonly describeFailure: (failure: RequestFailure, context: FailureContext) => FailureAnswer;
+    readonly describeResponse: (notes: ResponseMetadata) => Record<string, string>;
+    readonly describeFailure: (failure: RequestFailure, context: FailureContext) => FailureResponse;
 }
 
 /** A request that is about to be sent to the target. */
@@ -59,7 +59,7 @@
     /** Service that the caller belongs to. */
     readonly caller: ServiceReference;
     /** Id that the system assigned to this attempt. */
-    readonly tryId: string;
+    readonly attemptId: string;
     /** Time until the deadline. */
     readonly remainingMs: Milliseconds;
     /** Id of the target instance that the request is meant for, if targets announce one. */
@@ -71,11 +71,11 @@
     /** Returns alternating names and values to send in addition to the caller's headers. */
     readonly describeRequest: (request: TargetRequest) => readonly string[];
     /** Name of the response header that identifies the request, in lower case. */
-    readonly answerIdHeader: string;
+    readonly responseIdHeader: string;
     /** Returns the expected value of that header; undefined when any value is accepted. */
-    readonly expectAnswerId: (request: TargetRequest) => string | undefined;
+    readonly expectResponseId: (request: TargetRequest) => string | undefined;
     /** Returns the refusal that a response represents; undefined when the target ran the request. */
-    readonly readRefusal: (statusCode: number, headers: AnswerHeaders) => RequestFailure | undefined;
+    readonly readRefusal: (statusCode: number, headers: ResponseHeaders) => RequestFailure | undefined;
 }
 
 /** Dialects of both sides of a node. */
@@ -96,7 +96,7 @@
     readIdempotencyKey: (request) => readRequestHeader(request, IDEMPOTENCY_KEY_HEADER),
     forbidsRetries: (request) => readRequestHeader(request, RETRY_HEADER) === "no",
     reservedHeaders: new Set(),
-    describeAnswer: ({ verdict, version, requestId, isRetried }) => ({
+    describeResponse: ({ verdict, version, requestId, isRetried }) => ({
         ...requestId === undefined ? {} : { [REQUEST_ID_HEADER]: requestId },
         ...version === undefined ? {} : { [VERSION_HEADER]: `${version.partner}:${version.sequence}` },
         ...isRetried ? { [RETRY_HEADER]: "no" } : {},
@@ -106,11 +106,11 @@
 };
 
 const defaultTargetDialect: TargetDialect = {
-    describeRequest: ({ tryId, remainingMs }) => [TIMEOUT_HEADER, String(remainingMs), REQUEST_ID_HEADER, tryId],
-    answerIdHeader: REQUEST_ID_HEADER,
-    expectAnswerId: ({ tryId }) => tryId,
+    describeRequest: ({ attemptId, remainingMs }) => [TIMEOUT_HEADER, String(remainingMs), REQUEST_ID_HEADER, attemptId],
+    responseIdHeader: REQUEST_ID_HEADER,
+    expectResponseId: ({ attemptId }) => attemptId,
     readRefusal: (_statusCode, headers) => readTargetRefusal(headers),
 };
 
 /** Dialects that use the headers described in docs/REQUESTS.md. */
-export const ownDialects: Dialects = { caller: defaultCallerDialect, target: defaultTargetDialect };
+export const defaultDialects: Dialects = { caller: defaultCallerDialect, target: defaultTargetDialect };
--- a/packages/oleandergap-node/src/http/exchange.ts
+++ b/packages/oleandergap-node/src/http/exchange.ts
@@ -10,7 +10,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import type { RequestFailure } from "oleandergap-types";
 import type { Dispatcher } from "undici";
-import { readAnswerHeader, type Answer, type AnswerHeaders } from "./answer.js";
+import { readResponseHeader, type UpstreamResponse, type ResponseHeaders } from "./answer.js";
 import { createReceivedBody, type ReceivedBody } from "./receivedBody.js";
 import { createBodyFeed } from "./bodyFeed.js";
 import type { RequestBody } from "./requestBody.js";
@@ -25,9 +25,9 @@
     readonly headers: string[];
     readonly body: RequestBody;
     /** Name of the response header that identifies the request, in lower case. */
-    readonly answerIdHeader: string;
+    readonly responseIdHeader: string;
     /** Expected value of that header; a response with another id is rejected. Undefined when any value is accepted. */
-    readonly answerId: string | undefined;
+    readonly responseId: string | undefined;
     /** Whether a response without an id is rejected as well. Nodes always send the id; targets do not have to. */
     readonly requireId: boolean;
     /** Whether the rest of a streaming body is sent only after the receiver has admitted the request. */
@@ -43,7 +43,7 @@
 
 export interface Exchange {
     /** Resolves with the response, whose body has not been consumed yet, or with the failure. Never rejects. */
-    readonly outcome: Promise<Either<RequestFailure, Answer>>;
+    readonly outcome: Promise<Either<RequestFailure, UpstreamResponse>>;
     /** Aborts the exchange and destroys its connection. Once the response head has arrived, this cuts the body off. */
     readonly abort: (detail: string) => void;
 }
@@ -63,11 +63,11 @@
 const describeError = (error: Error): string => "code" in error ? `${String(error.code)}: ${error.message}` : error.message;
 
 const isMismatchedResponse = (
-    { answerIdHeader, answerId, requireId }: ExchangeRequest,
-    headers: AnswerHeaders,
+    { responseIdHeader, responseId, requireId }: ExchangeRequest,
+    headers: ResponseHeaders,
 ): boolean => {
-    const id = readAnswerHeader(headers, answerIdHeader);
-    return id === undefined ? requireId : answerId !== undefined && id !== answerId;
+    const id = readResponseHeader(headers, responseIdHeader);
+    return id === undefined ? requireId : responseId !== undefined && id !== responseId;
 };
 
 /**
@@ -75,12 +75,12 @@
  * length, the end of the connection is the end of the response unless the connection was reset; with chunked encoding,
  * the last chunk has to arrive first.
  */
-const isTruncated = (headers: AnswerHeaders): boolean => {
+const isTruncated = (headers: ResponseHeaders): boolean => {
     const end = getCurrentSocketEnd();
-    if (end === undefined || readAnswerHeader(headers, "content-length") !== undefined) {
+    if (end === undefined || readResponseHeader(headers, "content-length") !== undefined) {
         return false;
     }
-    const isChunked = readAnswerHeader(headers, "transfer-encoding") !== undefined;
+    const isChunked = readResponseHeader(headers, "transfer-encoding") !== undefined;
     return isChunked || wasReset(end);
 };
 
@@ -97,15 +97,15 @@
 
 /** Starts to send `request` and returns the running exchange. */
 export const startExchange = (request: ExchangeRequest): Exchange => {
-    let resolveOutcome: (outcome: Either<RequestFailure, Answer>) => void = () => undefined;
-    const outcome = new Promise<Either<RequestFailure, Answer>>((resolve) => {
+    let resolveOutcome: (outcome: Either<RequestFailure, UpstreamResponse>) => void = () => undefined;
+    const outcome = new Promise<Either<RequestFailure, UpstreamResponse>>((resolve) => {
         resolveOutcome = resolve;
     });
     const feed = createBodyFeed(request.body, request.awaitAdmission);
     let controller: Dispatcher.DispatchController | undefined;
     let body: ReceivedBody | undefined;
     let abortDetail: string | undefined;
-    let responseHeaders: AnswerHeaders = {};
+    let responseHeaders: ResponseHeaders = {};
 
     const abort = (detail: string): void => {
         if (abortDetail !== undefined) {
@@ -122,7 +122,7 @@
         }
     };
 
-    const handleResponseHead = (statusCode: number, headers: AnswerHeaders): void => {
+    const handleResponseHead = (statusCode: number, headers: ResponseHeaders): void => {
         if (statusCode < FIRST_FINAL_STATUS) {
             if (statusCode === ADMITTED_STATUS) {
                 feed.open();
--- a/packages/oleandergap-node/src/http/headers.ts
+++ b/packages/oleandergap-node/src/http/headers.ts
@@ -1,6 +1,6 @@
 /** Selects the headers that are forwarded, as opposed to headers of a single hop or of this system. */
 import type { IncomingMessage } from "node:http";
-import type { AnswerHeaders } from "./answer.js";
+import type { ResponseHeaders } from "./answer.js";
 
 /** Hop-by-hop headers (RFC 9110, section 7.6.1); undici and Node.js write their own. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
@@ -135,7 +135,7 @@
 };
 
 /** Returns a new object with the headers of a response that are forwarded to the previous hop. */
-export const selectResponseHeaders = (headers: AnswerHeaders): Record<string, string | string[]> => {
+export const selectResponseHeaders = (headers: ResponseHeaders): Record<string, string | string[]> => {
     const connection = headers["connection"];
     const connectionOptions = readConnectionOptions(typeof connection === "string" ? connection : undefined);
     const selected: Record<string, string | string[]> = {};
@@ -152,7 +152,7 @@
 };
 
 /** Returns the headers of a response as pairs, in the order received. */
-export const flattenAnswerHeaders = (headers: AnswerHeaders): readonly (readonly [name: string, value: string])[] =>
+export const flattenResponseHeaders = (headers: ResponseHeaders): readonly (readonly [name: string, value: string])[] =>
     Object.entries(headers).flatMap(([name, value]) => {
         if (value === undefined) {
             return [];
--- a/packages/oleandergap-node/src/http/loopLag.ts
+++ b/packages/oleandergap-node/src/http/loopLag.ts
@@ -24,7 +24,7 @@
 const LAG_HOLD_MS: Milliseconds = 500;
 
 /** Detects event loop lag once `start` has been called. */
-export interface LoopLag {
+export interface EventLoopLagMonitor {
     readonly start: (signal: AbortSignal) => void;
     /**
      * Returns undefined unless the event loop lags; otherwise a promise that resolves when all input that has arrived
@@ -37,7 +37,7 @@
 const REPORTED_PAUSE_MS: Milliseconds = 250;
 
 /** Dependencies of the event loop lag detection. */
-export interface LoopLagOptions {
+export interface EventLoopLagOptions {
     readonly clock: Clock;
     /** Called once for each pause longer than 250 ms. */
     readonly onPause: (lagMs: Milliseconds) => void;
@@ -45,7 +45,7 @@
     readonly nextTurn?: () => Promise<void>;
 }
 
-export const createLoopLag = ({ clock, onPause, nextTurn }: LoopLagOptions): LoopLag => {
+export const createEventLoopLagMonitor = ({ clock, onPause, nextTurn }: EventLoopLagOptions): EventLoopLagMonitor => {
     let laggingUntil = Number.NEGATIVE_INFINITY;
     /** Monotonic time at which the next check is due. */
     let nextCheckAt = Number.POSITIVE_INFINITY;
@@ -93,8 +93,8 @@
 };
 
 /** Starts event loop lag detection, which stops when `signal` aborts. */
-export const startLoopLag = (options: LoopLagOptions, signal: AbortSignal): LoopLag => {
-    const loopLag = createLoopLag(options);
+export const startEventLoopLagMonitor = (options: EventLoopLagOptions, signal: AbortSignal): EventLoopLagMonitor => {
+    const loopLag = createEventLoopLagMonitor(options);
     loopLag.start(signal);
     return loopLag;
 };
--- a/packages/oleandergap-node/src/http/refusal.ts
+++ b/packages/oleandergap-node/src/http/refusal.ts
@@ -11,7 +11,7 @@
     type RefusalReason,
     type RequestFailure,
 } from "oleandergap-types";
-import { readAnswerHeader, type AnswerHeaders } from "./answer.js";
+import { readResponseHeader, type ResponseHeaders } from "./answer.js";
 import { CRASH_HEADER } from "./headers.js";
 
 const MILLISECONDS_PER_SECOND = 1000;
@@ -38,7 +38,7 @@
 };
 
 /** A failure encoded as an HTTP response. */
-export interface FailureAnswer {
+export interface FailureResponse {
     readonly statusCode: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: string;
@@ -77,7 +77,7 @@
     readonly retryAfterMs?: Milliseconds | undefined;
 }
 
-export const describeFailure = (failure: RequestFailure, context: FailureContext = {}): FailureAnswer => {
+export const describeFailure = (failure: RequestFailure, context: FailureContext = {}): FailureResponse => {
     const reason = reasonOfFailure(failure);
     const retryAfterMs = getRetryAfter(failure) ?? context.retryAfterMs;
     const statusCode = context.statusCode ?? statusOfFailure(failure);
@@ -103,9 +103,9 @@
     text !== undefined && /^\d{1,9}$/.test(text) ? Number(text) : undefined;
 
 /** Returns the retry delay that the sender of `headers` requests, in milliseconds; 0 when it specifies none. */
-export const readRetryAfterMs = (headers: AnswerHeaders): number => {
-    const milliseconds = parseNonNegativeInteger(readAnswerHeader(headers, RETRY_AFTER_MS_HEADER));
-    const seconds = parseNonNegativeInteger(readAnswerHeader(headers, RETRY_AFTER_HEADER));
+export const readRetryAfterMs = (headers: ResponseHeaders): number => {
+    const milliseconds = parseNonNegativeInteger(readResponseHeader(headers, RETRY_AFTER_MS_HEADER));
+    const seconds = parseNonNegativeInteger(readResponseHeader(headers, RETRY_AFTER_HEADER));
     return Math.min(milliseconds ?? (seconds ?? 0) * MILLISECONDS_PER_SECOND, MAX_RETRY_AFTER_MS);
 };
 
@@ -113,8 +113,8 @@
  * Returns the failure that a response from a gate represents, or undefined when the response comes from the target.
  * Gates remove these headers from responses of targets, so a reason header is always set by the gate.
  */
-export const readFailure = (headers: AnswerHeaders): RequestFailure | undefined => {
-    const reason = readAnswerHeader(headers, REASON_HEADER);
+export const readFailure = (headers: ResponseHeaders): RequestFailure | undefined => {
+    const reason = readResponseHeader(headers, REASON_HEADER);
     if (reason === undefined) {
         return undefined;
     }
@@ -137,7 +137,7 @@
                 kind: "AnswerLost",
                 verdict: "mayHaveRun",
                 detail: `the gate reported ${reason}`,
-                crash: crashIdSchema.safeParse(readAnswerHeader(headers, CRASH_HEADER)).data,
+                crash: crashIdSchema.safeParse(readResponseHeader(headers, CRASH_HEADER)).data,
             };
     }
 };
@@ -146,12 +146,12 @@
  * Returns the refusal that a target itself expressed by the verdict header, for example when it sheds load. Only the
  * target can guarantee that it did not run a request that it received.
  */
-export const readTargetRefusal = (headers: AnswerHeaders): RequestFailure | undefined => {
-    const verdict = verdictSchema.safeParse(readAnswerHeader(headers, VERDICT_HEADER));
+export const readTargetRefusal = (headers: ResponseHeaders): RequestFailure | undefined => {
+    const verdict = verdictSchema.safeParse(readResponseHeader(headers, VERDICT_HEADER));
     if (!verdict.success || verdict.data !== "notRun") {
         return undefined;
     }
-    const reason = refusalReasonSchema.safeParse(readAnswerHeader(headers, REASON_HEADER));
+    const reason = refusalReasonSchema.safeParse(readResponseHeader(headers, REASON_HEADER));
     return {
         kind: "Refused",
         verdict: "notRun",
--- a/packages/oleandergap-node/src/http/rememberedParser.ts
+++ b/packages/oleandergap-node/src/http/rememberedParser.ts
@@ -7,7 +7,7 @@
 const MAX_CACHED_VALUES = 1024;
 
 /** Creates a caching version of `parse`, which returns undefined for invalid texts. Only valid texts are cached. */
-export const createRememberedParser = <Value>(
+export const createCachedParser = <Value>(
     parse: (text: string) => Value | undefined,
 ): ((text: string) => Value | undefined) => {
     const cache = new Map<string, Value>();
--- a/packages/oleandergap-node/src/http/requestEnd.ts
+++ b/packages/oleandergap-node/src/http/requestEnd.ts
@@ -2,9 +2,9 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { RequestFailure } from "oleandergap-types";
-import type { Answer } from "./answer.js";
+import type { UpstreamResponse } from "./answer.js";
 
-export type RequestEnd =
+export type RequestResult =
     | { readonly kind: "Answered"; readonly statusCode: number }
     | { readonly kind: "Failed"; readonly failure: RequestFailure };
 
@@ -12,10 +12,10 @@
 export const FIRST_ERROR_STATUS = 500;
 
 /** Returns whether the target or the system failed to serve the request. */
-export const isFailedEnd = (end: RequestEnd): boolean =>
+export const isFailedResult = (end: RequestResult): boolean =>
     end.kind === "Failed" || end.statusCode >= FIRST_ERROR_STATUS;
 
-export const toRequestEnd = (outcome: Either<RequestFailure, Answer>): RequestEnd =>
+export const toRequestResult = (outcome: Either<RequestFailure, UpstreamResponse>): RequestResult =>
     either.isRight(outcome) ?
         { kind: "Answered", statusCode: outcome.right.statusCode } :
         { kind: "Failed", failure: outcome.left };
--- a/packages/oleandergap-node/src/http/watchedExchange.ts
+++ b/packages/oleandergap-node/src/http/watchedExchange.ts
@@ -16,7 +16,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import type { Dispatcher } from "undici";
-import { discardBody, type Answer } from "./answer.js";
+import { discardBody, type UpstreamResponse } from "./answer.js";
 import { startExchange, type Exchange } from "./exchange.js";
 import { startProgressMonitor, type ProgressMonitor } from "./progressWatch.js";
 import { isReplayable, type RequestBody } from "./requestBody.js";
@@ -31,28 +31,28 @@
     readonly awaitAdmission: boolean;
     readonly bodySilenceMs: Milliseconds;
     /** Returns the dispatcher of the target; called once for each attempt. */
-    readonly takeDispatcher: () => Dispatcher;
+    readonly getDispatcher: () => Dispatcher;
     /** Replaces the connections, so that later requests use new ones. */
-    readonly renewConnections: () => void;
+    readonly replaceConnections: () => void;
     /** Returns the request headers, including the id of one attempt. */
-    readonly headersOf: (requestId: string) => string[];
+    readonly createHeaders: (requestId: string) => string[];
     readonly nextRequestId: () => string;
     /** See `ExchangeRequest`. */
-    readonly answerIdHeader: string;
+    readonly responseIdHeader: string;
     /** Returns the id that the response to an attempt must carry; undefined when any id is accepted. */
-    readonly answerIdOf: (requestId: string) => string | undefined;
+    readonly getResponseId: (requestId: string) => string | undefined;
     /**
      * Returns the failure that a response represents, such as a refusal; undefined when it is the response to the
      * request.
      */
-    readonly readFailure: (response: Answer) => RequestFailure | undefined;
+    readonly readFailure: (response: UpstreamResponse) => RequestFailure | undefined;
     /** Monotonic time at which the request is aborted unless a response has begun. */
     readonly deadline: Milliseconds;
     readonly signal: AbortSignal;
     /** Time without any heartbeat after which the request is sent again; undefined when only the deadline applies. */
     readonly silenceMs: Milliseconds | undefined;
     /** Time without any heartbeat after which an attempt of an idempotent request is aborted; at least `silenceMs`. */
-    readonly lossMs: Milliseconds | undefined;
+    readonly connectionLossMs: Milliseconds | undefined;
     readonly idempotent: boolean;
     /** Called for each heartbeat. */
     readonly onHeartbeat?: () => void;
@@ -74,7 +74,7 @@
     readonly lateMs: Milliseconds;
 }
 
-type Outcome = Either<RequestFailure, Answer>;
+type Outcome = Either<RequestFailure, UpstreamResponse>;
 
 /** An attempt that continues after a silence, until a response arrives or the connection counts as lost. */
 export interface PendingAttempt {
@@ -123,8 +123,8 @@
  * Returns the time after which a connection counts as lost. A non-idempotent request waits until its deadline, because
  * it is unknown whether the request arrived.
  */
-const getLossTimeout = ({ idempotent, lossMs }: MonitoredRequest): Milliseconds =>
-    idempotent && lossMs !== undefined ? lossMs : Number.POSITIVE_INFINITY;
+const getLossTimeout = ({ idempotent, connectionLossMs }: MonitoredRequest): Milliseconds =>
+    idempotent && connectionLossMs !== undefined ? connectionLossMs : Number.POSITIVE_INFINITY;
 
 /** Starts an attempt, which is aborted once it has received no heartbeat for the loss timeout. */
 const startAttempt = (clock: Clock, request: MonitoredRequest): MonitoredAttempt => {
@@ -159,7 +159,7 @@
         }
         if (!isSilent) {
             isSilent = true;
-            request.renewConnections();
+            request.replaceConnections();
             isPointless = request.onSilence?.(silenceDetails) ?? false;
             resolveSilence("Silent");
         }
@@ -174,13 +174,13 @@
     });
     const requestId = request.nextRequestId();
     const exchange: Exchange = startExchange({
-        dispatcher: request.takeDispatcher(),
+        dispatcher: request.getDispatcher(),
         method: request.method,
         path: request.path,
-        headers: request.headersOf(requestId),
+        headers: request.createHeaders(requestId),
         body: request.body,
-        answerIdHeader: request.answerIdHeader,
-        answerId: request.answerIdOf(requestId),
+        responseIdHeader: request.responseIdHeader,
+        responseId: request.getResponseId(requestId),
         requireId: request.requireId,
         awaitAdmission: request.awaitAdmission,
         bodySilenceMs: request.bodySilenceMs,
@@ -272,7 +272,7 @@
 };
 
 /** Sends `request`, at most twice and the second time only if it is idempotent. Never rejects. */
-export const sendWatched = async (clock: Clock, request: MonitoredRequest): Promise<MonitoredOutcome> => {
+export const sendMonitored = async (clock: Clock, request: MonitoredRequest): Promise<MonitoredOutcome> => {
     const first = startAttempt(clock, request);
     if (!request.idempotent || request.silenceMs === undefined) {
         return { outcome: await first.outcome };
--- a/packages/oleandergap-node/src/http/writeAnswer.ts
+++ b/packages/oleandergap-node/src/http/writeAnswer.ts
@@ -1,8 +1,8 @@
 /** Writes responses to the sender of a request, either completely or visibly cut off. */
 import type { ServerResponse } from "node:http";
 import { selectResponseHeaders } from "./headers.js";
-import type { Answer } from "./answer.js";
-import type { FailureAnswer } from "./refusal.js";
+import type { UpstreamResponse } from "./answer.js";
+import type { FailureResponse } from "./refusal.js";
 
 /**
  * Writes a failure immediately. If a response has already begun, destroys the connection instead, so that the response
@@ -10,7 +10,7 @@
  */
 export const writeFailure = (
     response: ServerResponse,
-    failure: FailureAnswer,
+    failure: FailureResponse,
     extraHeaders: Readonly<Record<string, string>>,
 ): void => {
     if (response.destroyed || response.writableEnded) {
@@ -35,9 +35,9 @@
  * would treat half a document as the complete document. The caller's connection is destroyed instead, which every HTTP
  * client reports as an error.
  */
-export const writeAnswer = (
+export const writeResponse = (
     response: ServerResponse,
-    upstreamResponse: Answer,
+    upstreamResponse: UpstreamResponse,
     extraHeaders: Readonly<Record<string, string>>,
 ): void => {
     const { body } = upstreamResponse;
--- a/packages/oleandergap-node/src/requestPathTypes.ts
+++ b/packages/oleandergap-node/src/requestPathTypes.ts
@@ -12,7 +12,7 @@
 import type { Dialects } from "./http/dialect.js";
 import type { HandleArrival } from "./http/listener.js";
 import type { NodeOptions } from "./options.js";
-import type { TargetKeeper } from "./target/targetKeeper.js";
+import type { LocalTargetManager } from "./target/targetKeeper.js";
 
 export interface RequestPathDependencies {
     readonly options: NodeOptions;
@@ -39,7 +39,7 @@
 }
 
 export interface RequestPath {
-    readonly target: TargetKeeper;
+    readonly target: LocalTargetManager;
     readonly claims: Claims;
     readonly claimSweeper: ClaimSweeper;
     readonly pools: ConnectionPools;
--- a/packages/oleandergap-node/src/stopNode.ts
+++ b/packages/oleandergap-node/src/stopNode.ts
@@ -20,7 +20,7 @@
 const MAX_CLOSE_MS: Milliseconds = 100;
 
 /** Maximum time of a stop beyond `stop.drainTimeoutMs`. */
-export const STOP_END_MS: Milliseconds = FINAL_RESPONSE_MS + LATE_RESPONSE_MS + MAX_CLOSE_MS;
+export const MAX_STOP_OVERRUN_MS: Milliseconds = FINAL_RESPONSE_MS + LATE_RESPONSE_MS + MAX_CLOSE_MS;
 
 const waitForGate = ({ requestPath }: LifecycleDependencies, signal: AbortSignal): Promise<void> =>
     raceAbort(requestPath.target.stop(), signal, () => undefined);
--- a/packages/oleandergap-node/src/target/ownService.ts
+++ b/packages/oleandergap-node/src/target/ownService.ts
@@ -3,7 +3,7 @@
 import { listOwners } from "../gateway/ownerRouting.js";
 import { listServingZones } from "../gateway/targetLookup.js";
 import type { RequestPath, RequestPathDependencies } from "../requestPathTypes.js";
-import type { TargetKeeper } from "./targetKeeper.js";
+import type { LocalTargetManager } from "./targetKeeper.js";
 
 /** Returns the table's row of a service; undefined if the table has no such row. */
 export const findServiceRow = (view: TableView, { partner, service }: ServiceReference): ServiceRow | undefined =>
@@ -21,7 +21,7 @@
 /** Creates a view of the local target's service. Each call reads the target that is current at that time. */
 export const createLocalService = (
     { options, view, directory }: RequestPathDependencies,
-    target: TargetKeeper,
+    target: LocalTargetManager,
 ): LocalService => {
     const services: LocalService["services"] = () => {
         const announcement = target.current()?.announcement;
@@ -40,9 +40,9 @@
 };
 
 /** Creates the lookup of a caller's service by the caller's address; the result is undefined if it is unknown. */
-export const createCallerLookup = (
+export const createCallerServiceLookup = (
     { callerService }: RequestPathDependencies,
-    target: TargetKeeper,
+    target: LocalTargetManager,
 ) => (address: string | undefined): ServiceReference | undefined => {
     if (callerService !== undefined) {
         return callerService;
--- a/packages/oleandergap-node/src/target/targetKeeper.ts
+++ b/packages/oleandergap-node/src/target/targetKeeper.ts
@@ -29,7 +29,7 @@
     readonly predecessorGate: Gate | undefined;
 }
 
-export interface TargetKeeperDependencies {
+export interface LocalTargetManagerDependencies {
     readonly clock: Clock;
     readonly logger: Logger;
     /** Publishes the target to other nodes; undefined if there is none. */
@@ -47,7 +47,7 @@
     readonly slowStartMs: Milliseconds;
 }
 
-export interface TargetKeeper {
+export interface LocalTargetManager {
     /** Handles an announcement or a heartbeat that repeats it. */
     readonly announce: (announcement: Announcement) => void;
     /**
@@ -104,7 +104,7 @@
 const isUnknownServiceReplacement = (
     target: LocalTarget | undefined,
     announcement: Announcement,
-    limitOf: TargetKeeperDependencies["limitOf"],
+    limitOf: LocalTargetManagerDependencies["limitOf"],
 ): boolean =>
     target !== undefined && limitOf(target.announcement) !== undefined && limitOf(announcement) === undefined;
 
@@ -114,7 +114,7 @@
  * would receive its load.
  */
 const estimateStartTime = (
-    { clock, slowStartMs }: TargetKeeperDependencies,
+    { clock, slowStartMs }: LocalTargetManagerDependencies,
     { coldLeftMs }: Announcement,
 ): Milliseconds => clock.now() - (coldLeftMs === undefined ? 0 : Math.max(0, slowStartMs - coldLeftMs));
 
@@ -124,12 +124,12 @@
  * stops, a long queue would use up the whole drain timeout, after which the requests that are still running are
  * abandoned.
  */
-const closeGate = ({ clock, leavingQueueMs }: TargetKeeperDependencies, gate: Gate): void => {
+const closeGate = ({ clock, leavingQueueMs }: LocalTargetManagerDependencies, gate: Gate): void => {
     void gate.drain();
     clock.after(leavingQueueMs, gate.refuseWaiting);
 };
 
-const applyLimit = ({ limitOf }: TargetKeeperDependencies, { announcement, gate }: LocalTarget): void => {
+const applyLimit = ({ limitOf }: LocalTargetManagerDependencies, { announcement, gate }: LocalTarget): void => {
     const limit = limitOf(announcement);
     // The gate never admits more requests than the target accepts connections, so an admitted request never waits for a
     // connection.
@@ -137,7 +137,7 @@
     gate.setLimit(limit ?? CLOSED_LIMIT, limit === undefined ? 0 : slots);
 };
 
-export const createTargetKeeper = (dependencies: TargetKeeperDependencies): TargetKeeper => {
+export const createLocalTargetManager = (dependencies: LocalTargetManagerDependencies): LocalTargetManager => {
     const { clock, logger } = dependencies;
     let target: LocalTarget | undefined;
     let isStopping = false;
@@ -168,7 +168,7 @@
         }
     };
 
-    const withdraw: TargetKeeper["withdraw"] = (instanceId, bornAt) => {
+    const withdraw: LocalTargetManager["withdraw"] = (instanceId, bornAt) => {
         if (instanceId !== undefined && !lifetimes.end(instanceId, bornAt)) {
             logger.info("Ignored the withdrawal of a former target lifetime.", { instance: instanceId, bornAt });
             return;
--- a/packages/oleandergap-platform/src/__tests__/tableState.test.ts
+++ b/packages/oleandergap-platform/src/__tests__/tableState.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import fastCheck from "fast-check";
 import {
-    UNTOLD_ERA,
+    DEFAULT_STORE_ERA,
     type RowCondition,
     type RowVersion,
     type TableOperation,
@@ -10,7 +10,7 @@
 } from "oleandergap-types";
 import { createTableState } from "../tableState.js";
 
-const versionAt = (version: number): RowVersion => ({ era: UNTOLD_ERA, version });
+const versionAt = (version: number): RowVersion => ({ era: DEFAULT_STORE_ERA, version });
 
 const keys = ["a/1", "a/2", "a/3", "ab/1", "b/1"];
 
--- a/packages/oleandergap-platform/src/channel.ts
+++ b/packages/oleandergap-platform/src/channel.ts
@@ -3,7 +3,7 @@
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
-import { UNTOLD_ERA, type Clock, type PlatformError, type StoreEra } from "oleandergap-types";
+import { DEFAULT_STORE_ERA, type Clock, type PlatformError, type StoreEra } from "oleandergap-types";
 import type { TokenBucket } from "oleandergap-utils";
 import { classifyExchange, toMissingAnswer, type CallKind, type DatedAnswer } from "./classifyExchange.js";
 import type { EraError, EraWatch } from "./eraWatch.js";
@@ -69,7 +69,7 @@
 
     const readEra = (kind: CallKind, result: ExchangeResult): Either<PlatformError, StoreEra> => {
         if (eras === undefined || result.kind !== "Answered") {
-            return either.right(UNTOLD_ERA);
+            return either.right(DEFAULT_STORE_ERA);
         }
         const text = result.headers[eras.header];
         // Several headers make one text that is no era.
--- a/packages/oleandergap-platform/src/eraWatch.ts
+++ b/packages/oleandergap-platform/src/eraWatch.ts
@@ -6,7 +6,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
-import { UNTOLD_ERA, type StoreEra } from "oleandergap-types";
+import { DEFAULT_STORE_ERA, type StoreEra } from "oleandergap-types";
 
 /** Why an answer must not be taken for news. */
 export type EraError =
@@ -74,7 +74,7 @@
             if (text !== undefined && !ERA_PATTERN.test(text)) {
                 return refuse({ kind: "UnreadableEra", text });
             }
-            const era = text === undefined ? UNTOLD_ERA : Number(text);
+            const era = text === undefined ? DEFAULT_STORE_ERA : Number(text);
             if (newest !== undefined && era < newest) {
                 return refuse({ kind: "EarlierEra", era, newest });
             }
--- a/packages/oleandergap-platform/src/tableState.ts
+++ b/packages/oleandergap-platform/src/tableState.ts
@@ -8,7 +8,7 @@
  */
 import {
     isConditionMet,
-    UNTOLD_ERA,
+    DEFAULT_STORE_ERA,
     type StoreEra,
     type TableOperation,
     type TableRow,
@@ -57,7 +57,7 @@
 
 /** Starts empty. */
 export const createTableState = (): TableState => {
-    let era: StoreEra = UNTOLD_ERA;
+    let era: StoreEra = DEFAULT_STORE_ERA;
     let rows = new Map<string, TableRow>();
     /** Last versions of deleted rows; grows by one number for each key that stays deleted. */
     let deletedVersions = new Map<string, number>();
--- a/packages/oleandergap-routing/src/__tests__/fairZones.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/fairZones.test.ts
@@ -35,7 +35,7 @@
         [nodeId, createGate({ clock, limit, slots: SLOTS, options })]));
     const routers = new Map<string, RequestRouter<RoutableTarget>>(targets.map(({ nodeId, zone }, index) => {
         const picker = createTargetPicker<RoutableTarget>({
-            ownNode: nodeId, ownZone: zone, clock, random: createSeededRandom(seed + index),
+            localNodeId: nodeId, localZone: zone, clock, random: createSeededRandom(seed + index),
         });
         return [nodeId, createRequestRouter({
             clock, picker, throttle: createOverloadThrottle(clock, createSeededRandom(seed + 10 + index)),
@@ -56,7 +56,7 @@
         zoneCounts.requested += 1;
         const now = clock.monotonic();
         const result = await router.execute<string>({
-            service: testService, row, targets, idempotent: true, replayable: () => true,
+            service: testService, row, targets, idempotent: true, canReplayBody: () => true,
             deadline: now + DEADLINE_MS, retriesAllowed: true, maximumTargets: 2, kind: "view", signal,
         }, async (target) => {
             const gate = gates.get(target.nodeId);
@@ -67,11 +67,11 @@
             if (admission === undefined || either.isLeft(admission)) {
                 const failure = admission?.left ??
                     { kind: "Refused", verdict: "notRun", reason: "NoTarget", retryAfterMs: 0 } as const;
-                return { outcome: either.left(failure), load: gate?.load(), retriedBelow: false };
+                return { outcome: either.left(failure), load: gate?.load(), retriedDownstream: false };
             }
             await clock.sleep(SERVICE_MS * (0.5 + random()), signal);
             admission.right.release("Answered");
-            return { outcome: either.right("answer"), load: gate?.load(), retriedBelow: false };
+            return { outcome: either.right("answer"), load: gate?.load(), retriedDownstream: false };
         });
         zoneCounts.answered += either.isRight(result) ? 1 : 0;
     };
--- a/packages/oleandergap-routing/src/__tests__/manyNear.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/manyNear.test.ts
@@ -13,8 +13,8 @@
 const REQUESTS_PER_NODE = 5;
 
 const createPicker = (index: number): TargetPicker<TestTarget> => createTargetPicker<TestTarget>({
-    ownNode: `caller-${index}`,
-    ownZone: "hall-a",
+    localNodeId: `caller-${index}`,
+    localZone: "hall-a",
     clock: createManualClock(),
     random: createSeededRandom(index + 1),
 });
--- a/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
@@ -15,9 +15,9 @@
 
 type Result = AttemptResult<string>;
 
-const answered = (answer: string): Result => ({ outcome: either.right(answer), load: undefined, retriedBelow: false });
+const answered = (answer: string): Result => ({ outcome: either.right(answer), load: undefined, retriedDownstream: false });
 const failed = (failure: Parameters<typeof either.left>[0]): Result =>
-    ({ outcome: either.left(failure), load: undefined, retriedBelow: false } as Result);
+    ({ outcome: either.left(failure), load: undefined, retriedDownstream: false } as Result);
 
 /** An attempt that ends when the test resolves it. */
 interface ControlledAttempt {
@@ -57,14 +57,14 @@
         secondAttempt = createControlledAttempt();
         cancellations = 0;
         discardedAnswers = [];
-        const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-a", clock, random: createSeededRandom(1) });
+        const picker = createTargetPicker<RoutableTarget>({ localZone: "hall-a", clock, random: createSeededRandom(1) });
         let attempts = 0;
         return createRequestRouter({ clock, picker }).execute<string>({
             service: testService,
             row: createRow({ "hall-a": 1 }, 0.1),
             targets: createTargets("hall-a", 2),
             idempotent: true,
-            replayable: () => true,
+            canReplayBody: () => true,
             deadline: clock.monotonic() + 1000,
             retriesAllowed: true,
             signal: new AbortController().signal,
--- a/packages/oleandergap-routing/src/__tests__/overloadedZones.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/overloadedZones.test.ts
@@ -25,7 +25,7 @@
     const targets = ZONES.flatMap((zone) => createTargets(zone, 1));
     const options = { ...defaultRoutingOptions.picker, nearAdvantage };
     const pickers = ZONES.map((ownZone, index) =>
-        createTargetPicker({ ownZone, clock, random: createSeededRandom(index + 1), options }));
+        createTargetPicker({ localZone: ownZone, clock, random: createSeededRandom(index + 1), options }));
     const states = new Map(targets.map(({ nodeId, slots }) =>
         [nodeId, { slots, inFlight: 0, freeAt: [] as number[] }]));
     const served = new Map<string, number>();
--- a/packages/oleandergap-routing/src/__tests__/pickerHarness.ts
+++ b/packages/oleandergap-routing/src/__tests__/pickerHarness.ts
@@ -68,8 +68,8 @@
     let targets = initialTargets;
     let row = initialRow;
     const picker = createTargetPicker<RoutableTarget>({
-        ownNode: "hall-a-0",
-        ownZone,
+        localNodeId: "hall-a-0",
+        localZone: ownZone,
         clock,
         random: createSeededRandom(seed),
         options: { ...defaultRoutingOptions.picker, ...options },
--- a/packages/oleandergap-routing/src/__tests__/placement.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/placement.test.ts
@@ -61,11 +61,11 @@
             targets: createTargets("hall-a", 2),
             canResend: true,
         };
-        const hasRoom = (exclude: readonly string[]): boolean => harness.picker.hasRoom({ ...request, exclude });
+        const hasFreeSlot = (exclude: readonly string[]): boolean => harness.picker.hasFreeSlot({ ...request, exclude });
         const fullLoad = { inFlight: 10, queued: 4, capacity: 10, expectedWaitMs: 80 };
         harness.pick(["hall-a-1"])?.report({ kind: "Refused", reason: "QueueFull" }, fullLoad);
-        expect(hasRoom(["hall-a-0"])).to.equal(true);
-        expect(hasRoom(["hall-a-1"])).to.equal(false);
-        expect(harness.picker.hasRoom({ ...request, row: createRow({ "hall-a": 1 }), exclude: [] })).to.equal(false);
+        expect(hasFreeSlot(["hall-a-0"])).to.equal(true);
+        expect(hasFreeSlot(["hall-a-1"])).to.equal(false);
+        expect(harness.picker.hasFreeSlot({ ...request, row: createRow({ "hall-a": 1 }), exclude: [] })).to.equal(false);
     });
 });
--- a/packages/oleandergap-routing/src/__tests__/requestRouter.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/requestRouter.test.ts
@@ -33,7 +33,7 @@
 
 const scriptArbitrary = fastCheck.array(fastCheck.record({
     failure: fastCheck.constantFrom(...failures),
-    retriedBelow: fastCheck.boolean(),
+    retriedDownstream: fastCheck.boolean(),
     takesMs: fastCheck.integer({ min: 1, max: 600 }),
 }), { minLength: 4, maxLength: 4 });
 
@@ -51,7 +51,7 @@
     const verdict = attempted.failure?.verdict ?? "ran";
     const isNonRetryable = attempted.failure?.kind === "BadRequest" || attempted.failure?.kind === "DuplicateKey";
     const isUnsafe = verdict === "ran" || (verdict === "mayHaveRun" && !idempotent);
-    return isUnsafe || isNonRetryable || !replayable || attempted.retriedBelow === true;
+    return isUnsafe || isNonRetryable || !replayable || attempted.retriedDownstream === true;
 };
 
 describe("createRequestRouter", () => {
@@ -71,7 +71,7 @@
                 let successes = 0;
                 for (const { script, idempotent, replayable } of requests) {
                     const deadline = harness.clock.monotonic() + 1000;
-                    const record = await harness.execute(script, { idempotent, replayable: () => replayable });
+                    const record = await harness.execute(script, { idempotent, canReplayBody: () => replayable });
                     const attempted = script.slice(0, record.tried.length);
                     expect(new Set(record.tried).size).to.equal(record.tried.length);
                     expect(verdictOf(record)).to.equal(worstVerdict(attempted));
@@ -92,9 +92,9 @@
     it("counts attempts and reports to upstream hops whether retries were handled", async () => {
         const harness = createRouterHarness();
         const first = await harness.execute([successful]);
-        expect(first.result).to.deep.equal(either.right({ answer: "answer", attempts: 1, retriedBelow: false }));
+        expect(first.result).to.deep.equal(either.right({ answer: "answer", attempts: 1, retriedDownstream: false }));
         const second = await harness.execute([{ failure: connectFailed }]);
-        expect(second.result).to.deep.equal(either.right({ answer: "answer", attempts: 2, retriedBelow: true }));
+        expect(second.result).to.deep.equal(either.right({ answer: "answer", attempts: 2, retriedDownstream: true }));
     });
 
     it("sends nothing when the deadline has passed or the caller has disconnected", async () => {
--- a/packages/oleandergap-routing/src/__tests__/retryFailures.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/retryFailures.test.ts
@@ -78,7 +78,7 @@
             calls += retried.tried.length - 1;
             return {
                 failure: answerLost,
-                retriedBelow: either.isLeft(retried.result) && retried.result.left.retriedBelow,
+                retriedDownstream: either.isLeft(retried.result) && retried.result.left.retriedDownstream,
             };
         };
         await call(0);
@@ -100,7 +100,7 @@
     // when part of the body had already been sent.
     it("does not retry a request whose body is no longer available", async () => {
         const { tried } = await createRouterHarness().execute([{ failure: refused("Draining") }], {
-            replayable: () => false,
+            canReplayBody: () => false,
         });
         expect(tried).to.have.length(1);
     });
--- a/packages/oleandergap-routing/src/__tests__/routerHarness.ts
+++ b/packages/oleandergap-routing/src/__tests__/routerHarness.ts
@@ -23,7 +23,7 @@
 /** Result of one attempt; an undefined failure means a response. */
 export interface ScriptedAttempt {
     readonly failure: RequestFailure | undefined;
-    readonly retriedBelow?: boolean;
+    readonly retriedDownstream?: boolean;
     readonly takesMs?: number;
 }
 
@@ -46,7 +46,7 @@
 export const createRouterHarness = (targetCount = 8, retryRatio = 0.1, retryReserve = 10): RouterHarness => {
     const clock = createManualClock();
     const picker = createTargetPicker<RoutableTarget>({
-        ownZone: "hall-a",
+        localZone: "hall-a",
         clock,
         random: createSeededRandom(1),
     });
@@ -61,7 +61,7 @@
             row,
             targets,
             idempotent: true,
-            replayable: () => true,
+            canReplayBody: () => true,
             deadline: clock.monotonic() + 1000,
             retriesAllowed: true,
             signal: new AbortController().signal,
@@ -73,7 +73,7 @@
             return {
                 outcome: attempt.failure === undefined ? either.right("answer") : either.left(attempt.failure),
                 load: undefined,
-                retriedBelow: attempt.retriedBelow ?? false,
+                retriedDownstream: attempt.retriedDownstream ?? false,
             };
         });
         return { result, tried };
--- a/packages/oleandergap-routing/src/__tests__/shedding.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/shedding.test.ts
@@ -24,7 +24,7 @@
 const simulate = async (shedShare: number, reason: RefusalReason, load: GateLoad): Promise<SimulationResult> => {
     const clock = createManualClock();
     const random = createSeededRandom(5);
-    const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-a", clock, random: createSeededRandom(1) });
+    const picker = createTargetPicker<RoutableTarget>({ localZone: "hall-a", clock, random: createSeededRandom(1) });
     const router = createRequestRouter({
         clock,
         picker,
@@ -39,21 +39,21 @@
             row,
             targets,
             idempotent: true,
-            replayable: () => true,
+            canReplayBody: () => true,
             deadline: clock.monotonic() + 1000,
             retriesAllowed: true,
             signal: new AbortController().signal,
         }, async () => ({
             outcome: random() < shedShare ? either.left(refused(reason, 0)) : either.right("answer"),
             load,
-            retriedBelow: false,
+            retriedDownstream: false,
         }));
         if (either.isRight(result)) {
             counts.answered += 1;
         }
         else {
-            counts.shed += result.left.tried.length > 0 ? 1 : 0;
-            counts.refusedLocally += result.left.tried.length > 0 ? 0 : 1;
+            counts.shed += result.left.triedTargets.length > 0 ? 1 : 0;
+            counts.refusedLocally += result.left.triedTargets.length > 0 ? 0 : 1;
             counts.longestRetryAfterMs = Math.max(counts.longestRetryAfterMs, result.left.retryAfterMs);
         }
         await clock.advance(10);
