--- a/packages/oleandergap-routing/src/__tests__/silence.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/silence.test.ts
@@ -41,7 +41,7 @@
         const [hangingPick] = pickBothTargets(harness);
         expect(hangingPick.progress.silent()).to.equal(false);
         expect((await harness.send(200)).get("hall-a-0")).to.equal(undefined);
-        hangingPick.progress.heard();
+        hangingPick.progress.recordHeartbeat();
         expect((await harness.send(200)).get("hall-a-0")).to.be.at.least(80);
     });
 
@@ -50,10 +50,10 @@
     it("prefers other targets after missed heartbeats, before any request is given up", async () => {
         const harness = createSingleZoneHarness(2);
         const [hangingPick] = pickBothTargets(harness);
-        hangingPick.progress.expectSigns();
+        hangingPick.progress.expectHeartbeats();
         harness.clock.freeze(3 * HEARTBEAT_INTERVAL_MS);
         expect((await harness.send(100)).get("hall-a-0")).to.equal(undefined);
-        hangingPick.progress.heard();
+        hangingPick.progress.recordHeartbeat();
         expect((await harness.send(100)).get("hall-a-0")).to.be.at.least(30);
     });
 
@@ -78,7 +78,7 @@
         const hangingPick = pickTarget(harness, "hall-b-0");
         hangingPick.progress.silent();
         expect((await harness.send(200)).get("hall-b-0")).to.equal(undefined);
-        hangingPick.progress.heard();
+        hangingPick.progress.recordHeartbeat();
         expect((await harness.send(200)).get("hall-b-0")).to.be.within(98, 102);
     });
 
@@ -117,7 +117,7 @@
         for (let count = 0; count < 3; count++) {
             const chosen = pickTarget(harness, "hall-a-0");
             chosen.report(answered);
-            chosen.progress.bodyEnded(false);
+            chosen.progress.recordBodyEnd(false);
         }
         expect(harness.zone("hall-a")?.ejected).to.equal(1);
         expect((await harness.send(100)).get("hall-a-0")).to.equal(undefined);
--- a/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unansweredCalls.test.ts
@@ -40,7 +40,7 @@
 const createCallSimulation = (): CallSimulation => {
     const clock = createManualClock();
     const random = createSeededRandom(5);
-    const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-a", clock, random });
+    const picker = createTargetPicker<RoutableTarget>({ localZone: "hall-a", clock, random });
     const throttle = createOverloadThrottle(clock, random);
     const router = createRequestRouter({ clock, picker, throttle });
     const row = { ...createRow({ "hall-a": 1 }, 0.1), placement: "load" as const };
@@ -53,9 +53,9 @@
         new Promise((resolve) => {
             sent += 1;
             signal.addEventListener("abort", () =>
-                resolve({ outcome: either.left(answerLost), load: undefined, retriedBelow: false }));
+                resolve({ outcome: either.left(answerLost), load: undefined, retriedDownstream: false }));
             clock.after(RUN_DURATIONS[handling], () =>
-                resolve({ outcome: either.right("answer"), load: undefined, retriedBelow: false }));
+                resolve({ outcome: either.right("answer"), load: undefined, retriedDownstream: false }));
         });
 
     const call = async (handling: CallHandling, callerTimeoutMs: Milliseconds): Promise<void> => {
@@ -67,7 +67,7 @@
             row,
             targets,
             idempotent: true,
-            replayable: () => true,
+            canReplayBody: () => true,
             deadline: clock.monotonic() + CALLER_TIMEOUT_MS,
             retriesAllowed: true,
             kind: "status",
--- a/packages/oleandergap-routing/src/__tests__/unheardTargets.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unheardTargets.test.ts
@@ -14,7 +14,7 @@
     // target's node.
     it("is not readmitted after refusals by the local node", async () => {
         const clock = createManualClock();
-        const picker = createTargetPicker<RoutableTarget>({ ownZone: "hall-b", clock, random: createSeededRandom(1) });
+        const picker = createTargetPicker<RoutableTarget>({ localZone: "hall-b", clock, random: createSeededRandom(1) });
         const router = createRequestRouter({ clock, picker });
         const targets = createTargets("hall-a", 4);
         const row = { ...createRow({}), placement: "load" as const };
@@ -26,7 +26,7 @@
             row,
             targets,
             idempotent: true,
-            replayable: () => true,
+            canReplayBody: () => true,
             deadline: clock.monotonic() + TIME_LEFT_MS,
             retriesAllowed: false,
             signal: new AbortController().signal,
@@ -35,11 +35,11 @@
             sentToUnreachable += isUnreachable ? 1 : 0;
             await clock.sleep(isUnreachable ? TIME_LEFT_MS : 50, new AbortController().signal);
             return isUnreachable ?
-                { outcome: either.left(deadlinePassed), load: undefined, retriedBelow: false } :
+                { outcome: either.left(deadlinePassed), load: undefined, retriedDownstream: false } :
                 {
                     outcome: either.right("answer"),
                     load: { inFlight: 2, queued: 0, capacity: 10, expectedWaitMs: 0 },
-                    retriedBelow: false,
+                    retriedDownstream: false,
                 };
         });
         const pendingRequests: Promise<unknown>[] = [];
--- a/packages/oleandergap-routing/src/attemptHistory.ts
+++ b/packages/oleandergap-routing/src/attemptHistory.ts
@@ -57,8 +57,8 @@
         return {
             failure: withRetryAfter(overallFailure, retryAfterMs),
             attempts: triedNodeIds.length,
-            tried: triedNodeIds.map((nodeId) => ({ nodeId, failure: failures.get(nodeId) })),
-            retriedBelow: wasRetriedDownstream || triedNodeIds.length > 0,
+            triedTargets: triedNodeIds.map((nodeId) => ({ nodeId, failure: failures.get(nodeId) })),
+            retriedDownstream: wasRetriedDownstream || triedNodeIds.length > 0,
             retryAfterMs,
         };
     };
--- a/packages/oleandergap-routing/src/attemptProgress.ts
+++ b/packages/oleandergap-routing/src/attemptProgress.ts
@@ -29,10 +29,10 @@
     { clock, random, options }: ProgressContext,
 ): AttemptProgress => ({
     isProbe,
-    expectSigns: () => {
+    expectHeartbeats: () => {
         state.sendsHeartbeats = true;
     },
-    heard: () => {
+    recordHeartbeat: () => {
         state.waitingSince = clock.monotonic();
         restoreResponsiveTarget(zone.candidates, state);
     },
@@ -41,7 +41,7 @@
         ejectUnresponsiveTarget(zone.candidates, state, clock.monotonic(), options, random);
         return wasUnresponsive;
     },
-    bodyEnded: (isComplete) => {
+    recordBodyEnd: (isComplete) => {
         recordBodyEnd(zone, state, isComplete, { now: clock.monotonic(), options, random });
     },
 });
--- a/packages/oleandergap-routing/src/measure/decisionCost.ts
+++ b/packages/oleandergap-routing/src/measure/decisionCost.ts
@@ -54,7 +54,7 @@
 
 const measurePicker = (count: number): Promise<number> => {
     const picker = createTargetPicker({
-        ownZone: "zone-0",
+        localZone: "zone-0",
         clock: createSystemClock(),
         random: createSeededRandom(1),
     });
--- a/packages/oleandergap-routing/src/measure/ourService.ts
+++ b/packages/oleandergap-routing/src/measure/ourService.ts
@@ -70,7 +70,7 @@
         const finish = (outcome: AttemptResult<number>["outcome"]): void => {
             cancelTimeout();
             admission.release(either.isRight(outcome) ? "Answered" : "Cancelled");
-            resolve({ outcome, load: target.gate.load(), retriedBelow: false });
+            resolve({ outcome, load: target.gate.load(), retriedDownstream: false });
         };
         const stop = target.model.run(request.id, () => finish(either.right(request.id)));
         const cancelTimeout = clock.after(request.deadline - clock.monotonic(), () => {
@@ -86,14 +86,14 @@
         const admission = await target.gate.admit({ ...SERVICE, deadline, signal });
         const result: AttemptResult<number> = either.isRight(admission) ?
             await serve(clock, target, request, admission.right) :
-            { outcome: admission, load: target.gate.load(), retriedBelow: false };
+            { outcome: admission, load: target.gate.load(), retriedDownstream: false };
         await clock.sleep(plan.networkMs, signal);
         return result;
     };
 
 const createRouters = (clock: Clock, random: Random, plan: LoadPlan): readonly RequestRouter<ModelTarget>[] =>
     Array.from({ length: plan.gateways }, (_, index) => {
-        const picker = createTargetPicker<ModelTarget>({ ownZone: `zone-${index % plan.zones}`, clock, random });
+        const picker = createTargetPicker<ModelTarget>({ localZone: `zone-${index % plan.zones}`, clock, random });
         return createRequestRouter({ clock, picker });
     });
 
@@ -113,7 +113,7 @@
             row,
             targets,
             idempotent: request.idempotent,
-            replayable: () => true,
+            canReplayBody: () => true,
             deadline: request.deadline,
             retriesAllowed: true,
             signal: new AbortController().signal,
--- a/packages/oleandergap-routing/src/pickRequest.ts
+++ b/packages/oleandergap-routing/src/pickRequest.ts
@@ -5,7 +5,7 @@
 
 /** Returns the input of the target picker. Without a history, no target counts as tried. */
 export const toPickRequest = <Target extends RoutableTarget>(
-    { service, row, targets, idempotent, replayable, kind }: RequestExecution<Target>,
+    { service, row, targets, idempotent, canReplayBody, kind }: RequestExecution<Target>,
     history?: AttemptHistory,
 ): PickRequest<Target> => ({
     service,
@@ -13,6 +13,6 @@
     targets,
     exclude: history?.triedNodeIds ?? [],
     avoidZone: history?.overloadedZone(),
-    canResend: idempotent && replayable(),
+    canResend: idempotent && canReplayBody(),
     kind,
 });
--- a/packages/oleandergap-routing/src/refuseBeforeSending.ts
+++ b/packages/oleandergap-routing/src/refuseBeforeSending.ts
@@ -42,8 +42,8 @@
  * request that failed because a call was not served needs that call again.
  */
 const createThrottleKey = <Target extends RoutableTarget>(
-    { service, kind = "", isReturning = false }: RequestExecution<Target>,
-): string => `${formatServiceReference(service)} ${kind} ${isReturning ? "again" : "first"}`;
+    { service, kind = "", isCallerRetry = false }: RequestExecution<Target>,
+): string => `${formatServiceReference(service)} ${kind} ${isCallerRetry ? "again" : "first"}`;
 
 /**
  * Fraction of its time that a caller must have waited before its disconnection counts against the service. A caller
@@ -81,7 +81,7 @@
         return execute(execution, attempt, discard);
     }
     const throttleKey = createThrottleKey(execution);
-    const hasFreeSlot = (): boolean => picker.hasRoom(toPickRequest(execution));
+    const hasFreeSlot = (): boolean => picker.hasFreeSlot(toPickRequest(execution));
     if (!throttle.admits(throttleKey)) {
         return either.left(createAttemptHistory().conclude(createRefusal("LimitReached"), picker.retryAfter(service)));
     }
--- a/packages/oleandergap-routing/src/requestExecution.ts
+++ b/packages/oleandergap-routing/src/requestExecution.ts
@@ -14,7 +14,7 @@
      * Called after a failed attempt. Returns whether the complete body can still be sent, because it is buffered or has
      * not been read.
      */
-    readonly replayable: () => boolean;
+    readonly canReplayBody: () => boolean;
     /** Time by which the response must be complete, on the monotonic clock. */
     readonly deadline: Milliseconds;
     /** False when an upstream hop has requested that no downstream hop retries. */
@@ -27,12 +27,12 @@
      */
     readonly kind?: string;
     /** Whether the caller repeats a request that was refused before. A busy target refuses such requests first. */
-    readonly isReturning?: boolean;
+    readonly isCallerRetry?: boolean;
     /**
      * Called before each attempt with the number of earlier attempts. Returns a failure if the request must not be
      * sent.
      */
-    readonly findObstacle?: ((attempts: number) => RequestFailure | undefined) | undefined;
+    readonly findRefusal?: ((attempts: number) => RequestFailure | undefined) | undefined;
     /** Aborts when the caller disconnects. */
     readonly signal: AbortSignal;
 }
@@ -51,7 +51,7 @@
     /** The gate's load when it responded; undefined when it did not respond. */
     readonly load: GateLoad | undefined;
     /** Whether a downstream hop has already handled retries, as indicated by the header `oleandergap-retry: no`. */
-    readonly retriedBelow: boolean;
+    readonly retriedDownstream: boolean;
     /** Whether the target responded with a failure because a call that it made was not served. */
     readonly isStarved?: boolean | undefined;
     /** Set when the attempt failed for lack of heartbeats but the gate may still respond. */
@@ -79,7 +79,7 @@
     readonly answer: Answer;
     readonly attempts: number;
     /** Whether the response is returned to the caller with `oleandergap-retry: no`. */
-    readonly retriedBelow: boolean;
+    readonly retriedDownstream: boolean;
     /** Whether the target responded with a failure because a call that it made was not served. */
     readonly isStarved?: boolean;
 }
@@ -97,9 +97,9 @@
 export interface RoutedFailure {
     readonly failure: RequestFailure;
     readonly attempts: number;
-    readonly tried: readonly TriedTarget[];
+    readonly triedTargets: readonly TriedTarget[];
     /** Whether the failure is returned to the caller with `oleandergap-retry: no`. */
-    readonly retriedBelow: boolean;
+    readonly retriedDownstream: boolean;
     /** Retry delay for the caller, computed from the refusals and failures. */
     readonly retryAfterMs: Milliseconds;
 }
--- a/packages/oleandergap-routing/src/requestRouter.ts
+++ b/packages/oleandergap-routing/src/requestRouter.ts
@@ -66,7 +66,7 @@
     const tryTarget = createTryTarget<Target>(clock);
 
     const findPreSendFailure = (
-        { signal, deadline, findObstacle: findFurtherFailure }: RequestExecution<Target>,
+        { signal, deadline, findRefusal: findFurtherFailure }: RequestExecution<Target>,
         attempts: number,
     ): RequestFailure | undefined => {
         if (signal.aborted) {
@@ -83,14 +83,14 @@
     ): boolean => tryAcquireRetry({
         failure,
         idempotent: execution.idempotent,
-        replayable: execution.replayable,
+        canReplayBody: execution.canReplayBody,
         retriesAllowed:
             execution.retriesAllowed && !history.wasRetriedDownstream() && execution.row.limit.retryRatio > 0,
         attempts: history.triedNodeIds.length,
         maximumAttempts: options.maximumAttempts,
         hasTargetsLeft: history.targetsReached() < (execution.maximumTargets ?? Number.POSITIVE_INFINITY),
         capacityRefusals: history.capacityRefusals(),
-        hasFreeSlotElsewhere: () => picker.hasRoom(toPickRequest(execution, history)),
+        hasFreeSlotElsewhere: () => picker.hasFreeSlot(toPickRequest(execution, history)),
         budget,
     });
 
@@ -101,17 +101,17 @@
     ): Promise<Either<RoutedFailure, Routed<Answer>>> => {
         const history = createAttemptHistory();
         const budget = getBudget(execution);
-        const hasFreeSlot = (): boolean => picker.hasRoom(toPickRequest(execution));
+        const hasFreeSlot = (): boolean => picker.hasFreeSlot(toPickRequest(execution));
         const openAttempts = createOpenAttempts(discard);
         const succeed = (result: AttemptResult<Answer>, answer: Answer): Either<RoutedFailure, Routed<Answer>> => {
-            const { retriedBelow, isStarved = false } = result;
+            const { retriedDownstream, isStarved = false } = result;
             openAttempts.cancelOthers(result);
             budget.deposit(execution.row.limit.retryRatio);
             const attempts = history.triedNodeIds.length;
             return either.right({
                 answer,
                 attempts,
-                retriedBelow: retriedBelow || attempts > 1,
+                retriedDownstream: retriedDownstream || attempts > 1,
                 ...isStarved ? { isStarved } : {},
             });
         };
@@ -142,7 +142,7 @@
             if (result.open !== undefined) {
                 openAttempts.add(result.open);
             }
-            history.addFailure(pick.target, failure, result.retriedBelow);
+            history.addFailure(pick.target, failure, result.retriedDownstream);
             if (!shouldRetry(execution, history, failure, budget)) {
                 return failRequest(failure);
             }
--- a/packages/oleandergap-routing/src/retryDecision.ts
+++ b/packages/oleandergap-routing/src/retryDecision.ts
@@ -12,7 +12,7 @@
 export interface RetryConditions {
     readonly failure: RequestFailure;
     readonly idempotent: boolean;
-    readonly replayable: () => boolean;
+    readonly canReplayBody: () => boolean;
     /**
      * False when an upstream hop forbids retries, a downstream hop has already retried, or the row allows no retries.
      */
@@ -49,12 +49,12 @@
 };
 
 /** Returns whether a second run is impossible (`notRun`) or harmless (idempotent). */
-const isSafeToRetry = ({ failure, idempotent, replayable }: RetryConditions): boolean => {
+const isSafeToRetry = ({ failure, idempotent, canReplayBody }: RetryConditions): boolean => {
     switch (failure.verdict) {
         case "notRun":
-            return replayable();
+            return canReplayBody();
         case "mayHaveRun":
-            return idempotent && replayable();
+            return idempotent && canReplayBody();
         case "ran":
             return false;
     }
--- a/packages/oleandergap-routing/src/target.ts
+++ b/packages/oleandergap-routing/src/target.ts
@@ -68,9 +68,9 @@
     /** Whether the request probes an ejected target. A probe should wait only briefly for a heartbeat. */
     readonly isProbe: boolean;
     /** Records that the target's gate sends heartbeats at regular intervals until it responds. */
-    readonly expectSigns: () => void;
+    readonly expectHeartbeats: () => void;
     /** Records a heartbeat. */
-    readonly heard: () => void;
+    readonly recordHeartbeat: () => void;
     /**
      * Records that no heartbeat arrived within the limit. Other requests avoid the target until its next heartbeat.
      * Returns true if the target was already known to be unresponsive, so that another try at the same target is
@@ -81,7 +81,7 @@
      * Records that the response body ended completely (`isComplete`) or was interrupted through no fault of the caller.
      * It is called after the outcome was reported.
      */
-    readonly bodyEnded: (isComplete: boolean) => void;
+    readonly recordBodyEnd: (isComplete: boolean) => void;
 }
 
 /** A picked target. The outcome of each pick must be reported once. */
@@ -100,7 +100,7 @@
      * Returns whether a target that the request has not been sent to is expected to have a free slot. Always false
      * unless targets are placed by load: with weights, each zone receives its share whether it has free slots or not.
      */
-    readonly hasRoom: (request: PickRequest<Target>) => boolean;
+    readonly hasFreeSlot: (request: PickRequest<Target>) => boolean;
     /** Returns the retry delay to suggest to a caller when no target could be reached. */
     readonly retryAfter: (service: ServiceReference) => Milliseconds;
     /** Returns the picker's view of a service's zones, for metrics. */
--- a/packages/oleandergap-routing/src/targetPicker.ts
+++ b/packages/oleandergap-routing/src/targetPicker.ts
@@ -27,8 +27,8 @@
 /** Dependencies of a target picker. */
 export interface TargetPickerDependencies {
     /** This node, or undefined when no target runs on its VM. */
-    readonly ownNode?: NodeId;
-    readonly ownZone: ZoneName;
+    readonly localNodeId?: NodeId;
+    readonly localZone: ZoneName;
     readonly clock: Clock;
     readonly random: Random;
     readonly options?: PickerOptions;
@@ -46,14 +46,14 @@
 
 /** Creates the target picker of one node. It serves all services. */
 export const createTargetPicker = <Target extends RoutableTarget>({
-    ownNode,
-    ownZone,
+    localNodeId,
+    localZone,
     clock,
     random,
     options = defaultRoutingOptions.picker,
 }: TargetPickerDependencies): TargetPicker<Target> => {
     const services = new Map<string, ServiceState<Target>>();
-    const localityPreference = createLocalityPreference(options, ownNode, ownZone);
+    const localityPreference = createLocalityPreference(options, localNodeId, localZone);
     const rebuildContext = { clock, random, localityPreference, callerSpread: options.callerSpread };
 
     const getServiceState = (request: PickRequest<Target>): ServiceState<Target> => {
@@ -150,7 +150,7 @@
         return createPick(choice, now, request.kind ?? "");
     };
 
-    const hasRoom = (request: PickRequest<Target>): boolean => {
+    const hasFreeSlot = (request: PickRequest<Target>): boolean => {
         if (request.row.placement !== "load") {
             return false;
         }
@@ -164,7 +164,7 @@
 
     return {
         pick,
-        hasRoom,
+        hasFreeSlot: hasFreeSlot,
         retryAfter: (service) => {
             const zones = services.get(formatServiceReference(service))?.zones ?? [];
             const now = clock.monotonic();
--- a/packages/oleandergap-routing/src/tryTarget.ts
+++ b/packages/oleandergap-routing/src/tryTarget.ts
@@ -65,7 +65,7 @@
         catch (error) {
             const failure = { kind: "AnswerLost", verdict: "mayHaveRun", detail: describeError(error) } as const;
             const outcome = either.left(failure);
-            return { outcome, load: undefined, retriedBelow: false };
+            return { outcome, load: undefined, retriedDownstream: false };
         }
     };
 
--- a/packages/oleandergap-types/src/__tests__/cells.test.ts
+++ b/packages/oleandergap-types/src/__tests__/cells.test.ts
@@ -8,7 +8,7 @@
     cellValueSchema,
     deltaSchema,
     MAX_CELL_TEXT_LENGTH,
-    MAX_CELLS_PER_STEP,
+    MAX_CELLS_PER_DELTA,
 } from "../table.js";
 
 /** Reference schema: performs the same validation with the schemas of the address and the value of each cell. */
@@ -49,7 +49,7 @@
     const createDelta = (changes: unknown): unknown => ({
         partner: "halloway", sequence: 4, baseDigest: "0".repeat(64), digest: "1".repeat(64), changes,
     });
-    const referenceChangesSchema = z.array(cellChangeSchema).max(MAX_CELLS_PER_STEP);
+    const referenceChangesSchema = z.array(cellChangeSchema).max(MAX_CELLS_PER_DELTA);
     const changes = fc.record({
         cell: fc.oneof(addresses, values),
         before: values,
@@ -66,7 +66,7 @@
 
     it("rejects more changes than a delta may hold, and reports the invalid change", () => {
         const change = { cell: "limits/desk/queue", after: 1 };
-        const tooMany = Array.from({ length: MAX_CELLS_PER_STEP + 1 }, () => change);
+        const tooMany = Array.from({ length: MAX_CELLS_PER_DELTA + 1 }, () => change);
         expect(deltaSchema.safeParse(createDelta(tooMany)).success).to.equal(false);
         const result = deltaSchema.safeParse(createDelta([change, { ...change, after: null }]));
         expect(result.error?.issues[0]?.path).to.deep.equal(["changes", 1]);
--- a/packages/oleandergap-types/src/storePosition.ts
+++ b/packages/oleandergap-types/src/storePosition.ts
@@ -9,7 +9,7 @@
 export type StoreEra = z.infer<typeof storeEraSchema>;
 
 /** The only era of a store that does not report its era. */
-export const UNTOLD_ERA: StoreEra = 0;
+export const DEFAULT_STORE_ERA: StoreEra = 0;
 
 /** The position of a transaction in the history of a store. */
 export const storePositionSchema = z.strictObject({
--- a/packages/oleandergap-types/src/table.ts
+++ b/packages/oleandergap-types/src/table.ts
@@ -15,7 +15,7 @@
  * Maximum number of cells in a delta. If a platform distributes whole versions, a delta may be far larger than an
  * operator change: 1,640 more routes are 13,000 cells.
  */
-export const MAX_CELLS_PER_STEP = 20_000;
+export const MAX_CELLS_PER_DELTA = 20_000;
 
 const CELL_ADDRESS_PATTERN = /^[a-z][A-Za-z0-9-]*(\/[A-Za-z0-9-]+){1,3}$/;
 const CELL_ADDRESS_HINT = "use a path such as services/grant-filer/weights/hall-a";
@@ -118,8 +118,8 @@
  * started, this takes 14 to 16 ms instead of 81 to 104 ms for 960 routes that were added at once.
  */
 const deltaChangesSchema = z.custom<CellChange[]>().superRefine((changes: unknown, context) => {
-    if (!Array.isArray(changes) || changes.length > MAX_CELLS_PER_STEP) {
-        context.addIssue({ code: "custom", message: `use a list of at most ${MAX_CELLS_PER_STEP} changes` });
+    if (!Array.isArray(changes) || changes.length > MAX_CELLS_PER_DELTA) {
+        context.addIssue({ code: "custom", message: `use a list of at most ${MAX_CELLS_PER_DELTA} changes` });
         return;
     }
     for (let index = 0; index < changes.length; index++) {
@@ -159,7 +159,7 @@
 /** Upper bounds of values in the table; see the fields that use them. */
 export const MAX_CONCURRENCY = 10_000;
 export const MAX_TABLE_DURATION_MS = 600_000;
-export const MAX_ATTEMPTS_OF_ROUTE = 100;
+export const MAX_ROUTE_ATTEMPTS = 100;
 export const MAX_PRIORITY = 1000;
 
 /** Limits that service rows refer to by name. */
@@ -223,7 +223,7 @@
     prefix: z.string().max(MAX_PREFIX_LENGTH).regex(/^\/([^?#\s]*\/)?$/, "begin and end the prefix with a slash"),
     kind: routeKindSchema,
     /** Maximum number of targets to which one request may be sent. */
-    maxAttempts: z.number().int().min(1).max(MAX_ATTEMPTS_OF_ROUTE),
+    maxAttempts: z.number().int().min(1).max(MAX_ROUTE_ATTEMPTS),
     /** Maximum time that a caller waits, in milliseconds. */
     timeoutMs: z.number().int().min(1).max(MAX_TABLE_DURATION_MS),
     /** Latency objective of the route, in milliseconds: a response after this time has less value to the caller. */
