--- a/packages/oleandergap-containment/src/__tests__/evidenceBook.test.ts
+++ b/packages/oleandergap-containment/src/__tests__/evidenceStore.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import fastCheck from "fast-check";
 import type { CrashReport } from "../evidence.js";
-import { createEvidenceStore, type EvidenceStore } from "../evidenceBook.js";
+import { createEvidenceStore, type EvidenceStore } from "../evidenceStore.js";
 import type { Fingerprint } from "../fingerprint.js";
 import { defaultContainmentOptions, type ContainmentOptions } from "../options.js";
 
--- a/packages/oleandergap-containment/src/containedRows.ts
+++ b/packages/oleandergap-containment/src/containedRows.ts
@@ -9,7 +9,7 @@
 import { drawBackoff, type Random } from "oleandergap-utils";
 import { z } from "zod";
 import { crashedNodeSchema, crashIdSchema, type Evidence } from "./evidence.js";
-import type { ContainedRequest } from "./evidenceBook.js";
+import type { ContainedRequest } from "./evidenceStore.js";
 import { fingerprintSchema, type Fingerprint } from "./fingerprint.js";
 
 const KEY_PREFIX = "containment/";
--- a/packages/oleandergap-containment/src/containment.ts
+++ b/packages/oleandergap-containment/src/containment.ts
@@ -4,9 +4,9 @@
 import { hashText, type Random } from "oleandergap-utils";
 import { createContainedRows } from "./containedRows.js";
 import type { CrashId, CrashReport, Judgement } from "./evidence.js";
-import { createEvidenceStore, type ContainedRequest } from "./evidenceBook.js";
+import { createEvidenceStore, type ContainedRequest } from "./evidenceStore.js";
 import type { EvidenceMessage } from "./evidenceMessage.js";
-import { createEvidenceGossip, type EvidenceNetwork } from "./evidenceSpread.js";
+import { createEvidenceGossip, type EvidenceNetwork } from "./evidenceGossip.js";
 import type { Fingerprint } from "./fingerprint.js";
 import type { ContainmentOptions } from "./options.js";
 
--- a/packages/oleandergap-containment/src/evidenceSpread.ts
+++ b/packages/oleandergap-containment/src/evidenceGossip.ts
@@ -8,10 +8,10 @@
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { createTokenBucket, pickSeveral, type Random } from "oleandergap-utils";
 import type { CrashReport, Evidence, GoodRun } from "./evidence.js";
-import type { EvidenceStore } from "./evidenceBook.js";
+import type { EvidenceStore } from "./evidenceStore.js";
 import { decodeEvidence, encodeEvidence, type EvidenceMessage } from "./evidenceMessage.js";
 import type { Fingerprint } from "./fingerprint.js";
-import { createEvidenceBootstrap } from "./informer.js";
+import { createEvidenceBootstrap } from "./evidenceBootstrap.js";
 
 /**
  * Number of zone members to which a node sends its own evidence or evidence from another zone. In a zone of ten nodes,
--- a/packages/oleandergap-membership/src/targetDirectory.ts
+++ b/packages/oleandergap-membership/src/targetDirectory.ts
@@ -12,7 +12,7 @@
 import type { Random } from "oleandergap-utils";
 import type { Membership } from "./membershipTypes.js";
 import type { TargetDirectoryOptions } from "./options.js";
-import { createLocalTargets } from "./ownTargets.js";
+import { createLocalTargets } from "./localTargets.js";
 import { createRemoteTargets, type RemoteTargets } from "./remoteTargets.js";
 import type { FetchZone, TargetDirectory, TargetMember } from "./targetDirectoryTypes.js";
 import { createTargetLists } from "./targetLists.js";
--- a/packages/oleandergap-node/src/__tests__/crashModel.ts
+++ b/packages/oleandergap-node/src/__tests__/crashModel.ts
@@ -22,13 +22,13 @@
     type ManualClock,
     type Random,
 } from "oleandergap-utils";
-import { createContainmentGuard, createContainmentCheck } from "../gate/carefulServe.js";
-import { createCrashDetector, type CrashDetector } from "../gate/crashWatch.js";
+import { createContainmentGuard, createContainmentCheck } from "../gate/containmentGuard.js";
+import { createCrashDetector, type CrashDetector } from "../gate/crashDetector.js";
 import type { GateRequest, ServeAtGate } from "../gate/gateRequest.js";
-import { createRequestContainment } from "../gateway/requestCare.js";
-import { createBufferedBody } from "../http/answer.js";
+import { createRequestContainment } from "../gateway/requestContainment.js";
+import { createBufferedBody } from "../http/upstreamResponse.js";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
-import type { LocalTarget } from "../target/targetKeeper.js";
+import type { LocalTarget } from "../target/localTargetManager.js";
 
 /** Parameters of a simulation. */
 export interface CrashScenario {
--- a/packages/oleandergap-node/src/__tests__/crashes.test.ts
+++ b/packages/oleandergap-node/src/__tests__/crashes.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "chai";
 import type { Containment } from "oleandergap-containment";
 import { createManualClock, createSystemClock } from "oleandergap-utils";
-import { createCrashDetector } from "../gate/crashWatch.js";
+import { createCrashDetector } from "../gate/crashDetector.js";
 import type { GateRequest } from "../gate/gateRequest.js";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
--- a/packages/oleandergap-node/src/__tests__/callerPatience.test.ts
+++ b/packages/oleandergap-node/src/__tests__/elapsedWaitEstimator.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import fastCheck from "fast-check";
-import { createElapsedWaitEstimator } from "../gateway/callerPatience.js";
+import { createElapsedWaitEstimator } from "../gateway/elapsedWaitEstimator.js";
 
 const DEADLINE_MS = 2000;
 
--- a/packages/oleandergap-node/src/__tests__/listener.test.ts
+++ b/packages/oleandergap-node/src/__tests__/listener.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "chai";
 import { createManualClock, createSystemClock } from "oleandergap-utils";
 import { createReceivedBody } from "../http/receivedBody.js";
-import { writeResponse } from "../http/writeAnswer.js";
+import { writeResponse } from "../http/writeResponse.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import {
     sendHttpRequest, callRaw, createAnnouncement, createCleanup, LOOPBACK, startGate, startTarget, startTestListener, waitUntil,
--- a/packages/oleandergap-node/src/__tests__/targetKeeper.test.ts
+++ b/packages/oleandergap-node/src/__tests__/localTargetManager.test.ts
@@ -3,7 +3,7 @@
 import { createLogger } from "oleandergap-logger";
 import type { Announcement, Limit, MemberTarget } from "oleandergap-types";
 import { createManualClock, type ManualClock } from "oleandergap-utils";
-import { createLocalTargetManager, type LocalTargetManager } from "../target/targetKeeper.js";
+import { createLocalTargetManager, type LocalTargetManager } from "../target/localTargetManager.js";
 import { createAnnouncement, TEST_LIMIT } from "./support.js";
 
 const HEARTBEAT_TIMEOUT_MS = 3000;
--- a/packages/oleandergap-node/src/__tests__/staleRequests.test.ts
+++ b/packages/oleandergap-node/src/__tests__/staleRequests.test.ts
@@ -11,7 +11,7 @@
 import { createRequestPath } from "../createRequestPath.js";
 import { defaultDialects } from "../http/dialect.js";
 import { startListener } from "../http/listener.js";
-import { startEventLoopLagMonitor } from "../http/loopLag.js";
+import { startEventLoopLagMonitor } from "../http/eventLoopLag.js";
 import { createTurnQueue } from "../http/turnQueue.js";
 import { nodeOptionsSchema } from "../options.js";
 import { createMember, createRow, createView, HOST } from "./gatewaySupport.js";
--- a/packages/oleandergap-node/src/__tests__/support.ts
+++ b/packages/oleandergap-node/src/__tests__/support.ts
@@ -8,15 +8,15 @@
 import { createMemoryTableService } from "oleandergap-platform";
 import type { Announcement, Clock, Limit, MemberTarget } from "oleandergap-types";
 import { createContainment, defaultContainmentOptions, type Containment } from "oleandergap-containment";
-import { createContainmentGuard } from "../gate/carefulServe.js";
-import { createTargetRunObserver } from "../gate/createRunWatch.js";
+import { createContainmentGuard } from "../gate/containmentGuard.js";
+import { createTargetRunObserver } from "../gate/createTargetRunObserver.js";
 import { createGateHandler } from "../gate/gateHandler.js";
 import type { ServeAtGate } from "../gate/gateRequest.js";
 import { createServeAtGate } from "../gate/serveAtGate.js";
 import { createConnectionPools, type ConnectionPools } from "../http/connectionPools.js";
 import { startListener, type HandleArrival, type Listener, type ListenerOptions } from "../http/listener.js";
 import { defaultDialects } from "../http/dialect.js";
-import { createLocalTargetManager, type LocalTargetManager } from "../target/targetKeeper.js";
+import { createLocalTargetManager, type LocalTargetManager } from "../target/localTargetManager.js";
 
 export const LOOPBACK = "127.0.0.1";
 
--- a/packages/oleandergap-node/src/__tests__/cutAnswers.test.ts
+++ b/packages/oleandergap-node/src/__tests__/truncatedResponses.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { createManualClock, createSystemClock } from "oleandergap-utils";
-import { createEventLoopLagMonitor } from "../http/loopLag.js";
+import { createEventLoopLagMonitor } from "../http/eventLoopLag.js";
 import { sendHttpRequest, createAnnouncement, createCleanup, startGate, startRawTarget } from "./support.js";
 
 const HEAD = "HTTP/1.1 200 OK\r\nconnection: close\r\n";
--- a/packages/oleandergap-node/src/adapters.ts
+++ b/packages/oleandergap-node/src/adapters.ts
@@ -16,7 +16,7 @@
 import { defaultDialects, type Dialects } from "./http/dialect.js";
 import type { HandleArrival } from "./http/listener.js";
 import type { NodeOptions } from "./options.js";
-import type { LocalTargetManager } from "./target/targetKeeper.js";
+import type { LocalTargetManager } from "./target/localTargetManager.js";
 
 /** The services of the platform that a node uses. */
 export interface PlatformPorts {
--- a/packages/oleandergap-node/src/admin/adminHandler.ts
+++ b/packages/oleandergap-node/src/admin/adminHandler.ts
@@ -3,7 +3,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
 import { announcementSchema } from "oleandergap-types";
-import type { LocalTargetManager } from "../target/targetKeeper.js";
+import type { LocalTargetManager } from "../target/localTargetManager.js";
 import { readJson } from "./readJson.js";
 import type { Readiness } from "./readiness.js";
 
--- a/packages/oleandergap-node/src/admin/metrics.ts
+++ b/packages/oleandergap-node/src/admin/metrics.ts
@@ -2,7 +2,7 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Milliseconds, Verdict } from "oleandergap-types";
 import { reasonOfFailure } from "../http/refusal.js";
-import type { RequestResult } from "../http/requestEnd.js";
+import type { RequestResult } from "../http/requestResult.js";
 import type { MetricsText } from "./adminHandler.js";
 
 /** A value of a gauge with its labels, at the time of the scrape. */
--- a/packages/oleandergap-node/src/admin/tallyEnd.ts
+++ b/packages/oleandergap-node/src/admin/tallyEnd.ts
@@ -1,6 +1,6 @@
 /** Records the end of a request in the tally. */
 import type { Milliseconds } from "oleandergap-types";
-import { isFailedResult, type RequestResult } from "../http/requestEnd.js";
+import { isFailedResult, type RequestResult } from "../http/requestResult.js";
 import { formatEndReason, type ServedAt } from "./metrics.js";
 import type { RequestTally } from "./requestTally.js";
 
--- a/packages/oleandergap-node/src/createRequestPath.ts
+++ b/packages/oleandergap-node/src/createRequestPath.ts
@@ -5,9 +5,9 @@
 import { createGatewayPath } from "./gateway/createGatewayPath.js";
 import { createCallerSignals } from "./http/callerSignal.js";
 import { createConnectionPools, type ConnectionPools } from "./http/connectionPools.js";
-import { startEventLoopLagMonitor } from "./http/loopLag.js";
+import { startEventLoopLagMonitor } from "./http/eventLoopLag.js";
 import type { RequestPath, RequestPathDependencies } from "./requestPathTypes.js";
-import { createLocalService } from "./target/ownService.js";
+import { createLocalService } from "./target/localService.js";
 
 const createPools = ({ options: { requests }, clock }: RequestPathDependencies): ConnectionPools =>
     createConnectionPools({
--- a/packages/oleandergap-node/src/gate/claimedRun.ts
+++ b/packages/oleandergap-node/src/gate/claimedRun.ts
@@ -3,7 +3,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import { computeFingerprint, type Claim, type ClaimGrant, type ClaimKeeper } from "oleandergap-idempotency";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
-import { createBufferedBody, observeBody, type UpstreamResponse } from "../http/answer.js";
+import { createBufferedBody, observeBody, type UpstreamResponse } from "../http/upstreamResponse.js";
 import { flattenResponseHeaders, readHeaderPair } from "../http/headers.js";
 import type { GateRequest, ServeAtGate } from "./gateRequest.js";
 
--- a/packages/oleandergap-node/src/gate/carefulServe.ts
+++ b/packages/oleandergap-node/src/gate/containmentGuard.ts
@@ -7,10 +7,10 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Containment, Fingerprint, Judgement } from "oleandergap-containment";
 import type { Clock, RequestFailure } from "oleandergap-types";
-import { observeBody } from "../http/answer.js";
+import { observeBody } from "../http/upstreamResponse.js";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
 import type { GateRequest, ServeAtGate } from "./gateRequest.js";
-import { createAsyncMutex, type ReleaseLock } from "./soleRuns.js";
+import { createAsyncMutex, type ReleaseLock } from "./asyncMutex.js";
 
 /** The methods of the containment that decide whether a request may run. */
 export type ContainmentQueries = Pick<Containment<never>, "hasSuspects" | "judge" | "retryAfter">;
--- a/packages/oleandergap-node/src/gate/createGatePath.ts
+++ b/packages/oleandergap-node/src/gate/createGatePath.ts
@@ -6,16 +6,16 @@
 import { recordRequestEnd } from "../admin/tallyEnd.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import type { HandleArrival } from "../http/listener.js";
-import type { EventLoopLagMonitor } from "../http/loopLag.js";
-import { toRequestResult } from "../http/requestEnd.js";
+import type { EventLoopLagMonitor } from "../http/eventLoopLag.js";
+import { toRequestResult } from "../http/requestResult.js";
 import type { RequestPathDependencies } from "../requestPathTypes.js";
-import { findServiceRow, type LocalService } from "../target/ownService.js";
-import { createLocalTargetManager, type LocalTargetManager } from "../target/targetKeeper.js";
-import { createContainmentGuard } from "./carefulServe.js";
+import { findServiceRow, type LocalService } from "../target/localService.js";
+import { createLocalTargetManager, type LocalTargetManager } from "../target/localTargetManager.js";
+import { createContainmentGuard } from "./containmentGuard.js";
 import { createClaims, type Claims } from "./createClaims.js";
 import { createGateHandler } from "./gateHandler.js";
 import type { ServeAtGate } from "./gateRequest.js";
-import { createTargetRunObserver } from "./createRunWatch.js";
+import { createTargetRunObserver } from "./createTargetRunObserver.js";
 import { createServeAtGate } from "./serveAtGate.js";
 import type { UnservedCalls } from "./unservedCalls.js";
 
--- a/packages/oleandergap-node/src/gate/createRunWatch.ts
+++ b/packages/oleandergap-node/src/gate/createTargetRunObserver.ts
@@ -3,11 +3,11 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock } from "oleandergap-types";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
-import type { LocalTargetManager } from "../target/targetKeeper.js";
-import { createContainmentCheck } from "./carefulServe.js";
-import { createCrashDetector, createListenerProbe } from "./crashWatch.js";
+import type { LocalTargetManager } from "../target/localTargetManager.js";
+import { createContainmentCheck } from "./containmentGuard.js";
+import { createCrashDetector, createListenerProbe } from "./crashDetector.js";
 import { createLostRunLog } from "./lostRunLog.js";
-import { createRunObserver, type ObserveRun } from "./watchedRun.js";
+import { createRunObserver, type ObserveRun } from "./runObserver.js";
 
 /** Dependencies of the run observer. */
 export interface TargetRunObserverDependencies {
--- a/packages/oleandergap-node/src/gate/gateHandler.ts
+++ b/packages/oleandergap-node/src/gate/gateHandler.ts
@@ -17,7 +17,7 @@
     type RequestFailure,
     type ServiceReference,
 } from "oleandergap-types";
-import { toRequestResult, type RequestResult } from "../http/requestEnd.js";
+import { toRequestResult, type RequestResult } from "../http/requestResult.js";
 import { createCallerSignals } from "../http/callerSignal.js";
 import {
     CALLER_HEADER,
@@ -34,12 +34,12 @@
 import { isIdempotentMethod } from "../http/idempotentMethods.js";
 import { formatLoad } from "../http/loadHeader.js";
 import { describeFailure, HTTP_STATUS, statusOfFailure } from "../http/refusal.js";
-import { createCachedParser } from "../http/rememberedParser.js";
+import { createCachedParser } from "../http/cachedParser.js";
 import { receiveBody, toRequestFailure, type RequestBody } from "../http/requestBody.js";
 import { parseTimeout } from "../http/timeoutHeader.js";
-import { writeResponse, writeFailure } from "../http/writeAnswer.js";
+import { writeResponse, writeFailure } from "../http/writeResponse.js";
 import type { GateRequest, ServeAtGate } from "./gateRequest.js";
-import { startRequestHeartbeats } from "./signsOfLife.js";
+import { startRequestHeartbeats } from "./requestHeartbeats.js";
 
 export interface GateHandlerDependencies {
     readonly clock: Clock;
--- a/packages/oleandergap-node/src/gate/gateRequest.ts
+++ b/packages/oleandergap-node/src/gate/gateRequest.ts
@@ -1,7 +1,7 @@
 /** A request at the gate of the node that hosts its target, received over the network or from the local gateway. */
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Milliseconds, RequestFailure, ServiceReference } from "oleandergap-types";
-import type { UpstreamResponse } from "../http/answer.js";
+import type { UpstreamResponse } from "../http/upstreamResponse.js";
 import type { RequestBody } from "../http/requestBody.js";
 
 export interface GateRequest {
--- a/packages/oleandergap-node/src/gate/watchedRun.ts
+++ b/packages/oleandergap-node/src/gate/runObserver.ts
@@ -1,11 +1,11 @@
 /** Runs requests at the local target and reports successful, lost and crashed runs. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
-import { observeBody, type UpstreamResponse } from "../http/answer.js";
-import { FIRST_ERROR_STATUS } from "../http/requestEnd.js";
+import { observeBody, type UpstreamResponse } from "../http/upstreamResponse.js";
+import { FIRST_ERROR_STATUS } from "../http/requestResult.js";
 import { fingerprintRequest } from "../http/requestFingerprint.js";
-import type { LocalTarget } from "../target/targetKeeper.js";
-import type { CrashDetector, RunEnd, ObservedRun } from "./crashWatch.js";
+import type { LocalTarget } from "../target/localTargetManager.js";
+import type { CrashDetector, RunEnd, ObservedRun } from "./crashDetector.js";
 import type { GateRequest, ServeAtGate } from "./gateRequest.js";
 import type { LostRun } from "./lostRunLog.js";
 
--- a/packages/oleandergap-node/src/gate/serveAtGate.ts
+++ b/packages/oleandergap-node/src/gate/serveAtGate.ts
@@ -4,16 +4,16 @@
 import type { Admission, ReleaseOutcome } from "oleandergap-gate";
 import type { ClaimKeeper } from "oleandergap-idempotency";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
-import { discardBody, observeBody, type UpstreamResponse } from "../http/answer.js";
+import { discardBody, observeBody, type UpstreamResponse } from "../http/upstreamResponse.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import type { TargetDialect, TargetRequest } from "../http/dialect.js";
-import { FIRST_ERROR_STATUS } from "../http/requestEnd.js";
-import { sendMonitored } from "../http/watchedExchange.js";
-import type { LocalTarget } from "../target/targetKeeper.js";
+import { FIRST_ERROR_STATUS } from "../http/requestResult.js";
+import { sendMonitored } from "../http/monitoredExchange.js";
+import type { LocalTarget } from "../target/localTargetManager.js";
 import { createClaimedRun } from "./claimedRun.js";
 import type { GateRequest, ServeAtGate } from "./gateRequest.js";
 import { createLatencyMeter } from "./latencyMeter.js";
-import type { ObserveRun } from "./watchedRun.js";
+import type { ObserveRun } from "./runObserver.js";
 
 export interface ServeAtGateDependencies {
     readonly clock: Clock;
--- a/packages/oleandergap-node/src/gateway/callerRequest.ts
+++ b/packages/oleandergap-node/src/gateway/callerRequest.ts
@@ -16,8 +16,8 @@
 import type { CallerDialect } from "../http/dialect.js";
 import { countHeader, selectRequestHeaders } from "../http/headers.js";
 import { isIdempotentMethod } from "../http/idempotentMethods.js";
-import { createCachedParser } from "../http/rememberedParser.js";
-import type { EstimateElapsedWait } from "./callerPatience.js";
+import { createCachedParser } from "../http/cachedParser.js";
+import type { EstimateElapsedWait } from "./elapsedWaitEstimator.js";
 import { findRoute, type ChooseService } from "./routeTable.js";
 
 /** A caller's request without its body, together with the version of the table that it is served by. */
--- a/packages/oleandergap-node/src/gateway/gatewayHandler.ts
+++ b/packages/oleandergap-node/src/gateway/gatewayHandler.ts
@@ -16,20 +16,20 @@
     Verdict,
 } from "oleandergap-types";
 import type { AdmissionRefusal } from "../admin/readiness.js";
-import { discardBody } from "../http/answer.js";
+import { discardBody } from "../http/upstreamResponse.js";
 import type { CallerSignals } from "../http/callerSignal.js";
 import type { CallerDialect } from "../http/dialect.js";
 import type { RequestArrival } from "../http/listener.js";
 import { HTTP_STATUS } from "../http/refusal.js";
 import { isReplayable, receiveBody, toRequestFailure, type RequestBody } from "../http/requestBody.js";
-import type { RequestResult } from "../http/requestEnd.js";
-import { writeResponse, writeFailure } from "../http/writeAnswer.js";
-import type { EstimateElapsedWait } from "./callerPatience.js";
+import type { RequestResult } from "../http/requestResult.js";
+import { writeResponse, writeFailure } from "../http/writeResponse.js";
+import type { EstimateElapsedWait } from "./elapsedWaitEstimator.js";
 import { readCallerRequest, type CallerRequest } from "./callerRequest.js";
 import type { FindOwnerRouter } from "./ownerRouting.js";
 import type { LogFailedRequest } from "./requestLog.js";
 import type { ChooseService } from "./routeTable.js";
-import { sendWithContainment, type CreateRequestContainment } from "./requestCare.js";
+import { sendWithContainment, type CreateRequestContainment } from "./requestContainment.js";
 import type { FindTargets } from "./targetLookup.js";
 import type { SendToGate } from "./sendToGate.js";
 
--- a/packages/oleandergap-node/src/gateway/requestCare.ts
+++ b/packages/oleandergap-node/src/gateway/requestContainment.ts
@@ -8,10 +8,10 @@
 import type { Attempt, AttemptContext } from "oleandergap-routing";
 import type { RequestFailure } from "oleandergap-types";
 import { rankByRendezvous } from "oleandergap-utils";
-import { createContainedRefusal } from "../gate/carefulServe.js";
-import { observeBody, type UpstreamResponse } from "../http/answer.js";
+import { createContainedRefusal } from "../gate/containmentGuard.js";
+import { observeBody, type UpstreamResponse } from "../http/upstreamResponse.js";
 import type { RequestBody } from "../http/requestBody.js";
-import { FIRST_ERROR_STATUS } from "../http/requestEnd.js";
+import { FIRST_ERROR_STATUS } from "../http/requestResult.js";
 import { fingerprintRequest, type FingerprintedRequest } from "../http/requestFingerprint.js";
 import type { GateOutcome } from "./sendToGate.js";
 
--- a/packages/oleandergap-node/src/gateway/sendToGate.ts
+++ b/packages/oleandergap-node/src/gateway/sendToGate.ts
@@ -21,7 +21,7 @@
     type ServiceReference,
 } from "oleandergap-types";
 import type { ServeAtGate } from "../gate/gateRequest.js";
-import { discardBody, observeBody, readResponseHeader, type UpstreamResponse } from "../http/answer.js";
+import { discardBody, observeBody, readResponseHeader, type UpstreamResponse } from "../http/upstreamResponse.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import {
     CALLER_HEADER,
@@ -35,7 +35,7 @@
 import { parseLoad } from "../http/loadHeader.js";
 import { readFailure } from "../http/refusal.js";
 import type { RequestBody } from "../http/requestBody.js";
-import { sendMonitored, type PendingAttempt, type Silence } from "../http/watchedExchange.js";
+import { sendMonitored, type PendingAttempt, type Silence } from "../http/monitoredExchange.js";
 import type { CallerRequest } from "./callerRequest.js";
 import type { LogSilentGate } from "./silenceLog.js";
 
--- a/packages/oleandergap-node/src/gateway/silenceLog.ts
+++ b/packages/oleandergap-node/src/gateway/silenceLog.ts
@@ -6,7 +6,7 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock, NodeId } from "oleandergap-types";
 import { createTokenBucket } from "oleandergap-utils";
-import type { Silence } from "../http/watchedExchange.js";
+import type { Silence } from "../http/monitoredExchange.js";
 
 /** A silence of a gate during one attempt. */
 export interface SilentGate extends Silence {
--- a/packages/oleandergap-node/src/http/dialect.ts
+++ b/packages/oleandergap-node/src/http/dialect.ts
@@ -18,7 +18,7 @@
     type ServiceReference,
     type Verdict,
 } from "oleandergap-types";
-import type { ResponseHeaders } from "./answer.js";
+import type { ResponseHeaders } from "./upstreamResponse.js";
 import { readRequestHeader } from "./headers.js";
 import { describeFailure, readTargetRefusal, type FailureResponse, type FailureContext } from "./refusal.js";
 import { parseTimeout } from "./timeoutHeader.js";
--- a/packages/oleandergap-node/src/http/exchange.ts
+++ b/packages/oleandergap-node/src/http/exchange.ts
@@ -10,7 +10,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import type { RequestFailure } from "oleandergap-types";
 import type { Dispatcher } from "undici";
-import { readResponseHeader, type UpstreamResponse, type ResponseHeaders } from "./answer.js";
+import { readResponseHeader, type UpstreamResponse, type ResponseHeaders } from "./upstreamResponse.js";
 import { createReceivedBody, type ReceivedBody } from "./receivedBody.js";
 import { createBodyFeed } from "./bodyFeed.js";
 import type { RequestBody } from "./requestBody.js";
--- a/packages/oleandergap-node/src/http/headers.ts
+++ b/packages/oleandergap-node/src/http/headers.ts
@@ -1,6 +1,6 @@
 /** Selects the headers that are forwarded, as opposed to headers of a single hop or of this system. */
 import type { IncomingMessage } from "node:http";
-import type { ResponseHeaders } from "./answer.js";
+import type { ResponseHeaders } from "./upstreamResponse.js";
 
 /** Hop-by-hop headers (RFC 9110, section 7.6.1); undici and Node.js write their own. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
--- a/packages/oleandergap-node/src/http/watchedExchange.ts
+++ b/packages/oleandergap-node/src/http/monitoredExchange.ts
@@ -16,9 +16,9 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import type { Dispatcher } from "undici";
-import { discardBody, type UpstreamResponse } from "./answer.js";
+import { discardBody, type UpstreamResponse } from "./upstreamResponse.js";
 import { startExchange, type Exchange } from "./exchange.js";
-import { startProgressMonitor, type ProgressMonitor } from "./progressWatch.js";
+import { startProgressMonitor, type ProgressMonitor } from "./progressMonitor.js";
 import { isReplayable, type RequestBody } from "./requestBody.js";
 
 export interface MonitoredRequest {
--- a/packages/oleandergap-node/src/http/receivedBody.ts
+++ b/packages/oleandergap-node/src/http/receivedBody.ts
@@ -3,7 +3,7 @@
  * to a limit. Then the connection is paused, so that memory use is bounded regardless of the size of the response.
  */
 import type { RequestFailure } from "oleandergap-types";
-import type { ResponseBody, ResponseSink } from "./answer.js";
+import type { ResponseBody, ResponseSink } from "./upstreamResponse.js";
 
 /** Number of buffered bytes at which the connection is paused. */
 const MAX_BUFFERED_BYTES = 64 * 1024;
--- a/packages/oleandergap-node/src/http/refusal.ts
+++ b/packages/oleandergap-node/src/http/refusal.ts
@@ -11,7 +11,7 @@
     type RefusalReason,
     type RequestFailure,
 } from "oleandergap-types";
-import { readResponseHeader, type ResponseHeaders } from "./answer.js";
+import { readResponseHeader, type ResponseHeaders } from "./upstreamResponse.js";
 import { CRASH_HEADER } from "./headers.js";
 
 const MILLISECONDS_PER_SECOND = 1000;
--- a/packages/oleandergap-node/src/http/requestEnd.ts
+++ b/packages/oleandergap-node/src/http/requestResult.ts
@@ -2,7 +2,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { RequestFailure } from "oleandergap-types";
-import type { UpstreamResponse } from "./answer.js";
+import type { UpstreamResponse } from "./upstreamResponse.js";
 
 export type RequestResult =
     | { readonly kind: "Answered"; readonly statusCode: number }
--- a/packages/oleandergap-node/src/http/writeAnswer.ts
+++ b/packages/oleandergap-node/src/http/writeResponse.ts
@@ -1,7 +1,7 @@
 /** Writes responses to the sender of a request, either completely or visibly cut off. */
 import type { ServerResponse } from "node:http";
 import { selectResponseHeaders } from "./headers.js";
-import type { UpstreamResponse } from "./answer.js";
+import type { UpstreamResponse } from "./upstreamResponse.js";
 import type { FailureResponse } from "./refusal.js";
 
 /**
--- a/packages/oleandergap-node/src/target/ownService.ts
+++ b/packages/oleandergap-node/src/target/localService.ts
@@ -3,7 +3,7 @@
 import { listOwners } from "../gateway/ownerRouting.js";
 import { listServingZones } from "../gateway/targetLookup.js";
 import type { RequestPath, RequestPathDependencies } from "../requestPathTypes.js";
-import type { LocalTargetManager } from "./targetKeeper.js";
+import type { LocalTargetManager } from "./localTargetManager.js";
 
 /** Returns the table's row of a service; undefined if the table has no such row. */
 export const findServiceRow = (view: TableView, { partner, service }: ServiceReference): ServiceRow | undefined =>
--- a/packages/oleandergap-node/src/target/targetKeeper.ts
+++ b/packages/oleandergap-node/src/target/localTargetManager.ts
@@ -15,7 +15,7 @@
     Milliseconds,
     ServiceReference,
 } from "oleandergap-types";
-import { createHeartbeatTimer } from "./expiry.js";
+import { createHeartbeatTimer } from "./heartbeatTimer.js";
 import { createLifetimes } from "./lifetimes.js";
 
 /** The target together with the gate in front of it. */
--- a/packages/oleandergap-routing/src/attemptHistory.ts
+++ b/packages/oleandergap-routing/src/attemptHistory.ts
@@ -1,6 +1,6 @@
 /** Collects the attempts of one request and combines their failures. */
 import type { Milliseconds, NodeId, RequestFailure, ZoneName } from "oleandergap-types";
-import { isCapacityRefusal } from "./learnOutcome.js";
+import { isCapacityRefusal } from "./recordOutcome.js";
 import type { RoutedFailure } from "./requestExecution.js";
 import type { RoutableTarget } from "./target.js";
 
--- a/packages/oleandergap-routing/src/attemptProgress.ts
+++ b/packages/oleandergap-routing/src/attemptProgress.ts
@@ -1,7 +1,7 @@
 /** Records events of an attempt before it ends, so that other requests can react to the state of its target at once. */
 import type { Clock } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { recordBodyEnd } from "./learnOutcome.js";
+import { recordBodyEnd } from "./recordOutcome.js";
 import type { PickerOptions } from "./options.js";
 import type { AttemptProgress, RoutableTarget } from "./target.js";
 import type { TargetState } from "./targetState.js";
--- a/packages/oleandergap-routing/src/nearTarget.ts
+++ b/packages/oleandergap-routing/src/localityPreference.ts
@@ -8,7 +8,7 @@
  */
 import type { NodeId, ZoneName } from "oleandergap-types";
 import { rankByRendezvous } from "oleandergap-utils";
-import { sampleTarget, type SampleContext } from "./drawTarget.js";
+import { sampleTarget, type SampleContext } from "./sampleTarget.js";
 import type { PickerOptions } from "./options.js";
 import type { RoutableTarget } from "./target.js";
 import { scoreTarget, type TargetState } from "./targetState.js";
--- a/packages/oleandergap-routing/src/measure/naiveService.ts
+++ b/packages/oleandergap-routing/src/measure/naiveService.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { LoadPlan } from "./loadPlan.js";
-import type { SendRequest } from "./ourService.js";
+import type { SendRequest } from "./routedService.js";
 import type { TargetModel } from "./targetModel.js";
 
 const MAXIMUM_RETRIES = 3;
--- a/packages/oleandergap-routing/src/measure/runLoad.ts
+++ b/packages/oleandergap-routing/src/measure/runLoad.ts
@@ -2,7 +2,7 @@
 import { createSeededRandom, type Random } from "oleandergap-utils";
 import type { LoadFigures, LoadPlan, RequestResult } from "./loadPlan.js";
 import { createNaiveService } from "./naiveService.js";
-import { createRoutedService, type SendRequest, type SentRequest } from "./ourService.js";
+import { createRoutedService, type SendRequest, type SentRequest } from "./routedService.js";
 import { createTargetModel, type TargetModel } from "./targetModel.js";
 import { createVirtualClock, type VirtualClock } from "./virtualClock.js";
 
--- a/packages/oleandergap-routing/src/overloadThrottle.ts
+++ b/packages/oleandergap-routing/src/overloadThrottle.ts
@@ -13,7 +13,7 @@
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { createDecayingCounters } from "./fadingCounts.js";
+import { createDecayingCounters } from "./decayingCounters.js";
 
 /**
  * Number of requests sent for each accepted one. While half of the requests are accepted, none are refused here. Once
--- a/packages/oleandergap-routing/src/requestRouter.ts
+++ b/packages/oleandergap-routing/src/requestRouter.ts
@@ -19,7 +19,7 @@
     RoutedFailure,
 } from "./requestExecution.js";
 import type { OverloadThrottle } from "./overloadThrottle.js";
-import { isShedByTarget, createRefusal, withStarvationThrottle, withOverloadThrottle } from "./refuseBeforeSending.js";
+import { isShedByTarget, createRefusal, withStarvationThrottle, withOverloadThrottle } from "./requestThrottling.js";
 import type { StarvationThrottle } from "./starvationThrottle.js";
 import { createRetryBudget, type RetryBudget } from "./retryBudget.js";
 import { tryAcquireRetry } from "./retryDecision.js";
--- a/packages/oleandergap-routing/src/refuseBeforeSending.ts
+++ b/packages/oleandergap-routing/src/requestThrottling.ts
@@ -6,7 +6,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import { formatServiceReference, type Clock, type Milliseconds, type RequestFailure } from "oleandergap-types";
 import { createAttemptHistory } from "./attemptHistory.js";
-import { isCapacityRefusal } from "./learnOutcome.js";
+import { isCapacityRefusal } from "./recordOutcome.js";
 import type { OverloadThrottle } from "./overloadThrottle.js";
 import { toPickRequest } from "./pickRequest.js";
 import type { RequestExecution, RequestRouter, RoutedFailure } from "./requestExecution.js";
--- a/packages/oleandergap-routing/src/retryDecision.ts
+++ b/packages/oleandergap-routing/src/retryDecision.ts
@@ -1,6 +1,6 @@
 /** Decides whether a failed attempt may be retried. */
 import type { RefusalReason, RequestFailure } from "oleandergap-types";
-import { isCapacityRefusal } from "./learnOutcome.js";
+import { isCapacityRefusal } from "./recordOutcome.js";
 import type { RetryBudget, RetryCost } from "./retryBudget.js";
 
 /**
--- a/packages/oleandergap-routing/src/serviceState.ts
+++ b/packages/oleandergap-routing/src/serviceState.ts
@@ -1,7 +1,7 @@
 /** State that one node keeps about one service. It is rebuilt when the service's row or targets change. */
 import type { Clock, NodeId, ServiceRow, ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { listLocalTargets, type LocalityPreference } from "./nearTarget.js";
+import { listLocalTargets, type LocalityPreference } from "./localityPreference.js";
 import type { CallerSpread } from "./options.js";
 import type { RoutableTarget } from "./target.js";
 import { createTargetState, updateTarget, type TargetState } from "./targetState.js";
--- a/packages/oleandergap-routing/src/starvationThrottle.ts
+++ b/packages/oleandergap-routing/src/starvationThrottle.ts
@@ -10,7 +10,7 @@
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { createDecayingCounters } from "./fadingCounts.js";
+import { createDecayingCounters } from "./decayingCounters.js";
 
 /**
  * Multiple of the share of successful runs that is sent. A request that succeeds in one of three cases justifies the
--- a/packages/oleandergap-routing/src/targetPicker.ts
+++ b/packages/oleandergap-routing/src/targetPicker.ts
@@ -4,9 +4,9 @@
 import { formatServiceReference, type Clock, type Milliseconds, type NodeId, type ZoneName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import { createAttemptProgress, type TargetChoice } from "./attemptProgress.js";
-import type { SampleContext } from "./drawTarget.js";
-import { recordOutcome } from "./learnOutcome.js";
-import { chooseTarget, createLocalityPreference } from "./nearTarget.js";
+import type { SampleContext } from "./sampleTarget.js";
+import { recordOutcome } from "./recordOutcome.js";
+import { chooseTarget, createLocalityPreference } from "./localityPreference.js";
 import { defaultRoutingOptions, type PickerOptions } from "./options.js";
 import { createServiceState, refreshService, type ServiceState } from "./serviceState.js";
 import type { PickRequest, RoutableTarget, TargetPick, TargetPicker, ZoneSummary } from "./target.js";
