--- a/packages/oleandergap-standins/src/caller/__tests__/caller.test.ts
+++ b/packages/oleandergap-standins/src/caller/__tests__/caller.test.ts
@@ -36,23 +36,23 @@
         await target.crash();
     });
 
-    it("accepts the whole answer to its own request", async () => {
+    it("accepts the complete response to its own request", async () => {
         const result = await caller.call(target, createRequest("wills-desk"));
         expect(result).to.include({ kind: "Answered", target: "t1" });
     });
 
-    it("finds an answer that belongs to another request", async () => {
+    it("detects a response that belongs to another request", async () => {
         const result = await caller.call(target, createRequest("deed-vault"));
         expect(result).to.include({ kind: "Wrong", detail: "service: expected deed-vault, found wills-desk" });
     });
 
-    it("takes an answer that breaks off for a failure, never for an answer", async () => {
+    it("reports a truncated response as a failure, never as an answer", async () => {
         target.setFaults({ cutAnswerShare: 1 });
         const result = await caller.call(target, createRequest("wills-desk"));
         expect(result).to.include({ kind: "Failed", verdict: "mayHaveRun" });
     });
 
-    it("knows that a request without a connection did not run", async () => {
+    it("reports that a request did not run if the connection was refused", async () => {
         await target.crash();
         const result = await caller.call(target, createRequest("wills-desk"));
         expect(result).to.include({ kind: "Failed", verdict: "notRun" });
@@ -60,26 +60,26 @@
 });
 
 describe("createLatencyRecorder", () => {
-    it("agrees with a count of the values below", () => {
+    it("computes percentiles that match the number of values below them", () => {
         fc.assert(fc.property(fc.array(fc.double({ min: 0, max: 1e6, noNaN: true }), { minLength: 1 }), (values) => {
             const recorder = createLatencyRecorder();
             values.forEach(recorder.record);
             const { p99Ms, maxMs } = recorder.summarise();
-            const covered = values.filter((value) => value <= p99Ms).length;
-            const belowIt = values.filter((value) => value < p99Ms).length;
-            expect(covered).to.be.at.least(values.length * 0.99);
-            expect(belowIt).to.be.below(values.length * 0.99);
+            const valuesUpTo = values.filter((value) => value <= p99Ms).length;
+            const valuesBelow = values.filter((value) => value < p99Ms).length;
+            expect(valuesUpTo).to.be.at.least(values.length * 0.99);
+            expect(valuesBelow).to.be.below(values.length * 0.99);
             expect(maxMs).to.equal(Math.max(...values));
         }));
     });
 });
 
 describe("runLoad", () => {
-    it("keeps its rate although nothing is answered, and tells what it could not send", async () => {
+    it("keeps its rate without any response, and reports the requests that it could not send", async () => {
         const clock = createManualClock();
-        const answers: ((result: CallResult) => void)[] = [];
+        const resolvers: ((result: CallResult) => void)[] = [];
         const caller: Caller = {
-            call: () => new Promise((resolve) => answers.push(resolve)),
+            call: () => new Promise((resolve) => resolvers.push(resolve)),
             close: () => Promise.resolve(),
         };
         const run = runLoad({
@@ -88,12 +88,12 @@
             random: createSeededRandom(7),
             ratePerSecond: 100,
             durationMs: 1000,
-            maxOpen: 60,
+            maxInFlight: 60,
             gateways: () => [{ address: "127.0.0.1", port: 1 }],
             createRequest: () => createRequest("wills-desk"),
         });
         await clock.advance(2000);
-        answers.forEach((answer) => answer({ kind: "Failed", runKey: "k1", latencyMs: 1, verdict: "notRun", detail: "x" }));
+        resolvers.forEach((resolve) => resolve({ kind: "Failed", runKey: "k1", latencyMs: 1, verdict: "notRun", detail: "x" }));
         const report = await run;
 
         expect(report).to.include({ sent: 60, failed: 60 });
--- a/packages/oleandergap-standins/src/caller/callResult.ts
+++ b/packages/oleandergap-standins/src/caller/callResult.ts
@@ -1,54 +1,57 @@
-/** What a caller asks and what it gets. */
+/** Requests of a caller and their results. */
 import type { Milliseconds, ServiceReference, Verdict } from "oleandergap-types";
 
-/** Where callers send requests: the gateway port of any node. */
+/** Address to which callers send requests: the gateway port of any node. */
 export interface GatewayAddress {
     readonly address: string;
     readonly port: number;
 }
 
-/** One request, and all that is needed to check its answer. */
+/** One request, with everything that is needed to check its response. */
 export interface CallRequest {
     readonly service: ServiceReference;
     readonly method: "GET" | "POST" | "PUT" | "DELETE" | "PATCH";
     readonly path: string;
-    /** Names the request in the targets' run logs. */
+    /** Key of the request in the run logs of the targets. */
     readonly runKey: string;
     readonly idempotencyKey?: string;
     readonly body?: Uint8Array;
     readonly timeoutMs: Milliseconds;
-    /** Characters by which the target pads its answer. */
+    /** Number of characters by which the target pads its response. */
     readonly answerPadding?: number;
 }
 
-interface ResultFacts {
+interface ResultBase {
     readonly runKey: string;
     readonly latencyMs: Milliseconds;
 }
 
-/** What one request came to, as its caller sees it. */
+/** Result of one request, as its caller observes it. */
 export type CallResult =
-    /** The whole answer to this very request. */
-    | ResultFacts & {
+    /** The caller received the complete response to this request. */
+    | ResultBase & {
         readonly kind: "Answered";
         readonly target: string;
-        /** Table version that routed the request, as `partner:sequence`. */
+        /** Table version by which the request was routed, as `partner:sequence`. */
         readonly version: string | undefined;
     }
-    /** An answer that says that the request was given up or failed. */
-    | ResultFacts & {
+    /** The caller received a response that reports that the request was rejected or failed. */
+    | ResultBase & {
         readonly kind: "Refused";
         readonly status: number;
         readonly verdict: Verdict | undefined;
         readonly reason: string | undefined;
         readonly retryAfterMs: Milliseconds | undefined;
     }
-    /** No answer, or one that broke off. */
-    | ResultFacts & {
+    /** The caller received no response, or an incomplete one. */
+    | ResultBase & {
         readonly kind: "Failed";
-        /** As far as the caller itself can tell. */
+        /** Verdict that the caller derives from the error alone. */
         readonly verdict: Verdict;
         readonly detail: string;
     }
-    /** An answer that is not this request's, or not whole though it ended cleanly. Must never happen. */
-    | ResultFacts & { readonly kind: "Wrong"; readonly detail: string };
+    /**
+     * The caller received the response to another request, or an incomplete response that ended cleanly. This must
+     * never happen.
+     */
+    | ResultBase & { readonly kind: "Wrong"; readonly detail: string };
--- a/packages/oleandergap-standins/src/caller/caller.ts
+++ b/packages/oleandergap-standins/src/caller/caller.ts
@@ -1,4 +1,4 @@
-/** A caller that sends single requests to gateways and judges what comes back. It never sends a request twice. */
+/** Sends single requests to gateways and classifies the responses. Never retries a request. */
 import { Agent, request as sendRequest } from "undici";
 import {
     IDEMPOTENCY_KEY_HEADER,
@@ -17,20 +17,23 @@
 import { createSystemClock } from "oleandergap-utils";
 import { ANSWER_PADDING_HEADER, RUN_KEY_HEADER } from "../target/requestFacts.js";
 import type { CallRequest, CallResult, GatewayAddress } from "./callResult.js";
-import { checkAnswer } from "./checkAnswer.js";
+import { checkResponse } from "./checkAnswer.js";
 
-/** Holds connections to gateways over many requests. */
+/** Client of the gateways that reuses its connections for many requests. */
 export interface Caller {
-    /** Sends once; never rejects. */
+    /** Sends the request once. Never rejects. */
     readonly call: (gateway: GatewayAddress, request: CallRequest) => Promise<CallResult>;
     readonly close: () => Promise<void>;
 }
 
-type Answer = Awaited<ReturnType<typeof sendRequest>>;
+type GatewayResponse = Awaited<ReturnType<typeof sendRequest>>;
 
 const FIRST_REFUSAL_STATUS = 300;
-/** The caller hangs up this long after the time that it told: the refusal of an expired request must reach it. */
-const GRACE_MS = 1000;
+/**
+ * Time after the request's timeout at which the caller aborts, so that it still receives the refusal of an expired
+ * request.
+ */
+const RESPONSE_GRACE_MS = 1000;
 const CONNECT_ERRORS: ReadonlySet<string> = new Set(["ECONNREFUSED", "EHOSTUNREACH", "UND_ERR_CONNECT_TIMEOUT"]);
 
 const formatHeaders = (request: CallRequest): Record<string, string> => ({
@@ -41,21 +44,21 @@
     ...(request.answerPadding === undefined ? {} : { [ANSWER_PADDING_HEADER]: String(request.answerPadding) }),
 });
 
-const readHeader = (answer: Answer, name: string): string | undefined => {
-    const value = answer.headers[name];
+const readHeader = (response: GatewayResponse, name: string): string | undefined => {
+    const value = response.headers[name];
     return Array.isArray(value) ? value[0] : value;
 };
 
-const readRetryAfter = (answer: Answer): Milliseconds | undefined => {
-    const exact = readHeader(answer, RETRY_AFTER_MS_HEADER);
-    if (exact !== undefined) {
-        return Number(exact);
+const readRetryAfter = (response: GatewayResponse): Milliseconds | undefined => {
+    const milliseconds = readHeader(response, RETRY_AFTER_MS_HEADER);
+    if (milliseconds !== undefined) {
+        return Number(milliseconds);
     }
-    const seconds = readHeader(answer, RETRY_AFTER_HEADER);
+    const seconds = readHeader(response, RETRY_AFTER_HEADER);
     return seconds === undefined ? undefined : Number(seconds) * MILLISECONDS_PER_SECOND;
 };
 
-const judgeFailure = (error: unknown): { readonly verdict: Verdict; readonly detail: string } => {
+const classifyFailure = (error: unknown): { readonly verdict: Verdict; readonly detail: string } => {
     if (!(error instanceof Error)) {
         return { verdict: "mayHaveRun", detail: String(error) };
     }
@@ -64,49 +67,54 @@
     return { verdict: CONNECT_ERRORS.has(name) ? "notRun" : "mayHaveRun", detail: `${name}: ${error.message}` };
 };
 
-const judgeAnswer = (request: CallRequest, answer: Answer, text: string, latencyMs: Milliseconds): CallResult => {
+const classifyResponse = (
+    request: CallRequest,
+    response: GatewayResponse,
+    text: string,
+    latencyMs: Milliseconds,
+): CallResult => {
     const { runKey } = request;
-    if (answer.statusCode >= FIRST_REFUSAL_STATUS) {
+    if (response.statusCode >= FIRST_REFUSAL_STATUS) {
         return {
             kind: "Refused",
             runKey,
             latencyMs,
-            status: answer.statusCode,
-            verdict: verdictSchema.safeParse(readHeader(answer, VERDICT_HEADER)).data,
-            reason: readHeader(answer, REASON_HEADER),
-            retryAfterMs: readRetryAfter(answer),
+            status: response.statusCode,
+            verdict: verdictSchema.safeParse(readHeader(response, VERDICT_HEADER)).data,
+            reason: readHeader(response, REASON_HEADER),
+            retryAfterMs: readRetryAfter(response),
         };
     }
-    const checked = checkAnswer(request, text);
+    const checked = checkResponse(request, text);
     if (checked.kind === "Wrong") {
         return { kind: "Wrong", runKey, latencyMs, detail: checked.detail };
     }
-    const version = readHeader(answer, VERSION_HEADER);
+    const version = readHeader(response, VERSION_HEADER);
     return { kind: "Answered", runKey, latencyMs, target: checked.echo.target, version };
 };
 
-/** Creates a caller without open connections; `close` resets what it opened. */
+/** Creates a caller without open connections. `close` resets the connections that the caller opened. */
 export const createCaller = (clock: Clock = createSystemClock()): Caller => {
     const agent = new Agent({ pipelining: 1, keepAliveTimeout: 4000, headersTimeout: 0, bodyTimeout: 0 });
 
     const call = async (gateway: GatewayAddress, request: CallRequest): Promise<CallResult> => {
         const startedAt = clock.monotonic();
-        const hangUp = new AbortController();
-        const cancelTimer = clock.after(request.timeoutMs + GRACE_MS, () => hangUp.abort());
+        const timeoutController = new AbortController();
+        const cancelTimer = clock.after(request.timeoutMs + RESPONSE_GRACE_MS, () => timeoutController.abort());
         try {
-            const answer = await sendRequest(`http://${gateway.address}:${gateway.port}${request.path}`, {
+            const response = await sendRequest(`http://${gateway.address}:${gateway.port}${request.path}`, {
                 method: request.method,
                 headers: formatHeaders(request),
                 dispatcher: agent,
-                signal: hangUp.signal,
+                signal: timeoutController.signal,
                 ...(request.body === undefined ? {} : { body: request.body }),
             });
-            const text = await answer.body.text();
-            return judgeAnswer(request, answer, text, clock.monotonic() - startedAt);
+            const text = await response.body.text();
+            return classifyResponse(request, response, text, clock.monotonic() - startedAt);
         }
         catch (error) {
             const latencyMs = clock.monotonic() - startedAt;
-            return { kind: "Failed", runKey: request.runKey, latencyMs, ...judgeFailure(error) };
+            return { kind: "Failed", runKey: request.runKey, latencyMs, ...classifyFailure(error) };
         }
         finally {
             cancelTimer();
--- a/packages/oleandergap-standins/src/caller/checkAnswer.ts
+++ b/packages/oleandergap-standins/src/caller/checkAnswer.ts
@@ -1,10 +1,10 @@
-/** Checks that an answer is the whole answer to its own request. */
+/** Checks that a response is complete and belongs to its request. */
 import { createHash } from "node:crypto";
 import { echoSchema, type Echo } from "../target/echo.js";
 import type { CallRequest } from "./callResult.js";
 
-/** An answer of the request's own, or what is wrong with it. */
-export type CheckedAnswer =
+/** Result of the check: the decoded response, or the reason why it is wrong. */
+export type ResponseCheck =
     | { readonly kind: "Own"; readonly echo: Echo }
     | { readonly kind: "Wrong"; readonly detail: string };
 
@@ -18,7 +18,7 @@
     readonly found: string | number | undefined;
 }
 
-const compare = (request: CallRequest, echo: Echo): readonly Comparison[] => [
+const compareFields = (request: CallRequest, echo: Echo): readonly Comparison[] => [
     { name: "run key", expected: request.runKey, found: echo.runKey },
     { name: "partner", expected: request.service.partner, found: echo.partner },
     { name: "service", expected: request.service.service, found: echo.service },
@@ -37,13 +37,13 @@
     }
 };
 
-/** Compares the body `text` of an answer with the request that it should answer. */
-export const checkAnswer = (request: CallRequest, text: string): CheckedAnswer => {
+/** Compares the response body `text` with the request to which it should belong. */
+export const checkResponse = (request: CallRequest, text: string): ResponseCheck => {
     const echo = parseEcho(text);
     if (echo === undefined) {
-        return { kind: "Wrong", detail: `not a whole answer of a target: ${text.length} characters` };
+        return { kind: "Wrong", detail: `not a complete response of a target: ${text.length} characters` };
     }
-    const difference = compare(request, echo).find(({ expected, found }) => expected !== found);
+    const difference = compareFields(request, echo).find(({ expected, found }) => expected !== found);
     return difference === undefined ?
         { kind: "Own", echo } :
         {
--- a/packages/oleandergap-standins/src/caller/latencyRecorder.ts
+++ b/packages/oleandergap-standins/src/caller/latencyRecorder.ts
@@ -1,7 +1,7 @@
-/** Keeps every latency of a run; runs are short enough for exact percentiles. */
+/** Stores every latency of a run. Runs are short enough to compute exact percentiles. */
 import type { Milliseconds } from "oleandergap-types";
 
-/** Exact figures over all recorded latencies; all 0 when there are none. */
+/** Exact statistics of all recorded latencies. All fields are 0 if no latency was recorded. */
 export interface LatencySummary {
     readonly count: number;
     readonly p50Ms: Milliseconds;
@@ -10,20 +10,20 @@
     readonly meanMs: Milliseconds;
 }
 
-/** Collects latencies and sums them up at the end. */
+/** Records latencies and summarises them at the end of a run. */
 export interface LatencyRecorder {
     readonly record: (latency: Milliseconds) => void;
     readonly summarise: () => LatencySummary;
 }
 
-/** The smallest value that at least `share` of the sorted values don't exceed; 0 when there is none. */
+/** Returns the smallest value that at least `share` of the sorted values do not exceed, or 0 for an empty array. */
 const percentile = (sorted: readonly Milliseconds[], share: number): Milliseconds =>
     sorted[Math.max(0, Math.ceil(share * sorted.length) - 1)] ?? 0;
 
 const mean = (values: readonly Milliseconds[]): Milliseconds =>
     values.length === 0 ? 0 : values.reduce((sum, value) => sum + value, 0) / values.length;
 
-/** Creates a recorder without any value. */
+/** Creates a recorder without latencies. */
 export const createLatencyRecorder = (): LatencyRecorder => {
     const latencies: Milliseconds[] = [];
     return {
--- a/packages/oleandergap-standins/src/caller/loadReport.ts
+++ b/packages/oleandergap-standins/src/caller/loadReport.ts
@@ -1,36 +1,39 @@
-/** Adds up the results of a load run. */
+/** Aggregates the results of a load run. */
 import type { Milliseconds } from "oleandergap-types";
 import type { CallResult } from "./callResult.js";
 import { createLatencyRecorder, type LatencySummary } from "./latencyRecorder.js";
 
-/** Most results of one unwanted kind that are kept as examples. */
+/** Maximum number of wrong results that are kept as examples. */
 const MAX_EXAMPLES = 5;
 
-/** What came of a run of load. */
+/** Summary of a load run. */
 export interface LoadReport {
-    /** Time over which requests arrived. */
+    /** Time during which requests arrived. */
     readonly durationMs: Milliseconds;
     readonly sent: number;
-    /** Arrivals that were not sent because too many requests were open; a run with any is not an open loop. */
+    /**
+     * Arrivals that were not sent because too many requests were in flight. A run with such arrivals is not an open
+     * loop.
+     */
     readonly notSent: number;
     readonly answered: number;
     readonly refused: number;
     readonly failed: number;
     readonly wrong: number;
-    /** Latency of the answered. */
+    /** Latency of the answered requests. */
     readonly answers: LatencySummary;
-    /** Latency of the refused. */
+    /** Latency of the refused requests. */
     readonly refusals: LatencySummary;
-    /** Refusals by their reason, or by their status when they told none. */
+    /** Number of refusals by reason, or by status for refusals without a reason. */
     readonly refusedByReason: Readonly<Record<string, number>>;
     readonly failedByDetail: Readonly<Record<string, number>>;
     readonly answeredByTarget: Readonly<Record<string, number>>;
     readonly wrongExamples: readonly string[];
 }
 
-/** Collects results while a run goes on. */
+/** Collects results during a run. */
 export interface ReportBuilder {
-    readonly add: (result: CallResult) => void;
+    readonly add: (callResult: CallResult) => void;
     readonly addNotSent: () => void;
     readonly build: (durationMs: Milliseconds) => LoadReport;
 }
@@ -39,10 +42,10 @@
     counts.set(name, (counts.get(name) ?? 0) + 1);
 };
 
-const sum = (counts: ReadonlyMap<string, number>): number =>
+const sumCounts = (counts: ReadonlyMap<string, number>): number =>
     [...counts.values()].reduce((total, count) => total + count, 0);
 
-/** Creates a builder for one run. */
+/** Creates a report builder for one run. */
 export const createReportBuilder = (): ReportBuilder => {
     const answers = createLatencyRecorder();
     const refusals = createLatencyRecorder();
@@ -75,9 +78,9 @@
     };
 
     const build = (durationMs: Milliseconds): LoadReport => {
-        const answered = sum(byTarget);
-        const refused = sum(byReason);
-        const failed = sum(byDetail);
+        const answered = sumCounts(byTarget);
+        const refused = sumCounts(byReason);
+        const failed = sumCounts(byDetail);
         return {
             durationMs,
             sent: answered + refused + failed + wrong,
--- a/packages/oleandergap-standins/src/http/describeInputError.ts
+++ b/packages/oleandergap-standins/src/http/describeInputError.ts
@@ -1,7 +1,7 @@
-/** Says what is wrong with an input, for the answer to whoever sent it. */
+/** Describes errors of an input, for the response to its sender. */
 import { describeError } from "oleandergap-utils";
 import { z } from "zod";
 
-/** One line per wrong value for an input that its schema refused; the message of any other error. */
+/** Returns one line per invalid value for a schema error, and the message of any other error. */
 export const describeInputError = (error: unknown): string =>
     error instanceof z.ZodError ? z.prettifyError(error) : describeError(error);
--- a/packages/oleandergap-standins/src/http/formatRetryAfter.ts
+++ b/packages/oleandergap-standins/src/http/formatRetryAfter.ts
@@ -1,4 +1,4 @@
-/** Headers that tell a caller when to come back. */
+/** Formats the headers that tell a caller when to retry. */
 import {
     MILLISECONDS_PER_SECOND,
     RETRY_AFTER_HEADER,
@@ -6,8 +6,8 @@
     type Milliseconds,
 } from "oleandergap-types";
 
-/** The time in whole seconds as the standard header has it, and in milliseconds, both rounded up. */
-export const formatRetryAfter = (retryAfterMs: Milliseconds): Readonly<Record<string, string>> => ({
+/** Returns the standard header in whole seconds and the project's header in milliseconds, both rounded up. */
+export const formatRetryAfterHeaders = (retryAfterMs: Milliseconds): Readonly<Record<string, string>> => ({
     [RETRY_AFTER_HEADER]: String(Math.ceil(retryAfterMs / MILLISECONDS_PER_SECOND)),
     [RETRY_AFTER_MS_HEADER]: String(Math.ceil(retryAfterMs)),
 });
--- a/packages/oleandergap-standins/src/http/jsonHttp.ts
+++ b/packages/oleandergap-standins/src/http/jsonHttp.ts
@@ -1,10 +1,10 @@
-/** Small helpers over Node's HTTP server that the stand-ins share. */
+/** Helpers for Node's HTTP server that the stand-ins share. */
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 
 const OK = 200;
 
-/** Reads the whole body into memory; meant for control requests and the platform's wire, not for uploads. */
+/** Reads the whole body into memory. Intended for control requests and platform calls, not for uploads. */
 export const readBody = async (request: IncomingMessage): Promise<Buffer> => {
     const chunks: Buffer[] = [];
     for await (const chunk of request) {
@@ -13,13 +13,13 @@
     return Buffer.concat(chunks);
 };
 
-/** Reads a JSON body; an empty body counts as `{}`. Rejects with a `SyntaxError` when it isn't JSON. */
+/** Reads a JSON body. An empty body counts as `{}`. Rejects with a `SyntaxError` if the body is not JSON. */
 export const readJson = async (request: IncomingMessage): Promise<unknown> => {
     const body = await readBody(request);
     return body.length === 0 ? {} : JSON.parse(body.toString("utf8")) as unknown;
 };
 
-/** Ends `response` with `value` as JSON. */
+/** Sends `value` as JSON and ends the response. */
 export const sendJson = (
     response: ServerResponse,
     value: unknown,
@@ -35,7 +35,7 @@
     response.end(body);
 };
 
-/** Starts to listen; resolves with the port, rejects with the system's error (for example `EADDRINUSE`). */
+/** Starts to listen. Resolves with the port, rejects with the system error (for example `EADDRINUSE`). */
 export const listen = (server: Server, address: string, port: number): Promise<number> =>
     new Promise((resolve, reject) => {
         server.once("error", reject);
@@ -45,30 +45,30 @@
         });
     });
 
-/** Connections that have not ended on their own this long after a graceful close are taken for silent ones. */
+/** Connections that are still open this long after a graceful close are considered unresponsive and are reset. */
 const CLOSE_TIMEOUT_MS = 1000;
 
-/** Stops to listen and waits until every exchange has ended; idle connections are closed at once. */
+/** Stops listening and waits until all requests have ended. Closes idle connections immediately. */
 export const closeGracefully = (server: Server): Promise<void> =>
     new Promise((resolve) => {
-        const reset = setTimeout(() => server.closeAllConnections(), CLOSE_TIMEOUT_MS);
+        const resetTimer = setTimeout(() => server.closeAllConnections(), CLOSE_TIMEOUT_MS);
         server.close(() => {
-            clearTimeout(reset);
+            clearTimeout(resetTimer);
             resolve();
         });
         server.closeIdleConnections();
     });
 
-/** Stops to listen and resets every connection, as a killed process would. */
+/** Stops listening and resets all connections, as a killed process would. */
 export const closeAbruptly = (server: Server): Promise<void> =>
     new Promise((resolve) => {
         server.close(() => resolve());
         server.closeAllConnections();
     });
 
-/** Path of a request without its query. */
+/** Returns the path of a request without its query. */
 export const readPath = (request: IncomingMessage): string => {
-    const target = request.url ?? "/";
-    const end = target.indexOf("?");
-    return end < 0 ? target : target.slice(0, end);
+    const url = request.url ?? "/";
+    const pathEnd = url.indexOf("?");
+    return pathEnd < 0 ? url : url.slice(0, pathEnd);
 };
--- a/packages/oleandergap-standins/src/index.ts
+++ b/packages/oleandergap-standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform, for targets and for callers, for tests, measurements and the demo. */
+/** Stand-ins for the platform, the targets and the callers, used by tests, experiments and the demo. */
 export type { CallCounts, PlatformStandInCounters } from "./platform/counters.js";
 export { CALLER_HEADER } from "./platform/counters.js";
 export * from "./platform/options.js";
@@ -12,7 +12,7 @@
 export * from "./target/targetStandIn.js";
 export * from "./caller/caller.js";
 export * from "./caller/callResult.js";
-export { checkAnswer, type CheckedAnswer } from "./caller/checkAnswer.js";
+export { checkResponse, type ResponseCheck } from "./caller/checkAnswer.js";
 export * from "./caller/latencyRecorder.js";
 export type { LoadReport } from "./caller/loadReport.js";
 export * from "./caller/loadRun.js";
--- a/packages/oleandergap-standins/src/platform/__tests__/platformStandIn.test.ts
+++ b/packages/oleandergap-standins/src/platform/__tests__/platformStandIn.test.ts
@@ -4,22 +4,22 @@
 import { createManualClock } from "oleandergap-utils";
 import { startPlatformStandIn, type PlatformStandIn } from "../platformStandIn.js";
 
-interface Answer {
+interface PlatformResponse {
     readonly status: number;
     readonly body: unknown;
     readonly retryAfter: unknown;
 }
 
-const post = async (port: number, path: string, body: unknown): Promise<Answer> => {
-    const answer = await request(`http://127.0.0.1:${port}${path}`, { method: "POST", body: JSON.stringify(body) });
-    const text = await answer.body.text();
-    return { status: answer.statusCode, body: JSON.parse(text), retryAfter: answer.headers["retry-after"] };
+const post = async (port: number, path: string, body: unknown): Promise<PlatformResponse> => {
+    const response = await request(`http://127.0.0.1:${port}${path}`, { method: "POST", body: JSON.stringify(body) });
+    const text = await response.body.text();
+    return { status: response.statusCode, body: JSON.parse(text), retryAfter: response.headers["retry-after"] };
 };
 
-const put = (key: string, value: unknown): unknown =>
+const createPut = (key: string, value: unknown): unknown =>
     ({ operations: [{ kind: "Put", key, condition: { kind: "Any" }, value }] });
 
-const isBroken = (call: Promise<unknown>): Promise<boolean> => call.then(() => false, () => true);
+const failsToConnect = (call: Promise<unknown>): Promise<boolean> => call.then(() => false, () => true);
 
 describe("startPlatformStandIn", () => {
     let platform: PlatformStandIn;
@@ -32,8 +32,8 @@
 
     afterEach(() => platform.stop());
 
-    it("writes all of a transaction or nothing", async () => {
-        await post(platform.port, "/table/transact", put("a", 1));
+    it("writes all rows of a transaction or none", async () => {
+        await post(platform.port, "/table/transact", createPut("a", 1));
         const refused = await post(platform.port, "/table/transact", {
             operations: [
                 { kind: "Put", key: "b", condition: { kind: "Any" }, value: 2 },
@@ -45,38 +45,38 @@
         expect(platform.state.table.read(["a", "b"])).to.deep.equal([{ key: "a", version: { era: 0, version: 1 }, value: 1 }]);
     });
 
-    it("loses an answer after the write took effect", async () => {
-        // Symptom: a caller that takes the broken connection for "nothing happened" writes a second time.
-        // Sequence: the call arrives, takes effect, and the connection breaks before the answer.
-        // Cause: the platform's fault; the stand-in has to show the effect, or tests against it would prove nothing.
+    it("loses the response after the write took effect", async () => {
+        // Guards against callers that write a second time because they assume that a broken connection means no effect.
+        // The call takes effect, and the connection breaks before the response. The stand-in must apply the write, or
+        // tests against this fault would prove nothing.
         platform.setFaults({ loseAnswersShare: 1 });
 
-        expect(await isBroken(post(platform.port, "/table/transact", put("a", 1)))).to.equal(true);
+        expect(await failsToConnect(post(platform.port, "/table/transact", createPut("a", 1)))).to.equal(true);
         expect(platform.state.table.read(["a"])).to.have.length(1);
         expect(platform.counters()).to.include({ writes: 1, answersLost: 1 });
     });
 
-    it("has no effect in an outage, by refusal or by reset", async () => {
+    it("has no effect during an outage, whether it refuses calls or resets connections", async () => {
         platform.setFaults({ outage: "refuse" });
-        expect(await post(platform.port, "/table/transact", put("a", 1))).to.include({ status: 503, retryAfter: "1" });
+        expect(await post(platform.port, "/table/transact", createPut("a", 1))).to.include({ status: 503, retryAfter: "1" });
         platform.setFaults({ outage: "reset" });
-        expect(await isBroken(post(platform.port, "/table/transact", put("a", 1)))).to.equal(true);
+        expect(await failsToConnect(post(platform.port, "/table/transact", createPut("a", 1)))).to.equal(true);
 
         expect(platform.state.table.size()).to.equal(0);
         expect(platform.counters()).to.include({ writes: 0, refused: 2 });
     });
 
-    it("can fail for one kind of call only", async () => {
+    it("can fail one kind of call only", async () => {
         platform.setFaults({ byOperation: { Transact: { outage: "refuse" } } });
 
-        expect(await post(platform.port, "/table/transact", put("a", 1))).to.include({ status: 503 });
+        expect(await post(platform.port, "/table/transact", createPut("a", 1))).to.include({ status: 503 });
         expect(await post(platform.port, "/table/read", { keys: ["a"] })).to.include({ status: 200 });
     });
 
-    it("answers writes above its limit with 503 and a time, without effect", async () => {
-        const first = await post(platform.port, "/table/transact", put("a", 1));
-        const second = await post(platform.port, "/table/transact", put("a", 2));
-        const third = await post(platform.port, "/table/transact", put("a", 3));
+    it("responds to writes above its limit with 503 and a retry delay, without effect", async () => {
+        const first = await post(platform.port, "/table/transact", createPut("a", 1));
+        const second = await post(platform.port, "/table/transact", createPut("a", 2));
+        const third = await post(platform.port, "/table/transact", createPut("a", 3));
 
         expect([first.status, second.status, third.status]).to.deep.equal([200, 200, 503]);
         expect(third.retryAfter).to.equal("1");
@@ -84,13 +84,13 @@
         expect(await post(platform.port, "/table/read", { keys: ["a"] })).to.include({ status: 200 });
     });
 
-    it("goes back to a copy, names the next era, and gives versions out again", async () => {
+    it("restores a copy, reports the next era, and assigns versions again", async () => {
         const readEra = async (): Promise<unknown> => {
             const answer = await request(`http://127.0.0.1:${platform.port}/table/rows/a`);
             await answer.body.dump();
             return answer.headers[ERA_HEADER];
         };
-        await post(platform.port, "/table/transact", put("a", 1));
+        await post(platform.port, "/table/transact", createPut("a", 1));
         expect(await readEra()).to.equal("0");
         expect(await post(platform.port, "/control/restore", {})).to.include({ status: 409 });
         await post(platform.port, "/control/copy", {});
@@ -98,16 +98,16 @@
         expect(await post(platform.port, "/control/restore", {})).to.deep.include({ status: 200, body: { era: 1 } });
         expect(await readEra()).to.equal("1");
         expect(platform.state.table.read(["a"])).to.deep.equal([{ key: "a", version: { era: 0, version: 1 }, value: 1 }]);
-        await post(platform.port, "/table/transact", put("a", 3));
+        await post(platform.port, "/table/transact", createPut("a", 3));
         expect(platform.state.table.read(["a"])).to.deep.equal([{ key: "a", version: { era: 1, version: 2 }, value: 3 }]);
     });
 
-    it("refuses what it can't read, and says why", async () => {
+    it("rejects invalid and unknown calls", async () => {
         expect(await post(platform.port, "/table/read", { keys: [] })).to.include({ status: 400 });
         expect(await post(platform.port, "/table/unknown", {})).to.include({ status: 404 });
     });
 
-    it("keeps objects whole and lists them by prefix", async () => {
+    it("stores complete objects and lists them by prefix", async () => {
         const url = `http://127.0.0.1:${platform.port}/objects`;
         const stored = await request(`${url}/config/one`, { method: "PUT", body: "first" });
         const found = await request(`${url}/config/one`);
@@ -121,14 +121,14 @@
 });
 
 describe("startPlatformStandIn with entrances", () => {
-    it("cuts one entrance off and counts calls by entrance", async () => {
+    it("cuts off a single entrance and counts calls per entrance", async () => {
         const platform = await startPlatformStandIn({
             entrances: [{ name: "hall-a", address: "127.0.0.1" }, { name: "hall-b", address: "127.0.0.1" }],
         });
         const [first = 0, second = 0] = platform.entrances.map((entrance) => entrance.port);
         platform.setFaults({ cutEntrances: ["hall-a"] });
 
-        expect(await isBroken(post(first, "/table/read", { keys: ["a"] }))).to.equal(true);
+        expect(await failsToConnect(post(first, "/table/read", { keys: ["a"] }))).to.equal(true);
         expect(await post(second, "/table/read", { keys: ["a"] })).to.include({ status: 200 });
         expect(platform.counters().byCaller["hall-b"]).to.include({ reads: 1 });
         await platform.stop();
--- a/packages/oleandergap-standins/src/platform/counters.ts
+++ b/packages/oleandergap-standins/src/platform/counters.ts
@@ -1,35 +1,35 @@
-/** Counts what the platform stand-in was asked for. */
+/** Counts the calls to the platform stand-in. */
 import type { PlatformOperation } from "oleandergap-platform";
 
-/** Request: names the caller in the counters. Optional. */
+/** Optional request header with the name under which the calls of a caller are counted. */
 export const CALLER_HEADER = "oleandergap-caller";
-/** Name under which calls without a caller's name at the main address are counted. */
+/** Name under which calls to the main address without a caller name are counted. */
 const UNNAMED_CALLER = "unnamed";
 
-/** Totals since the start or the last reset. */
+/** Counts since the start or the last reset. */
 export interface CallCounts {
     readonly reads: number;
     readonly writes: number;
-    /** Calls above the limits, which had no effect. */
+    /** Calls that exceeded the rate limits. They had no effect. */
     readonly overLimit: number;
-    /** Calls that met an outage, which had no effect. */
+    /** Calls that failed because of a simulated outage. They had no effect. */
     readonly refused: number;
-    /** Calls that took effect and whose answer was lost. */
+    /** Calls that took effect but whose response was lost. */
     readonly answersLost: number;
     readonly bytesReceived: number;
     readonly bytesSent: number;
 }
 
-/** Totals over all callers, and for each of them. */
+/** Totals of all callers, and counts per caller. */
 export interface PlatformStandInCounters extends CallCounts {
-    /** By the caller's name, or else by the entrance that the call came through. */
+    /** Counts by caller name, or by the name of the entrance for calls without a caller name. */
     readonly byCaller: Readonly<Record<string, CallCounts>>;
 }
 
 type MutableCounts = { -readonly [Name in keyof CallCounts]: number };
 
-/** The counters of one platform. */
-export interface CounterBook {
+/** Counters of one platform stand-in. */
+export interface CounterStore {
     readonly add: (caller: string | undefined, name: keyof CallCounts, amount?: number) => void;
     readonly read: () => PlatformStandInCounters;
     readonly reset: () => void;
@@ -45,16 +45,16 @@
     bytesSent: 0,
 });
 
-/** Whether an operation counts against the limit of writes. */
+/** Returns whether an operation counts towards the write limit. */
 export const isWriteOperation = (operation: PlatformOperation): boolean =>
     operation === "Transact" || operation === "Put";
 
 /** Creates counters at zero. */
-export const createCounterBook = (): CounterBook => {
+export const createCounterStore = (): CounterStore => {
     let total = createCounts();
     let byCaller = new Map<string, MutableCounts>();
 
-    const countsOf = (caller: string): MutableCounts => {
+    const findOrCreateCounts = (caller: string): MutableCounts => {
         const counts = byCaller.get(caller) ?? createCounts();
         byCaller.set(caller, counts);
         return counts;
@@ -63,7 +63,7 @@
     return {
         add: (caller, name, amount = 1) => {
             total[name] += amount;
-            countsOf(caller ?? UNNAMED_CALLER)[name] += amount;
+            findOrCreateCounts(caller ?? UNNAMED_CALLER)[name] += amount;
         },
         read: () => ({ ...total, byCaller: Object.fromEntries(byCaller) }),
         reset: () => {
--- a/packages/oleandergap-standins/src/platform/operations.ts
+++ b/packages/oleandergap-standins/src/platform/operations.ts
@@ -1,4 +1,4 @@
-/** Reads a call from the wire, without any effect yet. */
+/** Parses platform calls from HTTP requests, without running them. */
 import {
     OBJECTS_PATH,
     TABLE_READ_PATH,
@@ -14,35 +14,35 @@
 } from "oleandergap-platform";
 import { describeInputError } from "../http/describeInputError.js";
 
-/** `GET /table/rows/<key>`: one row for clients that know no more than HTTP; counts as a read. */
+/** `GET /table/rows/<key>` returns one row, for plain HTTP clients. Counts as a read. */
 const SINGLE_ROW_PATH = "/table/rows/";
 
-/** What a call answers. */
-export type OperationAnswer =
+/** Response to a call. */
+export type OperationResponse =
     | { readonly kind: "Json"; readonly value: unknown }
     | { readonly kind: "Bytes"; readonly body: Uint8Array }
     | { readonly kind: "NoContent" }
     | { readonly kind: "NotFound" };
 
-/** A call that is understood and not yet run. */
+/** A parsed call that has not run yet. */
 export interface ParsedOperation {
     readonly operation: PlatformOperation;
-    readonly run: () => OperationAnswer;
+    readonly run: () => OperationResponse;
 }
 
-/** A call as understood, or why it can't be. */
+/** A parsed call, or the reason why the request could not be parsed. */
 export type ParseResult =
     | { readonly kind: "Parsed"; readonly call: ParsedOperation }
     | { readonly kind: "Unknown" }
     | { readonly kind: "Malformed"; readonly detail: string };
 
-/** Everything that the platform stores. */
+/** All data that the platform stand-in stores. */
 export interface PlatformState {
     readonly table: TableState;
     readonly objects: Map<string, Uint8Array>;
 }
 
-/** The parts of an HTTP request that make up a call. */
+/** Parts of an HTTP request that define a call. */
 export interface WireRequest {
     readonly method: string;
     /** Path with query. */
@@ -50,32 +50,32 @@
     readonly body: Uint8Array;
 }
 
-const notFound: OperationAnswer = { kind: "NotFound" };
+const notFoundResponse: OperationResponse = { kind: "NotFound" };
 
-const json = (value: unknown): OperationAnswer => ({ kind: "Json", value });
+const createJsonResponse = (value: unknown): OperationResponse => ({ kind: "Json", value });
 
-const parsed = (operation: PlatformOperation, run: () => OperationAnswer): ParseResult =>
+const createParsedResult = (operation: PlatformOperation, run: () => OperationResponse): ParseResult =>
     ({ kind: "Parsed", call: { operation, run } });
 
 const parseTableCall = (state: PlatformState, path: string, body: unknown): ParseResult => {
     switch (path) {
         case TABLE_READ_PATH: {
             const { keys } = readRequestSchema.parse(body);
-            return parsed("Read", () => json({ rows: state.table.read(keys) }));
+            return createParsedResult("Read", () => createJsonResponse({ rows: state.table.read(keys) }));
         }
         case TABLE_SCAN_PATH: {
             const { prefix, limit, after, descending } = scanRequestSchema.parse(body);
-            const scan = {
+            const scanRequest = {
                 prefix,
                 limit,
                 ...(after === undefined ? {} : { after }),
                 ...(descending === undefined ? {} : { descending }),
             };
-            return parsed("Scan", () => json({ rows: state.table.scan(scan) }));
+            return createParsedResult("Scan", () => createJsonResponse({ rows: state.table.scan(scanRequest) }));
         }
         case TABLE_TRANSACT_PATH: {
             const { operations } = transactRequestSchema.parse(body);
-            return parsed("Transact", () => json(state.table.transact(operations)));
+            return createParsedResult("Transact", () => createJsonResponse(state.table.transact(operations)));
         }
         default:
             return { kind: "Unknown" };
@@ -84,9 +84,9 @@
 
 const parseSingleRow = (state: PlatformState, path: string): ParseResult => {
     const key = platformKeySchema.parse(decodeURIComponent(path.slice(SINGLE_ROW_PATH.length)));
-    return parsed("Read", () => {
+    return createParsedResult("Read", () => {
         const row = state.table.read([key])[0];
-        return row === undefined ? notFound : json(row);
+        return row === undefined ? notFoundResponse : createJsonResponse(row);
     });
 };
 
@@ -96,18 +96,18 @@
         return { kind: "Malformed", detail: "the path names no object" };
     }
     if (method === "PUT") {
-        return parsed("Put", () => {
+        return createParsedResult("Put", () => {
             state.objects.set(key, Uint8Array.from(body));
             return { kind: "NoContent" };
         });
     }
-    return parsed("Get", () => {
+    return createParsedResult("Get", () => {
         const object = state.objects.get(key);
-        return object === undefined ? notFound : { kind: "Bytes", body: object };
+        return object === undefined ? notFoundResponse : { kind: "Bytes", body: object };
     });
 };
 
-const parseKnownPath = (state: PlatformState, { method, url, body }: WireRequest): ParseResult => {
+const parseCallByPath = (state: PlatformState, { method, url, body }: WireRequest): ParseResult => {
     const { pathname, searchParams } = new URL(url, "http://platform");
     if (method === "POST") {
         return parseTableCall(state, pathname, JSON.parse(Buffer.from(body).toString("utf8")));
@@ -117,8 +117,9 @@
     }
     if (method === "GET" && pathname === OBJECTS_PATH) {
         const prefix = searchParams.get("prefix") ?? "";
-        const list = (): readonly string[] => [...state.objects.keys()].filter((key) => key.startsWith(prefix)).sort();
-        return parsed("List", () => json({ keys: list() }));
+        const listKeys = (): readonly string[] =>
+            [...state.objects.keys()].filter((key) => key.startsWith(prefix)).sort();
+        return createParsedResult("List", () => createJsonResponse({ keys: listKeys() }));
     }
     if ((method === "GET" || method === "PUT") && pathname.startsWith(`${OBJECTS_PATH}/`)) {
         return parseObjectCall(state, method, pathname, body);
@@ -126,10 +127,10 @@
     return { kind: "Unknown" };
 };
 
-/** Understands `request`, or says what is wrong with it; never throws. */
+/** Parses `request`. Returns the reason if the request is invalid; never throws. */
 export const parseOperation = (state: PlatformState, request: WireRequest): ParseResult => {
     try {
-        return parseKnownPath(state, request);
+        return parseCallByPath(state, request);
     }
     catch (error) {
         return { kind: "Malformed", detail: describeInputError(error) };
--- a/packages/oleandergap-standins/src/platform/platformStandIn.ts
+++ b/packages/oleandergap-standins/src/platform/platformStandIn.ts
@@ -1,17 +1,17 @@
 /**
- * Stands in for the platform: a transactional table and an object store in memory behind one HTTP port, with the
- * platform's limits and, on demand, its faults. The control interface isn't touched by the faults:
+ * Platform stand-in: an in-memory transactional table and object store behind one HTTP port, with the platform's rate
+ * limits and simulated faults. The faults do not affect the control interface:
  *
- * - `GET /control/counters`, `DELETE /control/counters`: reads them, sets them to zero;
- * - `GET /control/faults`, `PUT /control/faults`: reads the switches, replaces them;
- * - `POST /control/copy`, `POST /control/restore`: keeps a copy of all rows and objects, goes back to the last one.
+ * - `GET /control/counters`, `DELETE /control/counters`: returns the counters, resets them to zero;
+ * - `GET /control/faults`, `PUT /control/faults`: returns the faults, replaces them;
+ * - `POST /control/copy`, `POST /control/restore`: stores a copy of all rows and objects, restores the last copy.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Clock } from "oleandergap-types";
 import { createTableState, type TableCopy } from "oleandergap-platform";
 import { createSeededRandom, createSystemClock, createTokenBucket, type Random } from "oleandergap-utils";
 import { closeAbruptly, listen, readJson, readPath, sendJson } from "../http/jsonHttp.js";
-import { createCounterBook, type PlatformStandInCounters } from "./counters.js";
+import { createCounterStore, type PlatformStandInCounters } from "./counters.js";
 import type { PlatformState } from "./operations.js";
 import {
     noPlatformFaults,
@@ -24,32 +24,32 @@
 } from "./options.js";
 import { serveCall, type CallContext } from "./serveCall.js";
 
-/** All rows and objects at a moment. */
+/** Copy of all rows and objects at one point in time. */
 export interface PlatformCopy {
     readonly table: TableCopy;
     readonly objects: ReadonlyMap<string, Uint8Array>;
 }
 
-/** A platform that listens. */
+/** A running platform stand-in. */
 export interface PlatformStandIn {
     readonly address: string;
     readonly port: number;
-    /** The entrances with the ports that they got. */
+    /** The entrances with their assigned ports. */
     readonly entrances: readonly Entrance[];
-    /** The rows and objects themselves, past all limits and faults. */
+    /** Direct access to the rows and objects, without limits and faults. */
     readonly state: PlatformState;
     readonly counters: () => PlatformStandInCounters;
     readonly resetCounters: () => void;
     readonly takeCopy: () => PlatformCopy;
-    /** Goes back to a copy: a new era, in which versions are given out again. */
+    /** Restores a copy. This starts a new era, in which row versions after the copy are assigned again. */
     readonly restore: (copy: PlatformCopy) => void;
-    /** Replaces all switches; what is left out is off. */
+    /** Replaces all faults. Omitted faults are off. */
     readonly setFaults: (faults: PlatformFaultsInput) => void;
-    /** Ends at once and resets every connection. */
+    /** Stops immediately and resets all connections. */
     readonly stop: () => Promise<void>;
 }
 
-/** What tests replace; by default the system's clock and random numbers from the options' seed. */
+/** Dependencies that tests replace. Defaults to the system clock and random numbers from the seed in the options. */
 export interface PlatformStandInDependencies {
     readonly clock?: Clock;
     readonly random?: Random;
@@ -58,35 +58,37 @@
 const BAD_REQUEST = 400;
 const NOT_FOUND = 404;
 const CONFLICT = 409;
-/** Calls that may come at once, as a share of what is allowed in a second. */
+/** Maximum burst of calls, as a share of the calls allowed per second. */
 const BURST_SHARE = 0.25;
-/** Idle connections are kept for long, so that the daemons' pools see few closings. */
+/**
+ * Idle connections are kept open for a long time, so that the connection pools of the daemons rarely see one closed.
+ */
 const KEEP_ALIVE_MS = 60_000;
 
 interface Platform extends CallContext {
     currentFaults: PlatformFaults;
-    /** The last one kept by the control interface. */
+    /** Last copy that was taken through the control interface. */
     copy: PlatformCopy | undefined;
-    readonly end: AbortController;
+    readonly lifetimeController: AbortController;
 }
 
 const createPlatform = (options: PlatformStandInOptions, dependencies: PlatformStandInDependencies): Platform => {
     const clock = dependencies.clock ?? createSystemClock();
-    const end = new AbortController();
+    const lifetimeController = new AbortController();
     const createBudget = (perSecond: number): ReturnType<typeof createTokenBucket> =>
         createTokenBucket({ clock, ratePerSecond: () => perSecond, burst: Math.max(1, perSecond * BURST_SHARE) });
     const platform: Platform = {
         state: { table: createTableState(), objects: new Map() },
         faults: () => platform.currentFaults,
-        counters: createCounterBook(),
+        counters: createCounterStore(),
         readBudget: createBudget(options.limits.readsPerSecond),
         writeBudget: createBudget(options.limits.writesPerSecond),
         clock,
         random: dependencies.random ?? createSeededRandom(options.seed),
-        lifetime: end.signal,
+        lifetime: lifetimeController.signal,
         currentFaults: noPlatformFaults,
         copy: undefined,
-        end,
+        lifetimeController,
     };
     return platform;
 };
@@ -100,9 +102,9 @@
     objects.forEach((body, key) => state.objects.set(key, body));
 };
 
-const restoreKept = (platform: Platform, response: ServerResponse): void => {
+const restoreLastCopy = (platform: Platform, response: ServerResponse): void => {
     if (platform.copy === undefined) {
-        sendJson(response, { error: "no copy was kept" }, CONFLICT);
+        sendJson(response, { error: "no copy was taken" }, CONFLICT);
         return;
     }
     restore(platform, platform.copy);
@@ -131,7 +133,7 @@
             sendJson(response, { era: platform.state.table.era(), rows: platform.state.table.size() });
             return;
         case "POST /control/restore":
-            restoreKept(platform, response);
+            restoreLastCopy(platform, response);
             return;
         case "GET /control/faults":
             sendJson(response, platform.currentFaults);
@@ -143,10 +145,10 @@
 
 const createMainServer = (platform: Platform): Server =>
     createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
-        const served = readPath(request).startsWith("/control/") ?
+        const serving = readPath(request).startsWith("/control/") ?
             serveControl(platform, request, response) :
             serveCall(platform, undefined, request, response);
-        served.catch((error: unknown) => {
+        serving.catch((error: unknown) => {
             if (!response.headersSent && !response.destroyed) {
                 sendJson(response, { error: String(error) }, BAD_REQUEST);
             }
@@ -154,31 +156,31 @@
     });
 
 const createEntranceServer = (platform: Platform, { name }: Entrance): Server => {
-    const isCut = (): boolean => platform.currentFaults.cutEntrances.includes(name);
+    const isCutOff = (): boolean => platform.currentFaults.cutEntrances.includes(name);
     const server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
-        if (isCut()) {
+        if (isCutOff()) {
             response.destroy();
             return;
         }
         serveCall(platform, name, request, response).catch(() => response.destroy());
     });
     server.on("connection", (socket) => {
-        if (isCut()) {
+        if (isCutOff()) {
             socket.destroy();
         }
     });
     return server;
 };
 
-/** Starts the platform; rejects when a port is taken or the options are wrong. */
+/** Starts the platform stand-in. Rejects if a port is in use or the options are invalid. */
 export const startPlatformStandIn = async (
     settings: Parameters<typeof platformStandInOptionsSchema.parse>[0] = {},
     dependencies: PlatformStandInDependencies = {},
 ): Promise<PlatformStandIn> => {
     const options = platformStandInOptionsSchema.parse(settings);
     const platform = createPlatform(options, dependencies);
-    const main = createMainServer(platform);
-    const port = await listen(main, options.address, options.port);
+    const mainServer = createMainServer(platform);
+    const port = await listen(mainServer, options.address, options.port);
     const entranceServers = options.entrances.map((entrance) =>
         ({ entrance, server: createEntranceServer(platform, entrance) }));
     const entrances = await Promise.all(entranceServers.map(async ({ entrance, server }) => ({
@@ -201,8 +203,8 @@
             platform.currentFaults = platformFaultsSchema.parse(faults);
         },
         stop: async () => {
-            platform.end.abort();
-            await Promise.all([main, ...entranceServers.map(({ server }) => server)].map(closeAbruptly));
+            platform.lifetimeController.abort();
+            await Promise.all([mainServer, ...entranceServers.map(({ server }) => server)].map(closeAbruptly));
         },
     };
 };
--- a/packages/oleandergap-standins/src/platform/serveCall.ts
+++ b/packages/oleandergap-standins/src/platform/serveCall.ts
@@ -1,19 +1,19 @@
-/** Carries one call to the platform through limits and faults to its effect and its answer. */
+/** Serves one platform call: applies the faults and rate limits, runs the call and sends the response. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random, TokenBucket } from "oleandergap-utils";
 import { ERA_HEADER, type PlatformOperation } from "oleandergap-platform";
-import { formatRetryAfter } from "../http/formatRetryAfter.js";
+import { formatRetryAfterHeaders } from "../http/formatRetryAfter.js";
 import { readBody, sendJson } from "../http/jsonHttp.js";
-import { CALLER_HEADER, isWriteOperation, type CounterBook } from "./counters.js";
-import { parseOperation, type OperationAnswer, type ParsedOperation, type PlatformState } from "./operations.js";
+import { CALLER_HEADER, isWriteOperation, type CounterStore } from "./counters.js";
+import { parseOperation, type OperationResponse, type ParsedOperation, type PlatformState } from "./operations.js";
 import type { OperationFaults, PlatformFaults } from "./options.js";
 
-/** What all calls to one platform share. */
+/** State that all calls to one platform share. */
 export interface CallContext {
     readonly state: PlatformState;
     readonly faults: () => PlatformFaults;
-    readonly counters: CounterBook;
+    readonly counters: CounterStore;
     readonly readBudget: TokenBucket;
     readonly writeBudget: TokenBucket;
     readonly clock: Clock;
@@ -25,11 +25,11 @@
 const BAD_REQUEST = 400;
 const NOT_FOUND = 404;
 const SERVICE_UNAVAILABLE = 503;
-/** What a caller is told to wait during an outage whose end nobody knows. */
+/** Retry delay that is sent to callers during an outage, whose end is unknown. */
 const OUTAGE_RETRY_AFTER_MS = 1000;
 
 const sendUnavailable = (response: ServerResponse, detail: string, retryAfterMs: Milliseconds): void => {
-    sendJson(response, { error: detail }, SERVICE_UNAVAILABLE, formatRetryAfter(retryAfterMs));
+    sendJson(response, { error: detail }, SERVICE_UNAVAILABLE, formatRetryAfterHeaders(retryAfterMs));
 };
 
 const sendBytes = (response: ServerResponse, body: Uint8Array): void => {
@@ -37,13 +37,13 @@
     response.end(body);
 };
 
-const sendAnswer = (response: ServerResponse, answer: OperationAnswer): void => {
-    switch (answer.kind) {
+const sendOperationResponse = (response: ServerResponse, operationResponse: OperationResponse): void => {
+    switch (operationResponse.kind) {
         case "Json":
-            sendJson(response, answer.value);
+            sendJson(response, operationResponse.value);
             return;
         case "Bytes":
-            sendBytes(response, answer.body);
+            sendBytes(response, operationResponse.body);
             return;
         case "NoContent":
             response.writeHead(NO_CONTENT).end();
@@ -53,7 +53,7 @@
     }
 };
 
-/** Applies an outage; false when there is none. */
+/** Applies the outage to the response. Returns false if there is none. */
 const applyOutage = (outage: OperationFaults["outage"], response: ServerResponse): boolean => {
     switch (outage) {
         case "none":
@@ -69,11 +69,11 @@
     }
 };
 
-const faultsOf = (faults: PlatformFaults, operation: PlatformOperation): OperationFaults =>
+const findFaults = (faults: PlatformFaults, operation: PlatformOperation): OperationFaults =>
     faults.byOperation[operation] ?? faults;
 
-/** Takes the call's budget; false when the limit is reached and the caller was told so. */
-const takeBudget = (context: CallContext, operation: PlatformOperation, response: ServerResponse): boolean => {
+/** Consumes the rate limit for a call. If the limit is reached, sends a refusal and returns false. */
+const consumeBudget = (context: CallContext, operation: PlatformOperation, response: ServerResponse): boolean => {
     const budget = isWriteOperation(operation) ? context.writeBudget : context.readBudget;
     if (budget.tryTake()) {
         return true;
@@ -82,7 +82,7 @@
     return false;
 };
 
-const nameEra = ({ state }: CallContext, response: ServerResponse): void => {
+const setEraHeader = ({ state }: CallContext, response: ServerResponse): void => {
     response.setHeader(ERA_HEADER, String(state.table.era()));
 };
 
@@ -93,12 +93,12 @@
     response: ServerResponse,
 ): Promise<void> => {
     const { counters, clock, lifetime } = context;
-    const faults = faultsOf(context.faults(), call.operation);
+    const faults = findFaults(context.faults(), call.operation);
     if (applyOutage(faults.outage, response)) {
         counters.add(caller, "refused");
         return;
     }
-    if (!takeBudget(context, call.operation, response)) {
+    if (!consumeBudget(context, call.operation, response)) {
         counters.add(caller, "overLimit");
         return;
     }
@@ -106,9 +106,9 @@
         await clock.sleep(faults.latencyMs / 2, lifetime);
     }
     counters.add(caller, isWriteOperation(call.operation) ? "writes" : "reads");
-    const answer = call.run();
-    // The era of the answer is that of its effect, however late it is sent.
-    nameEra(context, response);
+    const operationResponse = call.run();
+    // The response carries the era in which the call took effect, even if the platform is restored before it is sent.
+    setEraHeader(context, response);
     if (faults.latencyMs > 0) {
         await clock.sleep(faults.latencyMs / 2, lifetime);
     }
@@ -117,27 +117,29 @@
         response.destroy();
         return;
     }
-    sendAnswer(response, answer);
+    sendOperationResponse(response, operationResponse);
 };
 
-const callerOf = (request: IncomingMessage, entrance: string | undefined): string | undefined => {
-    const named = request.headers[CALLER_HEADER];
-    return typeof named === "string" ? named : entrance;
+const getCallerName = (request: IncomingMessage, entrance: string | undefined): string | undefined => {
+    const callerHeader = request.headers[CALLER_HEADER];
+    return typeof callerHeader === "string" ? callerHeader : entrance;
 };
 
-/** Serves one call that came through `entrance`; rejects only when the caller hung up while it was sending. */
+/**
+ * Serves one call that arrived through `entrance`. Rejects only if the caller disconnects while it sends its request.
+ */
 export const serveCall = async (
     context: CallContext,
     entrance: string | undefined,
     request: IncomingMessage,
     response: ServerResponse,
 ): Promise<void> => {
-    const caller = callerOf(request, entrance);
-    nameEra(context, response);
+    const caller = getCallerName(request, entrance);
+    setEraHeader(context, response);
     const body = await readBody(request);
     const { socket } = request;
-    const sentBefore = socket.bytesWritten;
-    response.once("close", () => context.counters.add(caller, "bytesSent", socket.bytesWritten - sentBefore));
+    const bytesWrittenBefore = socket.bytesWritten;
+    response.once("close", () => context.counters.add(caller, "bytesSent", socket.bytesWritten - bytesWrittenBefore));
     context.counters.add(caller, "bytesReceived", body.length);
     const result = parseOperation(context.state, { method: request.method ?? "", url: request.url ?? "/", body });
     switch (result.kind) {
--- a/packages/oleandergap-standins/src/platformMain.ts
+++ b/packages/oleandergap-standins/src/platformMain.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
 /**
- * Runs the platform stand-in as a process of its own:
+ * Runs the platform stand-in as a separate process:
  * `platformMain.js --address ADDRESS --port PORT [--entrance NAME=ADDRESS:PORT]... [--writes N] [--reads N]`.
  */
 import { parseArgs } from "node:util";
 import type { Entrance } from "./platform/options.js";
 import { startPlatformStandIn } from "./platform/platformStandIn.js";
-import { announceReady, runUntilStopped } from "./process/runUntilStopped.js";
+import { printReadyLine, runUntilStopped } from "./process/runUntilStopped.js";
 
 const { values } = parseArgs({
     options: {
@@ -23,7 +23,7 @@
 const parseEntrance = (text: string): Entrance => {
     const [, name, address, port] = ENTRANCE_PATTERN.exec(text) ?? [];
     if (name === undefined || address === undefined || port === undefined) {
-        throw new Error(`--entrance ${text}: write NAME=ADDRESS:PORT`);
+        throw new Error(`--entrance ${text}: expected NAME=ADDRESS:PORT`);
     }
     return { name, address, port: Number(port) };
 };
@@ -35,6 +35,6 @@
         entrances: values.entrance.map(parseEntrance),
         limits: { writesPerSecond: Number(values.writes), readsPerSecond: Number(values.reads) },
     });
-    announceReady({ port: platform.port });
+    printReadyLine({ port: platform.port });
     return platform;
 });
--- a/packages/oleandergap-standins/src/process/runUntilStopped.ts
+++ b/packages/oleandergap-standins/src/process/runUntilStopped.ts
@@ -1,9 +1,9 @@
-/** Frame of the stand-ins' own processes: run until a signal asks to stop, then end cleanly. */
+/** Runs the stand-in processes until a signal requests a clean stop. */
 import { describeError } from "oleandergap-utils";
 
-const FAILED = 1;
+const EXIT_FAILURE = 1;
 
-/** Something that was started and can be stopped. */
+/** A running service that can be stopped. */
 export interface Stoppable {
     readonly stop: () => Promise<void>;
 }
@@ -16,24 +16,24 @@
     });
 
 /**
- * Starts, waits for SIGTERM or SIGINT, and stops. Ends the process with 0, or with 1 and the reason on standard error
- * when the start or the stop failed.
+ * Starts the service, waits for SIGTERM or SIGINT, and stops the service. Exits the process with 0, or with 1 and the
+ * reason on standard error if the start or the stop failed.
  */
 export const runUntilStopped = async (start: () => Promise<Stoppable>): Promise<void> => {
-    const stopped = waitForSignal();
+    const stopSignal = waitForSignal();
     try {
-        const running = await start();
-        await stopped;
-        await running.stop();
+        const service = await start();
+        await stopSignal;
+        await service.stop();
         process.exit(0);
     }
     catch (error) {
         process.stderr.write(`${describeError(error)}\n`);
-        process.exit(FAILED);
+        process.exit(EXIT_FAILURE);
     }
 };
 
-/** Tells the process that started this one that it is ready: one line of JSON on standard output. */
-export const announceReady = (facts: Readonly<Record<string, number>>): void => {
-    process.stdout.write(`${JSON.stringify({ ready: true, ...facts })}\n`);
+/** Writes one line of JSON to standard output, which informs the parent process that this process is ready. */
+export const printReadyLine = (fields: Readonly<Record<string, number>>): void => {
+    process.stdout.write(`${JSON.stringify({ ready: true, ...fields })}\n`);
 };
--- a/packages/oleandergap-standins/src/target/__tests__/targetStandIn.test.ts
+++ b/packages/oleandergap-standins/src/target/__tests__/targetStandIn.test.ts
@@ -6,12 +6,12 @@
 import { closeAbruptly, listen, readJson, sendJson } from "../../http/jsonHttp.js";
 import { startTargetStandIn, type TargetStandIn } from "../targetStandIn.js";
 
-const nextTurn = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 1));
+const waitOneMillisecond = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 1));
 
-/** Lets the sockets work until `isReached`; the test runner's timeout ends a wait in vain. */
+/** Waits until `isReached` returns true. If it never does, the timeout of the test runner ends the test. */
 const waitUntil = async (isReached: () => boolean): Promise<void> => {
     while (!isReached()) {
-        await nextTurn();
+        await waitOneMillisecond();
     }
 };
 
@@ -51,7 +51,7 @@
         await target.crash();
     });
 
-    it("tells what it was asked and counts the run under its key", async () => {
+    it("returns the received request in its response and counts the run by its key", async () => {
         const sent = send({ "idempotency-key": "k1", "oleandergap-request-id": "r1" });
         await waitUntil(() => target.counters().started === 1);
         await finishWork();
@@ -61,12 +61,12 @@
         expect(target.runLog.entries()).to.deep.equal([{ key: "k1", runs: 1, requestIds: ["r1"] }]);
     });
 
-    it("sheds above its slots and says truly that it did not run", async () => {
-        const held = [send(), send()];
+    it("sheds requests above its slots and reports that they did not run", async () => {
+        const inFlight = [send(), send()];
         await waitUntil(() => target.counters().started === 2);
         const shed = await send();
         await finishWork();
-        await Promise.all(held);
+        await Promise.all(inFlight);
 
         expect(shed.statusCode).to.equal(503);
         expect(shed.headers["oleandergap-verdict"]).to.equal("notRun");
@@ -80,21 +80,20 @@
         expect(target.counters()).to.include({ started: 0, expired: 1 });
     });
 
-    it("frees the slot when the other side hangs up", async () => {
-        const hangUp = new AbortController();
-        const sent = send({}, hangUp.signal);
+    it("frees the slot when the client disconnects", async () => {
+        const abortController = new AbortController();
+        const sent = send({}, abortController.signal);
         await waitUntil(() => target.counters().started === 1);
-        hangUp.abort();
+        abortController.abort();
         await sent.catch(() => undefined);
         await waitUntil(() => target.counters().inFlight === 0);
 
         expect(target.counters()).to.include({ cancelled: 1, answered: 0 });
     });
 
-    it("breaks an answer off so that its reader notices", async () => {
-        // Symptom: a reader that takes the part for the whole shows half an estate file.
-        // Sequence: the head and half of the body arrive, then the connection ends.
-        // Cause: a target that dies while it answers.
+    it("truncates a response so that the client detects it", async () => {
+        // Guards against clients that treat a partial response as complete and show half of a file. The target dies
+        // while it responds, so that the connection ends after the headers and half of the body.
         target.setFaults({ cutAnswerShare: 1 });
         const sent = send({ "stand-in-answer-padding": "100000" });
         await waitUntil(() => target.counters().started === 1);
@@ -106,28 +105,27 @@
         expect(read).to.equal("cut");
     });
 
-    it("falls silent on open connections while new ones work", async () => {
-        // Symptom: requests on old connections wait for ever, others are served.
-        // Sequence: a connection is made and used; then its other end forgets it; a new one is opened.
-        // Cause: something between the two ends that lost track of the connection.
+    it("makes open connections unresponsive while new connections work", async () => {
+        // Guards against requests that wait forever on old connections while requests on new ones are served. This
+        // happens if a device between client and target loses the state of an established connection.
         const first = send();
         await waitUntil(() => target.counters().started === 1);
         await finishWork();
         await (await first).body.text();
         expect(target.silenceConnections()).to.equal(1);
-        const silent = send().then(() => "answered", () => "gave up");
-        await nextTurn();
+        const silentResult = send().then(() => "answered", () => "gave up");
+        await waitOneMillisecond();
 
-        const fresh = request(`http://127.0.0.1:${target.port}/file`, { dispatcher: new Agent() });
+        const newRequest = request(`http://127.0.0.1:${target.port}/file`, { dispatcher: new Agent() });
         await waitUntil(() => target.counters().started === 2);
         await finishWork();
-        expect((await fresh).statusCode).to.equal(200);
+        expect((await newRequest).statusCode).to.equal(200);
         expect(target.counters()).to.include({ received: 2 });
         await agent.destroy();
-        expect(await silent).to.equal("gave up");
+        expect(await silentResult).to.equal("gave up");
     });
 
-    it("ends when it has worked on a request to its crash path, and starts again", async () => {
+    it("crashes after processing a request to its crash path, and restarts", async () => {
         target.setFaults({ crashPath: "/file", crashDownMs: 500 });
         const sent = send({ "idempotency-key": "k1" }).then(() => "answered", () => "lost");
         await waitUntil(() => target.counters().started === 1);
@@ -137,25 +135,25 @@
         expect(await send().then(() => "answered", () => "lost")).to.equal("lost");
         target.setFaults({});
         await clock.advance(500);
-        const again = send();
+        const requestAfterRestart = send();
         await waitUntil(() => target.counters().started === 2);
         await finishWork();
-        expect((await again).statusCode).to.equal(200);
+        expect((await requestAfterRestart).statusCode).to.equal(200);
         expect(target.counters().crashes).to.equal(1);
     });
 });
 
 describe("stop of a target stand-in", () => {
-    interface Announced {
+    interface ReceivedAnnouncement {
         readonly method: string;
         readonly leaving: unknown;
     }
 
-    const startAdmin = async (heard: Announced[]): Promise<Server> => {
+    const startAdmin = async (received: ReceivedAnnouncement[]): Promise<Server> => {
         const admin = createServer((request, response) => {
             void readJson(request).then((body) => {
                 const leaving: unknown = Reflect.get(body as object, "leaving");
-                heard.push({ method: request.method ?? "", leaving });
+                received.push({ method: request.method ?? "", leaving });
                 sendJson(response, {});
             });
         });
@@ -163,11 +161,10 @@
         return admin;
     };
 
-    it("says that it leaves, finishes what is in flight, and only then withdraws", async () => {
-        // Symptom: a request in flight is cut off by a planned stop.
-        // Sequence: a request runs, the target is asked to stop, the request's work ends long afterwards.
-        // Cause: closing, or telling the node that the target is gone, before the exchanges have ended.
-        const heard: Announced[] = [];
+    it("announces that it is leaving, finishes requests in flight, and only then withdraws", async () => {
+        // Guards against a planned stop that cuts off a request in flight: the target closes, or withdraws from the
+        // node, before a request that takes long has ended.
+        const heard: ReceivedAnnouncement[] = [];
         const admin = await startAdmin(heard);
         const clock = createManualClock();
         const target = await startTargetStandIn({
@@ -187,7 +184,7 @@
         await waitUntil(() => heard.some(({ leaving }) => leaving === true));
         for (let step = 0; step < 15; step++) {
             await clock.advance(100);
-            await nextTurn();
+            await waitOneMillisecond();
         }
         expect(heard.filter(({ method }) => method === "DELETE")).to.deep.equal([]);
         expect(target.counters().inFlight).to.equal(1);
@@ -196,7 +193,7 @@
         expect((await sent).statusCode).to.equal(200);
         while (!stopped) {
             await clock.advance(50);
-            await nextTurn();
+            await waitOneMillisecond();
         }
         await stopping;
         expect(heard.at(-1)?.method).to.equal("DELETE");
--- a/packages/oleandergap-standins/src/target/announcer.ts
+++ b/packages/oleandergap-standins/src/target/announcer.ts
@@ -1,68 +1,68 @@
 /**
- * Tells the node on the target's VM about the target, again and again. The repetition is the heartbeat: when the node
- * restarts with an empty memory, the next announcement brings the target back.
+ * Registers the target periodically with the node on its VM. The announcements are heartbeats: after a node restarts
+ * without stored state, the next announcement registers the target again.
  */
 import { request } from "undici";
 import type { Announcement, Clock, Milliseconds } from "oleandergap-types";
 
-/** `announcement` is asked anew each time, so that it may change. */
+/** Options of an announcer. `createAnnouncement` is called for each announcement, so that the content may change. */
 export interface AnnouncerOptions {
     readonly node: { readonly address: string; readonly adminPort: number };
-    readonly announcement: () => Announcement;
-    readonly everyMs: Milliseconds;
+    readonly createAnnouncement: () => Announcement;
+    readonly intervalMs: Milliseconds;
     readonly clock: Clock;
 }
 
-/** The link from a target to its node; no call rejects. */
+/** Client of the node for one target. No method rejects. */
 export interface Announcer {
-    /** Announces until `signal` aborts. */
+    /** Announces the target periodically until `signal` aborts. */
     readonly start: (signal: AbortSignal) => void;
-    /** Announces once now; false when the node didn't take it. */
+    /** Announces the target once, immediately. Resolves with false if the node did not accept the announcement. */
     readonly announce: () => Promise<boolean>;
-    /** Tells the node that the target is gone. */
+    /** Removes the target from the node. */
     readonly withdraw: () => Promise<boolean>;
 }
 
 const CALL_TIMEOUT_MS = 2000;
 const FIRST_ERROR_STATUS = 400;
 
-/** Creates the link; nothing is sent before `start`, `announce` or `withdraw`. */
-export const createAnnouncer = ({ node, announcement, everyMs, clock }: AnnouncerOptions): Announcer => {
+/** Creates an announcer. It sends nothing before `start`, `announce` or `withdraw` is called. */
+export const createAnnouncer = ({ node, createAnnouncement, intervalMs, clock }: AnnouncerOptions): Announcer => {
     const url = `http://${node.address}:${node.adminPort}/v1/target`;
 
-    const call = async (method: "PUT" | "DELETE", value?: Announcement): Promise<boolean> => {
+    const sendToNode = async (method: "PUT" | "DELETE", body?: Announcement): Promise<boolean> => {
         try {
-            const answer = await request(url, {
+            const response = await request(url, {
                 method,
                 signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
-                ...(value === undefined ? {} : {
+                ...(body === undefined ? {} : {
                     headers: { "content-type": "application/json" },
-                    body: JSON.stringify(value),
+                    body: JSON.stringify(body),
                 }),
             });
-            await answer.body.dump();
-            return answer.statusCode < FIRST_ERROR_STATUS;
+            await response.body.dump();
+            return response.statusCode < FIRST_ERROR_STATUS;
         }
         catch {
-            // The node is down or restarting; the next announcement finds it again.
+            // The node is down or restarting. The next announcement is sent to it again.
             return false;
         }
     };
 
-    const announce = (): Promise<boolean> => call("PUT", announcement());
+    const announce = (): Promise<boolean> => sendToNode("PUT", createAnnouncement());
 
-    const repeat = async (signal: AbortSignal): Promise<void> => {
+    const announceRepeatedly = async (signal: AbortSignal): Promise<void> => {
         while (!signal.aborted) {
             await announce();
-            await clock.sleep(everyMs, signal);
+            await clock.sleep(intervalMs, signal);
         }
     };
 
     return {
         start: (signal) => {
-            void repeat(signal);
+            void announceRepeatedly(signal);
         },
         announce,
-        withdraw: () => call("DELETE"),
+        withdraw: () => sendToNode("DELETE"),
     };
 };
--- a/packages/oleandergap-standins/src/target/echo.ts
+++ b/packages/oleandergap-standins/src/target/echo.ts
@@ -1,9 +1,9 @@
-/** The answer of a target stand-in: it tells who answered and what was asked, so that callers can check both. */
+/** Response of a target stand-in. It contains the target and the received request, so that callers can check both. */
 import { createHash } from "node:crypto";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { z } from "zod";
 
-/** Body of every answer. */
+/** Body of every response. */
 export const echoSchema = z.object({
     target: z.string(),
     partner: z.string(),
@@ -13,77 +13,80 @@
     runKey: z.string().optional(),
     requestId: z.string().optional(),
     bodyBytes: z.number().int().nonnegative(),
-    /** SHA-256 of the request's body in hexadecimal digits. */
+    /** SHA-256 of the request body, in hexadecimal. */
     bodyDigest: z.string(),
     padding: z.string().optional(),
 });
-/** What a target tells of itself and of the request that it answers. */
+/** Description of the target and of the request that it received. */
 export type Echo = z.infer<typeof echoSchema>;
 
-/** Size and SHA-256 of a body that was read to its end. */
+/** Size and SHA-256 of a complete body. */
 export interface BodySummary {
     readonly bytes: number;
     readonly digest: string;
 }
 
-/** Reads a request's body piece by piece, so that a large upload never stands in memory. Rejects when it breaks off. */
+/**
+ * Reads a request body in chunks, so that a large upload is never held in memory. Rejects if the body is incomplete.
+ */
 export const summariseBody = async (request: IncomingMessage): Promise<BodySummary> => {
     const hash = createHash("sha256");
     let bytes = 0;
     for await (const chunk of request) {
-        const piece = chunk as Buffer;
-        bytes += piece.length;
-        hash.update(piece);
+        const chunkBytes = chunk as Buffer;
+        bytes += chunkBytes.length;
+        hash.update(chunkBytes);
     }
     if (!request.complete) {
-        throw new Error("the request's body broke off");
+        throw new Error("the request body is incomplete");
     }
     return { bytes, digest: hash.digest("hex") };
 };
 
-const PADDING_PIECE = "0123456789abcdef".repeat(1024);
-const CLOSING = "\"}";
+const PADDING_CHUNK = "0123456789abcdef".repeat(1024);
+const JSON_SUFFIX = "\"}";
 
-/** Waits for `event`, or until the connection is gone. */
-const waitFor = (response: ServerResponse, event: "drain" | "finish"): Promise<void> =>
+/** Waits for `event` or until the connection is closed. */
+const waitForEvent = (response: ServerResponse, event: "drain" | "finish"): Promise<void> =>
     new Promise((resolve) => {
-        const settle = (): void => {
-            response.off(event, settle);
-            response.off("close", settle);
+        const onSettled = (): void => {
+            response.off(event, onSettled);
+            response.off("close", onSettled);
             resolve();
         };
-        response.on(event, settle);
-        response.on("close", settle);
+        response.on(event, onSettled);
+        response.on("close", onSettled);
     });
 
 const writePadding = async (response: ServerResponse, length: number): Promise<void> => {
-    for (let left = length; left > 0 && !response.destroyed; left -= PADDING_PIECE.length) {
-        if (!response.write(PADDING_PIECE.slice(0, left))) {
-            await waitFor(response, "drain");
+    for (let remaining = length; remaining > 0 && !response.destroyed; remaining -= PADDING_CHUNK.length) {
+        if (!response.write(PADDING_CHUNK.slice(0, remaining))) {
+            await waitForEvent(response, "drain");
         }
     }
 };
 
-/** Sends `echo` with `padding` more characters; with `cut` the connection breaks before the end of the body. */
+/** Sends `echo` with `padding` extra characters. If `isTruncated` is set, resets the connection within the body. */
 export const sendEcho = async (
     response: ServerResponse,
     echo: Echo,
     padding: number,
     headers: Readonly<Record<string, string>>,
-    cut: boolean,
+    isTruncated: boolean,
 ): Promise<void> => {
-    const opening = `${JSON.stringify(echo).slice(0, -1)},"padding":"`;
-    const length = Buffer.byteLength(opening) + padding + CLOSING.length;
+    const jsonPrefix = `${JSON.stringify(echo).slice(0, -1)},"padding":"`;
+    const length = Buffer.byteLength(jsonPrefix) + padding + JSON_SUFFIX.length;
     response.writeHead(200, { "content-type": "application/json", "content-length": length, ...headers });
-    response.write(opening);
-    await writePadding(response, cut ? Math.floor(padding / 2) : padding);
-    if (cut) {
-        // The pieces written so far must leave before the connection goes, or the caller would see no answer at all.
+    response.write(jsonPrefix);
+    await writePadding(response, isTruncated ? Math.floor(padding / 2) : padding);
+    if (isTruncated) {
+        // Sends the chunks written so far before the connection is reset; otherwise the caller would receive no
+        // response.
         setImmediate(() => response.destroy());
         return;
     }
-    response.end(CLOSING);
+    response.end(JSON_SUFFIX);
     if (!response.writableFinished && !response.destroyed) {
-        await waitFor(response, "finish");
+        await waitForEvent(response, "finish");
     }
 };
--- a/packages/oleandergap-standins/src/target/exchange.ts
+++ b/packages/oleandergap-standins/src/target/exchange.ts
@@ -1,4 +1,7 @@
-/** How a target treats one request: shed, expired, cancelled, run and answered, or spoilt by a fault. */
+/**
+ * Handles one request at a target: sheds it, rejects it as expired, cancels it, runs and answers it, or applies a
+ * fault.
+ */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
     REASON_HEADER,
@@ -9,40 +12,40 @@
     type RefusalReason,
 } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { formatRetryAfter } from "../http/formatRetryAfter.js";
+import { formatRetryAfterHeaders } from "../http/formatRetryAfter.js";
 import { readPath, sendJson } from "../http/jsonHttp.js";
 import { sendEcho, summariseBody } from "./echo.js";
 import type { TargetFaults, TargetOptions } from "./options.js";
-import { readRequestFacts, type RequestFacts } from "./requestFacts.js";
+import { readRequestHeaders, type RequestHeaders } from "./requestFacts.js";
 import type { RunLog } from "./runLog.js";
 import { drawServiceTime } from "./serviceTime.js";
 
-/** What has happened at a target so far. */
+/** Counters of a target since its start. */
 export interface TargetCounters {
-    /** Requests that arrived, whatever became of them. */
+    /** Requests that arrived, whatever their outcome. */
     received: number;
-    /** Requests whose work began. */
+    /** Requests whose processing started. */
     started: number;
     answered: number;
     shed: number;
-    /** Refused because their deadline had passed. */
+    /** Requests refused because their deadline had passed. */
     expired: number;
-    /** Broken off because the other side hung up. */
+    /** Requests cancelled because the client disconnected. */
     cancelled: number;
-    /** Ends of the target by a request that it ran. */
+    /** Crashes of the target that were caused by a request. */
     crashes: number;
-    /** Requests that arrived after the target had said that it is leaving. */
+    /** Requests that arrived after the target had announced that it is leaving. */
     receivedWhileLeaving: number;
-    /** Time from that word to the last such request. */
+    /** Time from that announcement to the last such request. */
     lastReceivedWhileLeavingMs: Milliseconds;
-    /** Requests held now. */
+    /** Requests currently in flight. */
     inFlight: number;
-    /** Most requests ever held at once. */
+    /** Maximum number of requests in flight at the same time. */
     peakInFlight: number;
 }
 
-/** What all exchanges of one target share. */
-export interface ExchangeContext {
+/** State that all requests to one target share. */
+export interface RequestContext {
     readonly options: TargetOptions;
     readonly clock: Clock;
     readonly random: Random;
@@ -50,13 +53,13 @@
     readonly counters: TargetCounters;
     readonly startedAt: Milliseconds;
     readonly faults: () => TargetFaults;
-    /** Ends the target as a killed process would; it starts again by itself. */
+    /** Stops the target abruptly, like a killed process. The target restarts automatically. */
     readonly crash: () => void;
 }
 
 const SERVICE_UNAVAILABLE = 503;
 
-const refuse = (
+const sendRefusal = (
     response: ServerResponse,
     reason: RefusalReason,
     retryAfterMs: Milliseconds,
@@ -64,69 +67,70 @@
     sendJson(response, { error: reason }, SERVICE_UNAVAILABLE, {
         [VERDICT_HEADER]: "notRun",
         [REASON_HEADER]: reason,
-        ...formatRetryAfter(retryAfterMs),
+        ...formatRetryAfterHeaders(retryAfterMs),
     });
 };
 
-/** Aborts when the other side has hung up before the answer was complete. */
-const watchHangUp = (response: ServerResponse): AbortSignal => {
-    const hungUp = new AbortController();
+/** Returns a signal that aborts when the client disconnects before the response is complete. */
+const watchDisconnect = (response: ServerResponse): AbortSignal => {
+    const disconnected = new AbortController();
     response.once("close", () => {
         if (!response.writableFinished) {
-            hungUp.abort();
+            disconnected.abort();
         }
     });
-    return hungUp.signal;
+    return disconnected.signal;
 };
 
-const workTime = (context: ExchangeContext): Milliseconds => {
-    const age = context.clock.monotonic() - context.startedAt;
-    const drawn = drawServiceTime(context.options, context.random, age) + context.faults().slowByMs;
-    // Without shedding, requests beyond the slots share the slots' capacity, so that all of them take longer.
-    const crowding = context.options.shed ? 1 : Math.max(1, context.counters.inFlight / context.options.slots);
-    return drawn * crowding;
+const computeServiceTime = (context: RequestContext): Milliseconds => {
+    const uptimeMs = context.clock.monotonic() - context.startedAt;
+    const drawnTime = drawServiceTime(context.options, context.random, uptimeMs) + context.faults().slowByMs;
+    // Without load shedding, requests beyond the slots share the capacity of the slots, so that all requests take
+    // longer.
+    const overloadFactor = context.options.shed ? 1 : Math.max(1, context.counters.inFlight / context.options.slots);
+    return drawnTime * overloadFactor;
 };
 
-const answer = async (
-    context: ExchangeContext,
+const sendEchoResponse = async (
+    context: RequestContext,
     request: IncomingMessage,
     response: ServerResponse,
-    facts: RequestFacts,
+    requestHeaders: RequestHeaders,
     body: { readonly bytes: number; readonly digest: string },
 ): Promise<void> => {
     const { id, partner, service } = context.options;
-    const cut = context.random() < context.faults().cutAnswerShare;
+    const isTruncated = context.random() < context.faults().cutAnswerShare;
     const echo = {
         target: id,
         partner,
         service,
         method: request.method ?? "",
         path: request.url ?? "",
-        ...(facts.runKey === undefined ? {} : { runKey: facts.runKey }),
-        ...(facts.requestId === undefined ? {} : { requestId: facts.requestId }),
+        ...(requestHeaders.runKey === undefined ? {} : { runKey: requestHeaders.runKey }),
+        ...(requestHeaders.requestId === undefined ? {} : { requestId: requestHeaders.requestId }),
         bodyBytes: body.bytes,
         bodyDigest: body.digest,
     };
-    const headers = facts.requestId === undefined ? {} : { [REQUEST_ID_HEADER]: facts.requestId };
-    await sendEcho(response, echo, facts.answerPadding, headers, cut);
-    context.counters.answered += cut ? 0 : 1;
+    const headers = requestHeaders.requestId === undefined ? {} : { [REQUEST_ID_HEADER]: requestHeaders.requestId };
+    await sendEcho(response, echo, requestHeaders.answerPadding, headers, isTruncated);
+    context.counters.answered += isTruncated ? 0 : 1;
 };
 
-const run = async (
-    context: ExchangeContext,
+const processRequest = async (
+    context: RequestContext,
     request: IncomingMessage,
     response: ServerResponse,
-    facts: RequestFacts,
-    hungUp: AbortSignal,
+    requestHeaders: RequestHeaders,
+    disconnected: AbortSignal,
 ): Promise<void> => {
     const body = await summariseBody(request);
     context.counters.started += 1;
-    context.runLog.record(facts.runKey, facts.requestId);
-    await context.clock.sleep(workTime(context), hungUp);
+    context.runLog.record(requestHeaders.runKey, requestHeaders.requestId);
+    await context.clock.sleep(computeServiceTime(context), disconnected);
     if (context.random() < context.faults().hangShare) {
-        await new Promise<void>((resolve) => hungUp.addEventListener("abort", () => resolve(), { once: true }));
+        await new Promise<void>((resolve) => disconnected.addEventListener("abort", () => resolve(), { once: true }));
     }
-    if (hungUp.aborted) {
+    if (disconnected.aborted) {
         context.counters.cancelled += 1;
         return;
     }
@@ -135,37 +139,37 @@
         context.crash();
         return;
     }
-    await answer(context, request, response, facts, body);
+    await sendEchoResponse(context, request, response, requestHeaders, body);
 };
 
-const isFull = ({ options, counters, random, faults }: ExchangeContext): boolean =>
+const shouldShed = ({ options, counters, random, faults }: RequestContext): boolean =>
     (options.shed && counters.inFlight >= options.slots) || random() < faults().shedShare;
 
-/** Carries one request to its end. Never rejects: a broken connection is one of the faults. */
-export const handleExchange = async (
-    context: ExchangeContext,
+/** Handles one request. Never rejects: a broken connection is one of the simulated faults. */
+export const handleRequest = async (
+    context: RequestContext,
     request: IncomingMessage,
     response: ServerResponse,
 ): Promise<void> => {
     const { counters, options } = context;
-    const facts = readRequestFacts(request);
-    if (facts.timeoutMs !== undefined && facts.timeoutMs <= 0) {
+    const requestHeaders = readRequestHeaders(request);
+    if (requestHeaders.timeoutMs !== undefined && requestHeaders.timeoutMs <= 0) {
         counters.expired += 1;
-        refuse(response, "DeadlinePassed", options.serviceTime.medianMs);
+        sendRefusal(response, "DeadlinePassed", options.serviceTime.medianMs);
         return;
     }
-    if (isFull(context)) {
+    if (shouldShed(context)) {
         counters.shed += 1;
-        refuse(response, "QueueFull", options.serviceTime.medianMs);
+        sendRefusal(response, "QueueFull", options.serviceTime.medianMs);
         return;
     }
     counters.inFlight += 1;
     counters.peakInFlight = Math.max(counters.peakInFlight, counters.inFlight);
     try {
-        await run(context, request, response, facts, watchHangUp(response));
+        await processRequest(context, request, response, requestHeaders, watchDisconnect(response));
     }
     catch {
-        // The request's body broke off: nothing ran, and there is nobody to tell.
+        // The request body is incomplete: the request did not run, and the client has disconnected.
         counters.cancelled += 1;
         response.destroy();
     }
--- a/packages/oleandergap-standins/src/target/laggingLoad.ts
+++ b/packages/oleandergap-standins/src/target/laggingLoad.ts
@@ -1,27 +1,27 @@
-/** A load reading that is always late, as the partners' load endpoints are. */
+/** Load value that is always outdated, like the values of the partners' load endpoints. */
 import type { Clock, Milliseconds } from "oleandergap-types";
 
-/** What a load endpoint tells. */
+/** Load that a load endpoint reports. */
 export interface LoadReading {
     readonly inFlight: number;
     readonly slots: number;
 }
 
-/** The value that `read` had between one and two times `lag` ago. */
+/** Returns a function that reports the value that `read` returned between one and two times `lag` earlier. */
 export const createLaggingLoad = (
     read: () => LoadReading,
     lag: Milliseconds,
     clock: Clock,
     signal: AbortSignal,
 ): (() => LoadReading) => {
-    let told = read();
-    let sampled = told;
+    let reportedLoad = read();
+    let latestSample = reportedLoad;
 
     const sample = async (): Promise<void> => {
         while (!signal.aborted) {
             await clock.sleep(lag, signal);
-            told = sampled;
-            sampled = read();
+            reportedLoad = latestSample;
+            latestSample = read();
         }
     };
 
@@ -29,5 +29,5 @@
         return read;
     }
     void sample();
-    return () => told;
+    return () => reportedLoad;
 };
--- a/packages/oleandergap-standins/src/target/runLog.ts
+++ b/packages/oleandergap-standins/src/target/runLog.ts
@@ -1,20 +1,20 @@
-/** Remembers what a target ran, so that an experiment can count the runs of each request. */
+/** Records the requests that a target ran, so that an experiment can count the runs of each request. */
 
-/** Request ids that are kept for one key; more would only repeat the story. */
+/** Maximum number of request ids that are stored per key. More ids would add no information. */
 const MAX_REQUEST_IDS_PER_KEY = 8;
 
-/** What ran under one key. */
+/** Runs of one key. */
 export interface KeyRuns {
     readonly key: string;
     readonly runs: number;
-    /** Ids of the attempts that ran, as far as they were told, at most eight. */
+    /** Ids of the attempts that ran and carried an id, at most eight. */
     readonly requestIds: readonly string[];
 }
 
-/** Counts runs by key. Grows with the number of keys, so a run of an experiment uses a new target. */
+/** Counts runs by key. The log grows with the number of keys, so each run of an experiment uses a new target. */
 export interface RunLog {
     readonly record: (key: string | undefined, requestId: string | undefined) => void;
-    /** All runs, with and without a key. */
+    /** Number of all runs, with and without a key. */
     readonly total: () => number;
     readonly runsOf: (key: string) => number;
     readonly entries: () => readonly KeyRuns[];
@@ -31,10 +31,10 @@
     const byKey = new Map<string, MutableKeyRuns>();
     let total = 0;
 
-    const findOrCreate = (key: string): MutableKeyRuns => {
-        const known = byKey.get(key);
-        if (known !== undefined) {
-            return known;
+    const findOrCreateEntry = (key: string): MutableKeyRuns => {
+        const existing = byKey.get(key);
+        if (existing !== undefined) {
+            return existing;
         }
         const created = { key, runs: 0, requestIds: [] };
         byKey.set(key, created);
@@ -46,7 +46,7 @@
         if (key === undefined) {
             return;
         }
-        const entry = findOrCreate(key);
+        const entry = findOrCreateEntry(key);
         entry.runs += 1;
         if (requestId !== undefined && entry.requestIds.length < MAX_REQUEST_IDS_PER_KEY) {
             entry.requestIds.push(requestId);
@@ -61,15 +61,15 @@
     };
 };
 
-/** Adds up the logs of several targets: a request that ran once at each of two targets ran twice. */
+/** Merges the logs of several targets. A request that ran once at each of two targets counts as two runs. */
 export const mergeRuns = (logs: readonly (readonly KeyRuns[])[]): readonly KeyRuns[] => {
     const merged = new Map<string, KeyRuns>();
     for (const entry of logs.flat()) {
-        const known = merged.get(entry.key);
-        merged.set(entry.key, known === undefined ? entry : {
+        const existing = merged.get(entry.key);
+        merged.set(entry.key, existing === undefined ? entry : {
             key: entry.key,
-            runs: known.runs + entry.runs,
-            requestIds: [...known.requestIds, ...entry.requestIds].slice(0, MAX_REQUEST_IDS_PER_KEY),
+            runs: existing.runs + entry.runs,
+            requestIds: [...existing.requestIds, ...entry.requestIds].slice(0, MAX_REQUEST_IDS_PER_KEY),
         });
     }
     return [...merged.values()];
--- a/packages/oleandergap-standins/src/target/targetControl.ts
+++ b/packages/oleandergap-standins/src/target/targetControl.ts
@@ -1,10 +1,10 @@
 /**
- * Control interface of a process that runs target stand-ins. It has a port of its own, so that a target that hangs or
- * is full can still be asked and switched:
+ * Control interface of a process that runs target stand-ins. It listens on a separate port, so that a target that hangs
+ * or is full can still be inspected and controlled:
  *
- * - `GET /control/runs`: runs per key over all targets of the process;
- * - `GET /control/targets`: every target with its counters;
- * - `PUT /control/targets/<id>/faults`: replaces the target's switches;
+ * - `GET /control/runs`: returns the runs per key of all targets of the process;
+ * - `GET /control/targets`: returns all targets with their counters;
+ * - `PUT /control/targets/<id>/faults`: replaces the faults of the target;
  * - `POST /control/targets/<id>/{leave,stop,crash,restart,silence}`.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
@@ -15,19 +15,19 @@
 import { mergeRuns, type KeyRuns } from "./runLog.js";
 import type { TargetStandIn } from "./targetStandIn.js";
 
-/** A control interface that listens. */
+/** A running control interface. */
 export interface TargetControl {
     readonly port: number;
     readonly close: () => Promise<void>;
 }
 
-/** Answer of `GET /control/runs`. */
+/** Response of `GET /control/runs`. */
 export interface RunsReport {
     readonly total: number;
     readonly keys: readonly KeyRuns[];
 }
 
-/** One entry of the answer of `GET /control/targets`. */
+/** Entry of the response of `GET /control/targets`. */
 export interface TargetReport {
     readonly id: string;
     readonly partner: string;
@@ -79,7 +79,7 @@
     }
 };
 
-const route = async (
+const routeRequest = async (
     targets: readonly TargetStandIn[],
     request: IncomingMessage,
     response: ServerResponse,
@@ -96,20 +96,20 @@
     const [, id, action] = TARGET_PATH.exec(path) ?? [];
     const target = targets.find((candidate) => candidate.options.id === id);
     if (target === undefined || action === undefined) {
-        sendJson(response, { error: `nothing at ${path}` }, NOT_FOUND);
+        sendJson(response, { error: `no such control: ${path}` }, NOT_FOUND);
         return;
     }
     sendJson(response, await runAction(target, action, request));
 };
 
-/** Serves the control interface of `targets`. */
+/** Starts the control interface of `targets`. */
 export const startTargetControl = async (
     targets: readonly TargetStandIn[],
     address: string,
     port: number,
 ): Promise<TargetControl> => {
     const server = createServer((request, response) => {
-        route(targets, request, response).catch((error: unknown) => {
+        routeRequest(targets, request, response).catch((error: unknown) => {
             sendJson(response, { error: describeInputError(error) }, BAD_REQUEST);
         });
     });
--- a/packages/oleandergap-standins/src/target/targetStandIn.ts
+++ b/packages/oleandergap-standins/src/target/targetStandIn.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for a partner's target: it has slots, a limit of connections, skewed service times and a cold start, sheds
- * load, tells little truth about its health, drains, and has faults on demand.
+ * Stand-in for a partner's target. It has slots, a connection limit, skewed service times and a cold start. It sheds
+ * load, reports an unreliable health status, drains its requests on a stop, and simulates faults.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
@@ -8,7 +8,7 @@
 import { createSeededRandom, createSystemClock, type Random } from "oleandergap-utils";
 import { closeAbruptly, closeGracefully, listen, readPath, sendJson } from "../http/jsonHttp.js";
 import { createAnnouncer, type Announcer } from "./announcer.js";
-import { handleExchange, type ExchangeContext, type TargetCounters } from "./exchange.js";
+import { handleRequest, type RequestContext, type TargetCounters } from "./exchange.js";
 import { createLaggingLoad } from "./laggingLoad.js";
 import {
     noTargetFaults,
@@ -19,37 +19,42 @@
 } from "./options.js";
 import { createRunLog, type RunLog } from "./runLog.js";
 
-/** A target that listens and, if it has a node, announces itself. */
+/** A running target stand-in. It announces itself to its node, if it has one. */
 export interface TargetStandIn {
     readonly options: TargetOptions;
     readonly address: string;
     readonly port: number;
     readonly runLog: RunLog;
     readonly counters: () => Readonly<TargetCounters>;
-    /** Replaces all switches; what is left out is off. */
+    /** Replaces all faults. Omitted faults are off. */
     readonly setFaults: (faults: Partial<TargetFaults>) => void;
-    /** The connections that are open now go silent for good; new ones work. Returns how many there were. */
+    /**
+     * Makes all open connections permanently unresponsive; new connections work. Returns the number of open
+     * connections.
+     */
     readonly silenceConnections: () => number;
-    /** Says that the target is leaving; it goes on serving until `stop`. */
+    /** Announces that the target is leaving. It serves requests until `stop` is called. */
     readonly leave: () => Promise<void>;
-    /** Leaves, waits until nothing is in flight, closes, and withdraws from the node. */
+    /**
+     * Announces that the target is leaving, waits until no request is in flight, withdraws from the node, and closes.
+     */
     readonly stop: () => Promise<void>;
-    /** Ends at once and resets every connection; the node isn't told. */
+    /** Stops immediately and resets all connections, without informing the node. */
     readonly crash: () => Promise<void>;
-    /** Ends in the same way, and starts again after the time that its switches name. */
+    /** Stops in the same way and restarts after the `crashDownMs` of its faults. */
     readonly restart: () => void;
 }
 
-/** What tests replace; by default the system's clock and random numbers from the options' seed. */
+/** Dependencies that tests replace. Defaults to the system clock and random numbers from the seed in the options. */
 export interface TargetDependencies {
     readonly clock?: Clock;
     readonly random?: Random;
 }
 
-const NOT_WELL = 503;
+const SERVICE_UNAVAILABLE = 503;
 const DRAIN_POLL_MS = 20;
-/** A leaving target waits this long for requests that were on their way when it said so. */
-const MIN_LEAVE_MS = 500;
+/** Minimum time for which a leaving target waits for requests that were already on their way when it announced this. */
+const MIN_DRAIN_MS = 500;
 
 const createCounters = (): TargetCounters => ({
     received: 0,
@@ -65,45 +70,45 @@
     peakInFlight: 0,
 });
 
-interface TargetState extends ExchangeContext {
+interface TargetState extends RequestContext {
     crash: () => void;
-    /** Monotonic time at which the target said that it leaves. */
+    /** Monotonic time at which the target announced that it is leaving. */
     leavingSince: Milliseconds | undefined;
     currentFaults: TargetFaults;
     readonly sockets: Set<Socket>;
-    readonly silenced: WeakSet<Socket>;
-    /** Of the process that the target plays; a target that was ended by a request gets a new one. */
+    readonly silencedSockets: WeakSet<Socket>;
+    /** Lifetime of the simulated process. A target that was crashed by a request gets a new one. */
     lifetime: AbortController;
-    /** Lifetimes so far. */
-    lifetimes: number;
+    /** Number of lifetimes, including the current one. */
+    lifetimeCount: number;
 }
 
 const createState = (options: TargetOptions, { clock, random }: TargetDependencies): TargetState => {
-    const usedClock = clock ?? createSystemClock();
+    const effectiveClock = clock ?? createSystemClock();
     const state: TargetState = {
         options,
-        clock: usedClock,
+        clock: effectiveClock,
         random: random ?? createSeededRandom(options.seed),
         runLog: createRunLog(),
         counters: createCounters(),
-        startedAt: usedClock.monotonic(),
+        startedAt: effectiveClock.monotonic(),
         faults: () => state.currentFaults,
         crash: () => undefined,
         leavingSince: undefined,
         currentFaults: noTargetFaults,
         sockets: new Set(),
-        silenced: new WeakSet(),
+        silencedSockets: new WeakSet(),
         lifetime: new AbortController(),
-        lifetimes: 1,
+        lifetimeCount: 1,
     };
     return state;
 };
 
-const answerHealth = (state: TargetState, response: ServerResponse): void => {
+const sendHealth = (state: TargetState, response: ServerResponse): void => {
     const { options, counters } = state;
-    const well = options.healthBehaviour.health === "alwaysOk" ||
+    const isHealthy = options.healthBehaviour.health === "alwaysOk" ||
         (counters.inFlight < options.slots && state.leavingSince === undefined);
-    sendJson(response, { status: well ? "ok" : "busy" }, well ? undefined : NOT_WELL);
+    sendJson(response, { status: isHealthy ? "ok" : "busy" }, isHealthy ? undefined : SERVICE_UNAVAILABLE);
 };
 
 const countArrival = (state: TargetState): void => {
@@ -115,36 +120,37 @@
     }
 };
 
-const createHandler = (state: TargetState) => {
+const createRequestHandler = (state: TargetState) => {
     const { options, counters, clock, lifetime } = state;
-    const readLoad = (): { inFlight: number; slots: number } => ({
+    const readCurrentLoad = (): { inFlight: number; slots: number } => ({
         inFlight: counters.inFlight,
         slots: options.slots,
     });
-    const lateLoad = createLaggingLoad(readLoad, options.healthBehaviour.loadLagMs, clock, lifetime.signal);
+    const readLaggingLoad =
+        createLaggingLoad(readCurrentLoad, options.healthBehaviour.loadLagMs, clock, lifetime.signal);
     return (request: IncomingMessage, response: ServerResponse): void => {
-        if (state.currentFaults.silent || state.silenced.has(request.socket)) {
+        if (state.currentFaults.silent || state.silencedSockets.has(request.socket)) {
             request.socket.setTimeout(0);
             return;
         }
         switch (readPath(request)) {
             case "/health":
-                answerHealth(state, response);
+                sendHealth(state, response);
                 return;
             case "/load":
-                sendJson(response, lateLoad());
+                sendJson(response, readLaggingLoad());
                 return;
             default:
                 countArrival(state);
-                void handleExchange(state, request, response);
+                void handleRequest(state, request, response);
         }
     };
 };
 
 const createTargetServer = (state: TargetState): Server => {
-    const server = createServer({ keepAliveTimeout: state.options.keepAliveMs }, createHandler(state));
+    const server = createServer({ keepAliveTimeout: state.options.keepAliveMs }, createRequestHandler(state));
     server.maxConnections = state.options.connections;
-    // A large upload over a slow line may take longer than Node's default of five minutes.
+    // A large upload over a slow connection may take longer than Node's default timeout of five minutes.
     server.requestTimeout = 0;
     server.on("connection", (socket) => {
         state.sockets.add(socket);
@@ -155,7 +161,7 @@
 
 const silenceOpenConnections = (state: TargetState): number => {
     for (const socket of state.sockets) {
-        state.silenced.add(socket);
+        state.silencedSockets.add(socket);
         socket.setTimeout(0);
     }
     return state.sockets.size;
@@ -165,9 +171,9 @@
     const { id, node, partner, service, address, slots, connections, announceEveryMs } = state.options;
     return node === undefined ? undefined : createAnnouncer({
         node,
-        everyMs: announceEveryMs,
+        intervalMs: announceEveryMs,
         clock: state.clock,
-        announcement: () => ({
+        createAnnouncement: () => ({
             partner,
             service,
             address,
@@ -175,20 +181,20 @@
             slots,
             connections,
             leaving: state.leavingSince !== undefined,
-            instanceId: `${id}/${state.lifetimes}`,
+            instanceId: `${id}/${state.lifetimeCount}`,
         }),
     });
 };
 
 const waitUntilIdle = async (state: TargetState): Promise<void> => {
-    const leftAt = state.leavingSince ?? 0;
-    const never = new AbortController().signal;
-    while (state.counters.inFlight > 0 || state.clock.monotonic() - leftAt < MIN_LEAVE_MS) {
-        await state.clock.sleep(DRAIN_POLL_MS, never);
+    const leavingSince = state.leavingSince ?? 0;
+    const neverAborted = new AbortController().signal;
+    while (state.counters.inFlight > 0 || state.clock.monotonic() - leavingSince < MIN_DRAIN_MS) {
+        await state.clock.sleep(DRAIN_POLL_MS, neverAborted);
     }
 };
 
-/** Starts a target; rejects when its port is taken or its options are wrong. */
+/** Starts a target stand-in. Rejects if its port is in use or its options are invalid. */
 export const startTargetStandIn = async (
     settings: Parameters<typeof targetOptionsSchema.parse>[0],
     dependencies: TargetDependencies = {},
@@ -201,32 +207,32 @@
     announcer?.start(state.lifetime.signal);
     let isStopped = false;
 
-    const end = async (): Promise<void> => {
+    const shutDownAbruptly = async (): Promise<void> => {
         state.lifetime.abort();
         await closeAbruptly(server);
     };
 
-    const startAgain = async (): Promise<void> => {
+    const startServerAgain = async (): Promise<void> => {
         state.lifetime = new AbortController();
-        state.lifetimes += 1;
+        state.lifetimeCount += 1;
         server = createTargetServer(state);
         await listen(server, options.address, port);
         announcer?.start(state.lifetime.signal);
     };
 
-    const crashAndReturn = async (): Promise<void> => {
+    const crashAndRestart = async (): Promise<void> => {
         if (state.lifetime.signal.aborted) {
             return;
         }
         const downMs = state.currentFaults.crashDownMs;
-        await end();
+        await shutDownAbruptly();
         await state.clock.sleep(downMs, new AbortController().signal);
         if (!isStopped) {
-            await startAgain();
+            await startServerAgain();
         }
     };
     state.crash = () => {
-        void crashAndReturn();
+        void crashAndRestart();
     };
 
     const leave = async (): Promise<void> => {
@@ -258,7 +264,7 @@
         restart: state.crash,
         crash: async () => {
             isStopped = true;
-            await end();
+            await shutDownAbruptly();
         },
     };
 };
--- a/packages/oleandergap-standins/src/targetsMain.ts
+++ b/packages/oleandergap-standins/src/targetsMain.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
-/** Runs the target stand-ins of a plan file in one process: `targetsMain.js --plan FILE` (JSON). */
+/** Runs the target stand-ins of a JSON plan file in one process: `targetsMain.js --plan FILE`. */
 import { readFile } from "node:fs/promises";
 import { parseArgs } from "node:util";
-import { announceReady, runUntilStopped, type Stoppable } from "./process/runUntilStopped.js";
+import { printReadyLine, runUntilStopped, type Stoppable } from "./process/runUntilStopped.js";
 import { targetsPlanSchema } from "./target/options.js";
 import { startTargetControl } from "./target/targetControl.js";
 import { startTargetStandIn } from "./target/targetStandIn.js";
@@ -16,7 +16,7 @@
     const plan = targetsPlanSchema.parse(JSON.parse(await readFile(values.plan, "utf8")));
     const targets = await Promise.all(plan.targets.map((options) => startTargetStandIn(options)));
     const control = await startTargetControl(targets, plan.control.address, plan.control.port);
-    announceReady({ controlPort: control.port, targets: targets.length });
+    printReadyLine({ controlPort: control.port, targets: targets.length });
     return {
         stop: async () => {
             await Promise.all(targets.map((target) => target.stop()));
