--- a/packages/oleandergap-demo/src/__tests__/fleet.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleet.test.ts
@@ -14,7 +14,7 @@
 import { createSmallPlan } from "../plan/deployments.js";
 import { STEP_TIMEOUT, TIME_LIMIT, choosePortBase } from "./fleetProbes.js";
 
-/** Ids of the processes whose command line names `text`. */
+/** Returns the ids of the processes whose command line contains `text`. */
 const listProcesses = async (text: string): Promise<readonly string[]> => {
     const ids = (await readdir("/proc")).filter((name) => /^[0-9]+$/.test(name));
     const lines = await Promise.all(ids.map(async (id) => ({
@@ -25,7 +25,7 @@
 };
 
 describe("runCheck", () => {
-    it("goes one full round with real processes", async () => {
+    it("completes all steps with real processes", async () => {
         const lines: string[] = [];
         await runCheck({
             plan: createSmallPlan(choosePortBase(0)),
@@ -54,31 +54,31 @@
     const callUntilAnswered = async (fleet: Fleet, nodeId: string): Promise<CallResult> => {
         const caller = createCaller();
         const gateway = { address: fleet.node(nodeId).vm.address, port: fleet.plan.ports.gateway };
-        let last = "";
+        let lastResult = "";
         const probe = async (): Promise<CallResult | undefined> => {
             const result = await caller.call(gateway, createRequest(nodeId));
-            last = JSON.stringify(result);
+            lastResult = JSON.stringify(result);
             return result.kind === "Answered" ? result : undefined;
         };
-        const wait = { what: `${nodeId} serves`, timeoutMs: STEP_TIMEOUT, signal: fleet.signal };
-        return waitForValue(wait, probe, () => last).finally(() => caller.close());
+        const waitOptions = { description: `${nodeId} serves`, timeoutMs: STEP_TIMEOUT, signal: fleet.signal };
+        return waitForValue(waitOptions, probe, () => lastResult).finally(() => caller.close());
     };
 
-    it("names a port that is taken", async () => {
+    it("names a port that is in use", async () => {
         const plan = createSmallPlan(choosePortBase(1));
-        const holder = createServer();
-        holder.listen(plan.ports.gateway, "127.20.1.1");
-        await once(holder, "listening");
+        const portHolder = createServer();
+        portHolder.listen(plan.ports.gateway, "127.20.1.1");
+        await once(portHolder, "listening");
         const reason = await startFleet(plan).then(() => "started", (error: Error) => error.message);
-        holder.close();
+        portHolder.close();
 
         expect(reason).to.contain(`tcp port 127.20.1.1:${plan.ports.gateway} is in use`);
     });
 
-    it("serves on while a node is killed and while one is frozen, and takes both back", async () => {
-        // Symptom: requests fail, or a node comes back with an older version than it had applied.
-        // Sequence: a node is killed, the other zone's node is asked; the node restarts; the other freezes and resumes.
-        // Cause: nodes keep nothing on disk, and a frozen one goes on where it stopped.
+    it("serves requests while a node is killed or frozen, and recovers both nodes", async () => {
+        // Guards against failing requests, and against a recovered node with an older version than it had applied.
+        // Nodes store nothing on disk and start empty after a kill; a frozen node continues with its state from before
+        // the freeze.
         const fleet = await startFleet(createSmallPlan(choosePortBase(2)));
         try {
             await fleet.node("hall-a-1").kill();
@@ -101,16 +101,16 @@
 describe("main", () => {
     const program = fileURLToPath(new URL("../main.js", import.meta.url));
 
-    it("stops everything on Ctrl-C and exits with 0", async () => {
-        // Symptom: after Ctrl-C daemons go on running and hold their ports.
-        // Sequence: the terminal sends SIGINT to the whole process group, and npm sends it a second time.
-        // Cause: a second signal that breaks off the stop, or children that nobody asks to end.
+    it("stops all processes on Ctrl-C and exits with 0", async () => {
+        // Guards against daemons that keep running and occupy their ports after Ctrl-C. The terminal sends SIGINT to
+        // the whole process group and npm sends it again; the second signal must not interrupt the stop of the child
+        // processes.
         const base = String(choosePortBase(3));
         const main = spawn(process.execPath, [program, "--small", "--port-base", base], {
             detached: true,
             stdio: ["ignore", "pipe", "inherit"],
         });
-        const ended = once(main, "exit");
+        const exited = once(main, "exit");
         let folder = "";
         for await (const line of createInterface({ input: main.stdout })) {
             folder = /logs: (.+)$/.exec(line)?.[1] ?? folder;
@@ -122,7 +122,7 @@
             }
         }
 
-        expect(await ended).to.deep.equal([0, null]);
+        expect(await exited).to.deep.equal([0, null]);
         expect(folder).to.not.equal("");
         expect(existsSync(folder)).to.equal(false);
         expect(await listProcesses(folder)).to.deep.equal([]);
--- a/packages/oleandergap-demo/src/__tests__/fleetCrashes.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetCrashes.test.ts
@@ -9,24 +9,24 @@
 const SERVICE = { partner: "halloway", service: "wills-desk" } as const;
 const TARGETS = 6;
 const CRASH_PATH = "/items/crash";
-/** Short, so that there are targets left to crash. */
-const DOWN_MS: Milliseconds = 300;
-/** Time that nodes have to tell each other. */
-const CONTACT_MS: Milliseconds = 3000;
-const CRASHES_BEFORE = 3;
-const SENDS_AFTER = 3;
-const READ_DISTANCE_MS: Milliseconds = 25;
-/** Some targets are back by the next send. */
-const SEND_DISTANCE_MS: Milliseconds = 100;
+/** Short, so that enough targets are running to be crashed. */
+const TARGET_RESTART_DELAY_MS: Milliseconds = 300;
+/** Time for evidence to propagate between the nodes. */
+const PROPAGATION_MS: Milliseconds = 3000;
+const CRASHES_TO_CONTAIN = 3;
+const MAX_LATE_RUNS = 3;
+const READ_INTERVAL_MS: Milliseconds = 25;
+/** Long enough that some targets have restarted before the next send. */
+const SEND_INTERVAL_MS: Milliseconds = 100;
 
 const sleep = (durationMs: Milliseconds): Promise<void> => new Promise((resolve) => setTimeout(resolve, durationMs));
 
-const reasonOf = (result: CallResult): string | undefined => result.kind === "Refused" ? result.reason : result.kind;
+const getReason = (result: CallResult): string | undefined => result.kind === "Refused" ? result.reason : result.kind;
 
 describe("a request that crashes its targets, in a fleet of real processes", () => {
     let fleet: Fleet;
     let caller: Caller;
-    let crashes = 0;
+    let sentCrashRequests = 0;
 
     beforeEach(async function () {
         this.timeout(TIME_LIMIT);
@@ -34,7 +34,7 @@
         caller = createCaller();
         await Promise.all(fleet.nodes.map(({ vm }) => readUntilAnswered(fleet, caller, SERVICE, vm.id)));
         await Promise.all(fleet.nodes.map(({ vm }) =>
-            fleet.targets.setFaults(vm.id, { crashPath: CRASH_PATH, crashDownMs: DOWN_MS })));
+            fleet.targets.setFaults(vm.id, { crashPath: CRASH_PATH, crashDownMs: TARGET_RESTART_DELAY_MS })));
     });
 
     afterEach(async function () {
@@ -43,9 +43,9 @@
         await fleet.stop();
     });
 
-    const createCrash = (method: "GET" | "POST"): CallRequest => {
-        crashes += 1;
-        return { ...createRead(SERVICE, `crash-${crashes}`), method, path: CRASH_PATH };
+    const createCrashRequest = (method: "GET" | "POST"): CallRequest => {
+        sentCrashRequests += 1;
+        return { ...createRead(SERVICE, `crash-${sentCrashRequests}`), method, path: CRASH_PATH };
     };
 
     const countCrashes = async (): Promise<number> => (await fleet.targets.targets())
@@ -55,21 +55,21 @@
         .filter(({ key }) => key.startsWith("crash-"))
         .reduce((sum, { runs }) => sum + runs, 0);
 
-    /** Sends it through one node after the other, as a caller that does not give up. */
-    const sendEverywhere = async (method: "GET" | "POST"): Promise<readonly CallResult[]> => {
+    /** Sends the request through all nodes in turn, like a caller that keeps retrying. */
+    const sendThroughAllNodes = async (method: "GET" | "POST"): Promise<readonly CallResult[]> => {
         const results: CallResult[] = [];
         for (const { vm } of fleet.nodes) {
-            results.push(await caller.call(findGateway(fleet, vm.id), createCrash(method)));
-            await sleep(SEND_DISTANCE_MS);
+            results.push(await caller.call(findGateway(fleet, vm.id), createCrashRequest(method)));
+            await sleep(SEND_INTERVAL_MS);
         }
         return results;
     };
 
     const sendUntilThirdCrash = (method: "GET" | "POST"): Promise<void> =>
         waitUntil(fleet, "three targets have crashed", async () => {
-            const { vm } = fleet.nodes[crashes % TARGETS] ?? fleet.node("");
-            await caller.call(findGateway(fleet, vm.id), createCrash(method));
-            return await countCrashes() >= CRASHES_BEFORE;
+            const { vm } = fleet.nodes[sentCrashRequests % TARGETS] ?? fleet.node("");
+            await caller.call(findGateway(fleet, vm.id), createCrashRequest(method));
+            return await countCrashes() >= CRASHES_TO_CONTAIN;
         });
 
     /** Reads one popular path through all nodes until `signal` aborts. */
@@ -79,52 +79,52 @@
             const { vm } = fleet.nodes[results.length % TARGETS] ?? fleet.node("");
             const read = { ...createRead(SERVICE, `popular-${results.length}`), path: "/items/popular" };
             results.push(caller.call(findGateway(fleet, vm.id), read));
-            await sleep(READ_DISTANCE_MS);
+            await sleep(READ_INTERVAL_MS);
         }
         return Promise.all(results);
     };
 
     for (const method of ["GET", "POST"] as const) {
-        it(`reaches at most three more after the third, and blames no popular read beside it (${method})`, async () => {
+        it(`runs at most three more times after the third crash, without containing popular reads (${method})`, async () => {
             const end = new AbortController();
-            const popular = readPopular(end.signal);
+            const popularReads = readPopular(end.signal);
             await sendUntilThirdCrash(method);
-            await sleep(CONTACT_MS);
+            await sleep(PROPAGATION_MS);
             const runsBefore = await countRuns();
-            const told = [...await sendEverywhere(method), ...await sendEverywhere(method)];
+            const results = [...await sendThroughAllNodes(method), ...await sendThroughAllNodes(method)];
             const runsAfter = await countRuns() - runsBefore;
             end.abort();
-            const reasons = (await popular).map(reasonOf);
+            const reasons = (await popularReads).map(getReason);
 
-            expect(runsAfter, JSON.stringify(told)).to.be.at.most(SENDS_AFTER);
+            expect(runsAfter, JSON.stringify(results)).to.be.at.most(MAX_LATE_RUNS);
             expect(reasons).to.not.include("Contained");
         }).timeout(TIME_LIMIT);
     }
 
-    it("is known to a node that starts after the third crash", async () => {
+    it("runs at most three more times through a node that starts after the third crash", async () => {
         await sendUntilThirdCrash("GET");
         const restarted: NodeId = fleet.nodes[0]?.vm.id ?? "";
         await fleet.node(restarted).kill();
         await fleet.node(restarted).start();
         await fleet.waitUntilReady();
-        await sleep(CONTACT_MS);
+        await sleep(PROPAGATION_MS);
         const runsBefore = await countRuns();
-        for (let count = 0; count < 2 * SENDS_AFTER; count++) {
-            await caller.call(findGateway(fleet, restarted), createCrash("GET"));
-            await sleep(SEND_DISTANCE_MS);
+        for (let count = 0; count < 2 * MAX_LATE_RUNS; count++) {
+            await caller.call(findGateway(fleet, restarted), createCrashRequest("GET"));
+            await sleep(SEND_INTERVAL_MS);
         }
 
-        expect(await countRuns() - runsBefore).to.be.at.most(SENDS_AFTER);
+        expect(await countRuns() - runsBefore).to.be.at.most(MAX_LATE_RUNS);
     }).timeout(TIME_LIMIT);
 
-    it("stays refused when all nodes are killed at once and start anew", async () => {
+    it("stays refused when all nodes are killed at the same time and restart", async () => {
         await sendUntilThirdCrash("GET");
-        await sleep(CONTACT_MS);
+        await sleep(PROPAGATION_MS);
         await Promise.all(fleet.nodes.map((node) => node.kill()));
         await Promise.all(fleet.nodes.map((node) => node.start()));
         await fleet.waitUntilReady();
-        await sleep(CONTACT_MS);
-        const reasons = (await sendEverywhere("GET")).map(reasonOf);
+        await sleep(PROPAGATION_MS);
+        const reasons = (await sendThroughAllNodes("GET")).map(getReason);
 
         expect(new Set(reasons)).to.deep.equal(new Set(["Contained"]));
     }).timeout(TIME_LIMIT);
--- a/packages/oleandergap-demo/src/__tests__/fleetProbes.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetProbes.ts
@@ -1,4 +1,4 @@
-/** What tests ask of a running fleet, over the same interfaces as operators and callers. */
+/** Test helpers that query a running fleet through the same interfaces as operators and callers. */
 import * as either from "fp-ts/lib/Either.js";
 import type { ChangeInput, ChangeOutcomeView, OperatorError } from "oleandergap-operator";
 import type { Caller, CallRequest, CallResult, GatewayAddress } from "oleandergap-standins";
@@ -6,23 +6,23 @@
 import type { Fleet } from "../fleet/fleet.js";
 import { waitForValue } from "../fleet/waitFor.js";
 
-/** Bounds of real-process tests on a busy machine; nothing is asserted about durations. */
+/** Time limits of tests with real processes on a busy machine. The tests assert nothing about durations. */
 export const TIME_LIMIT: Milliseconds = 150_000;
 export const STEP_TIMEOUT: Milliseconds = 60_000;
 const CALL_TIMEOUT: Milliseconds = 15_000;
 const FIRST_PORT = 20_000;
-const PORT_RANGES = 250;
+const PORT_RANGE_COUNT = 250;
 const PORTS_PER_RANGE = 40;
 const RANGES_PER_PROCESS = 8;
 
-/** Ports that other runs on this machine are unlikely to use at the same time; `offset` tells a run's fleets apart. */
+/** Returns ports that other runs on this machine are unlikely to use. `offset` distinguishes the fleets of one run. */
 export const choosePortBase = (offset: number): number =>
-    FIRST_PORT + (process.pid * RANGES_PER_PROCESS + offset) % PORT_RANGES * PORTS_PER_RANGE;
+    FIRST_PORT + (process.pid * RANGES_PER_PROCESS + offset) % PORT_RANGE_COUNT * PORTS_PER_RANGE;
 
 export const findGateway = (fleet: Fleet, nodeId: NodeId): GatewayAddress =>
     ({ address: fleet.node(nodeId).vm.address, port: fleet.plan.ports.gateway });
 
-/** Ends every fault of the platform and brings all nodes back, so that a failed test does not fail the next one. */
+/** Clears all faults of the platform and restarts all nodes, so that a failed test does not make the next one fail. */
 export const restoreFleet = async (fleet: Fleet): Promise<void> => {
     await fleet.platform.setFaults({});
     await Promise.all(fleet.nodes.map(async (node) => {
@@ -32,9 +32,9 @@
     await fleet.waitUntilReady();
 };
 
-/** Waits until `probe` holds; the error names `what`. */
-export const waitUntil = async (fleet: Fleet, what: string, probe: () => Promise<boolean>): Promise<void> => {
-    await waitForValue({ what, timeoutMs: STEP_TIMEOUT, signal: fleet.signal }, async () =>
+/** Waits until `probe` returns true. The error message contains `description`. */
+export const waitUntil = async (fleet: Fleet, description: string, probe: () => Promise<boolean>): Promise<void> => {
+    await waitForValue({ description, timeoutMs: STEP_TIMEOUT, signal: fleet.signal }, async () =>
         await probe() ? true : undefined);
 };
 
@@ -53,10 +53,10 @@
     body: new TextEncoder().encode(`content of ${key}`),
 });
 
-/** The sequence in `partner:sequence`. */
+/** Returns the sequence from a version in the form `partner:sequence`. */
 export const parseVersion = (version: string | undefined): Sequence => Number(version?.split(":").at(-1));
 
-/** Sends new reads until one is answered. */
+/** Sends new read requests until one is answered. */
 export const readUntilAnswered = (
     fleet: Fleet,
     caller: Caller,
@@ -64,18 +64,18 @@
     nodeId: NodeId,
 ): Promise<Extract<CallResult, { readonly kind: "Answered" }>> => {
     let count = 0;
-    let last = "";
-    const wait = { what: `${nodeId} serves ${service.service}`, timeoutMs: STEP_TIMEOUT, signal: fleet.signal };
-    return waitForValue(wait, async () => {
+    let lastResult = "";
+    const waitOptions = { description: `${nodeId} serves ${service.service}`, timeoutMs: STEP_TIMEOUT, signal: fleet.signal };
+    return waitForValue(waitOptions, async () => {
         count += 1;
         const result = await caller.call(findGateway(fleet, nodeId), createRead(service, `${nodeId}-${count}`));
-        last = JSON.stringify(result);
+        lastResult = JSON.stringify(result);
         return result.kind === "Answered" ? result : undefined;
-    }, () => last);
+    }, () => lastResult);
 };
 
-/** The version that `nodeId` says it serves from, or undefined when it gives no answer. */
-export const readInForce = async (
+/** Returns the version from which `nodeId` reports to serve, or undefined if it does not respond. */
+export const readActiveVersion = async (
     fleet: Fleet,
     partner: PartnerName,
     nodeId: NodeId,
@@ -84,50 +84,50 @@
     return either.isRight(table) ? table.right.sequence : undefined;
 };
 
-/** Waits until each of `nodeIds` says that it serves from `sequence` or a later version. */
-export const waitUntilInForce = async (
+/** Waits until each of `nodeIds` reports that it serves from `sequence` or a later version. */
+export const waitUntilActive = async (
     fleet: Fleet,
     partner: PartnerName,
     sequence: Sequence,
     nodeIds: readonly NodeId[],
 ): Promise<void> => {
     await Promise.all(nodeIds.map((nodeId) =>
-        waitUntil(fleet, `${nodeId} follows ${partner}:${sequence}`, async () =>
-            (await readInForce(fleet, partner, nodeId) ?? 0) >= sequence)));
+        waitUntil(fleet, `${nodeId} serves from ${partner}:${sequence}`, async () =>
+            (await readActiveVersion(fleet, partner, nodeId) ?? 0) >= sequence)));
 };
 
-/** Errors after which the same change may be sent again, as the operators' page says. */
-const REPEATABLE: ReadonlySet<OperatorError["kind"]> = new Set<OperatorError["kind"]>([
+/** Errors after which an operator may send the same change again. */
+const RETRYABLE: ReadonlySet<OperatorError["kind"]> = new Set<OperatorError["kind"]>([
     "OutcomeUnknown", "PlatformUnavailable", "NodeUnreachable", "NotReady", "OverBudget", "Contended", "Internal",
 ]);
 
-/** Sends a change under one id to one of `entries` after the other, until its outcome is known. */
-export const acceptPatiently = (
+/** Sends a change with one id to the `entryNodes` in turn until its outcome is known. */
+export const acceptWithRetries = (
     fleet: Fleet,
     partner: PartnerName,
     change: ChangeInput,
-    entries: readonly NodeId[],
+    entryNodes: readonly NodeId[],
 ): Promise<either.Either<OperatorError, ChangeOutcomeView>> => {
-    let last = "";
+    let lastOutcome = "";
     let count = 0;
-    const wait = { what: `change ${change.changeId} has an outcome`, timeoutMs: STEP_TIMEOUT, signal: fleet.signal };
-    return waitForValue(wait, async () => {
-        const entry = entries[count % entries.length];
+    const waitOptions = { description: `change ${change.changeId} has an outcome`, timeoutMs: STEP_TIMEOUT, signal: fleet.signal };
+    return waitForValue(waitOptions, async () => {
+        const entryNode = entryNodes[count % entryNodes.length];
         count += 1;
-        const outcome = await fleet.operatorClient(partner, entry).acceptChange(change)();
-        last = JSON.stringify(outcome);
-        return either.isLeft(outcome) && REPEATABLE.has(outcome.left.kind) ? undefined : outcome;
-    }, () => last);
+        const outcome = await fleet.operatorClient(partner, entryNode).acceptChange(change)();
+        lastOutcome = JSON.stringify(outcome);
+        return either.isLeft(outcome) && RETRYABLE.has(outcome.left.kind) ? undefined : outcome;
+    }, () => lastOutcome);
 };
 
-/** Accepts a change and returns its version; rejects when it is refused. */
+/** Submits a change and returns its version. Rejects if the change is refused. */
 export const acceptChange = async (
     fleet: Fleet,
     partner: PartnerName,
     change: ChangeInput,
-    entry: NodeId,
+    entryNode: NodeId,
 ): Promise<Sequence> => {
-    const outcome = await acceptPatiently(fleet, partner, change, [entry]);
+    const outcome = await acceptWithRetries(fleet, partner, change, [entryNode]);
     if (either.isLeft(outcome)) {
         throw new Error(`change ${change.changeId} was refused: ${JSON.stringify(outcome.left)}`);
     }
--- a/packages/oleandergap-demo/src/__tests__/fleetRequests.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetRequests.test.ts
@@ -22,17 +22,17 @@
 } from "./fleetProbes.js";
 
 const SERVICE = { partner: "halloway", service: "wills-desk" } as const;
-/** The nodes with a target of the service. */
-const SERVING: readonly NodeId[] = ["hall-a-1", "hall-b-1"];
-/** Has no target of the service, so that requests through it always travel. */
-const OUTSIDE: NodeId = "sapporo-1";
-/** Long enough that requests are still under way when the fault comes, also on a busy machine. */
+/** Nodes with a target of the service. */
+const SERVING_NODES: readonly NodeId[] = ["hall-a-1", "hall-b-1"];
+/** Node without a target of the service, so that requests through it are always forwarded to another node. */
+const NODE_WITHOUT_TARGET: NodeId = "sapporo-1";
+/** Long enough that requests are still in flight when the fault occurs, even on a busy machine. */
 const SLOW_MS = 3000;
 
 const isNotRun = (result: CallResult): boolean =>
     (result.kind === "Refused" || result.kind === "Failed") && result.verdict === "notRun";
 
-const isWrong = ({ kind }: CallResult): boolean => kind === "Wrong";
+const isWrongAnswer = ({ kind }: CallResult): boolean => kind === "Wrong";
 
 describe("requests in a fleet of real processes", () => {
     let fleet: Fleet;
@@ -47,7 +47,7 @@
 
     afterEach(async function () {
         this.timeout(TIME_LIMIT);
-        await spoilTargets({});
+        await setTargetFaults({});
         await restoreFleet(fleet);
     });
 
@@ -57,8 +57,8 @@
         await fleet.stop();
     });
 
-    const spoilTargets = async (faults: Parameters<TargetsControl["setFaults"]>[1]): Promise<void> => {
-        await Promise.all(SERVING.map((id) => fleet.targets.setFaults(id, faults)));
+    const setTargetFaults = async (faults: Parameters<TargetsControl["setFaults"]>[1]): Promise<void> => {
+        await Promise.all(SERVING_NODES.map((id) => fleet.targets.setFaults(id, faults)));
     };
 
     const countRuns = async (key: string): Promise<number> =>
@@ -67,77 +67,76 @@
     const countInFlight = async (id: NodeId): Promise<number> =>
         (await fleet.targets.targets()).find((target) => target.id === id)?.counters.inFlight ?? 0;
 
-    interface KeyedRun { readonly first: Promise<CallResult>; readonly holder: NodeId }
+    interface KeyedRun { readonly firstResult: Promise<CallResult>; readonly holder: NodeId }
 
-    /** Sends a keyed request through the outside gateway, and tells which target runs it. */
+    /** Sends a keyed request through the gateway without a target, and determines which target runs it. */
     const startKeyedRun = async (key: string): Promise<KeyedRun> => {
-        // Its deadline must not pass while the holder is frozen, or there would be no answer to replay.
-        const first = caller.call(findGateway(fleet, OUTSIDE), createKeyedPost(SERVICE, key, STEP_TIMEOUT));
+        // The deadline must not pass while the holder is frozen, or there would be no response to replay.
+        const firstResult =
+            caller.call(findGateway(fleet, NODE_WITHOUT_TARGET), createKeyedPost(SERVICE, key, STEP_TIMEOUT));
         await waitUntil(fleet, `${key} runs`, async () => await countRuns(key) === 1);
-        const loads = await Promise.all(SERVING.map(countInFlight));
-        return { first, holder: SERVING[loads.indexOf(1)] ?? "" };
+        const inFlightCounts = await Promise.all(SERVING_NODES.map(countInFlight));
+        return { firstResult, holder: SERVING_NODES[inFlightCounts.indexOf(1)] ?? "" };
     };
 
-    /** Repeats a key through every gateway but the holder's. */
-    const repeatElsewhere = (key: string, holder: NodeId): Promise<readonly CallResult[]> =>
+    /** Sends a request with the same key through all gateways but that of the holder. */
+    const retryThroughOtherGateways = (key: string, holder: NodeId): Promise<readonly CallResult[]> =>
         Promise.all(fleet.nodes.filter(({ vm }) => vm.id !== holder).map(({ vm }) =>
             caller.call(findGateway(fleet, vm.id), createKeyedPost(SERVICE, key))));
 
-    it("runs a keyed request once although its target's node dies between the run and the answer", async () => {
-        // Symptom: a request that must not run twice does, or its caller is told that it did not run.
-        // Sequence: a keyed request runs; the target's node is killed before the answer; the caller repeats the key
-        // through other gateways, before and after the node is back; the platform loses answers all the while.
-        // Cause: the answer is lost after the effect, and the next holder of the key knows nothing of it.
-        await spoilTargets({ hangShare: 1 });
+    it("runs a keyed request once if the node of its target dies between the run and the response", async () => {
+        // Guards against a second run of a keyed request, and against a report that it did not run. The node is killed
+        // after the run and before the response, and the platform loses responses. The next holder of the key, which
+        // receives the retries before and after the restart, has no information about the run.
+        await setTargetFaults({ hangShare: 1 });
         await fleet.platform.setFaults({ loseAnswersShare: 0.3 });
-        const { first, holder } = await startKeyedRun("killed-holder");
+        const { firstResult, holder } = await startKeyedRun("killed-holder");
         await fleet.node(holder).kill();
-        const refused = await first;
-        const results = [...await repeatElsewhere("killed-holder", holder)];
+        const firstOutcome = await firstResult;
+        const results = [...await retryThroughOtherGateways("killed-holder", holder)];
         await fleet.node(holder).start();
         await fleet.waitUntilReady();
-        results.push(...await repeatElsewhere("killed-holder", holder));
+        results.push(...await retryThroughOtherGateways("killed-holder", holder));
 
-        const told = JSON.stringify([refused, ...results]);
-        expect(await countRuns("killed-holder"), told).to.equal(1);
-        expect(isNotRun(refused), told).to.equal(false);
-        expect(results.some(({ kind }) => kind === "Answered" || kind === "Wrong"), told).to.equal(false);
+        const resultsText = JSON.stringify([firstOutcome, ...results]);
+        expect(await countRuns("killed-holder"), resultsText).to.equal(1);
+        expect(isNotRun(firstOutcome), resultsText).to.equal(false);
+        expect(results.some(({ kind }) => kind === "Answered" || kind === "Wrong"), resultsText).to.equal(false);
     }).timeout(TIME_LIMIT);
 
-    it("runs a keyed request once although its holder freezes and others take its work up, and replays the answer", async () => {
-        // Symptom: a request runs a second time elsewhere, or an answer that arrives late reaches another caller.
-        // Sequence: a keyed request and a read are under way when the target's node freezes; the key is repeated
-        // through other gateways, reads go elsewhere; the node resumes and sends its late answers.
-        // Cause: a frozen holder cannot be told from a dead one, and goes on as if no time had passed.
-        await spoilTargets({ slowByMs: SLOW_MS });
-        const { first, holder } = await startKeyedRun("frozen-holder");
-        const outside = findGateway(fleet, OUTSIDE);
-        const reads = ["1", "2", "3", "4"].map((name) => caller.call(outside, createRead(SERVICE, `held-${name}`)));
-        await waitUntil(fleet, "a read is under way at the holder", async () => await countInFlight(holder) > 1);
+    it("runs a keyed request once if its holder freezes and other nodes take over, and replays the response", async () => {
+        // Guards against a second run at another target, and against a late response that reaches the wrong caller. The
+        // node freezes with a keyed request and reads in flight, which are repeated through other gateways. A frozen
+        // node looks like a dead one, and when it resumes it continues and sends its late responses.
+        await setTargetFaults({ slowByMs: SLOW_MS });
+        const { firstResult, holder } = await startKeyedRun("frozen-holder");
+        const gatewayWithoutTarget = findGateway(fleet, NODE_WITHOUT_TARGET);
+        const reads = ["1", "2", "3", "4"].map((name) => caller.call(gatewayWithoutTarget, createRead(SERVICE, `held-${name}`)));
+        await waitUntil(fleet, "a read is in flight at the holder", async () => await countInFlight(holder) > 1);
         fleet.node(holder).freeze();
-        const repeats = await repeatElsewhere("frozen-holder", holder);
-        const answered = await Promise.all(reads);
+        const retryResults = await retryThroughOtherGateways("frozen-holder", holder);
+        const readResults = await Promise.all(reads);
         fleet.node(holder).resume();
-        const late = await first;
+        const lateResult = await firstResult;
 
-        const answers: CallResult[] = [];
-        await waitUntil(fleet, "the first answer is replayed", async () => {
-            answers.push(...await repeatElsewhere("frozen-holder", holder));
-            return answers.at(-1)?.kind === "Answered";
+        const replayResults: CallResult[] = [];
+        await waitUntil(fleet, "the first response is replayed", async () => {
+            replayResults.push(...await retryThroughOtherGateways("frozen-holder", holder));
+            return replayResults.at(-1)?.kind === "Answered";
         });
-        const results = [late, ...repeats, ...answered, ...answers];
-        const told = JSON.stringify(results);
-        expect(await countRuns("frozen-holder"), told).to.equal(1);
-        expect(isNotRun(late), told).to.equal(false);
-        expect(results.some(isWrong), told).to.equal(false);
-        expect(answered.map(({ kind }) => kind), told).to.deep.equal(reads.map(() => "Answered"));
-        expect(answers.at(-1), told).to.include({ kind: "Answered", target: holder });
+        const results = [lateResult, ...retryResults, ...readResults, ...replayResults];
+        const resultsText = JSON.stringify(results);
+        expect(await countRuns("frozen-holder"), resultsText).to.equal(1);
+        expect(isNotRun(lateResult), resultsText).to.equal(false);
+        expect(results.some(isWrongAnswer), resultsText).to.equal(false);
+        expect(readResults.map(({ kind }) => kind), resultsText).to.deep.equal(reads.map(() => "Answered"));
+        expect(replayResults.at(-1), resultsText).to.include({ kind: "Answered", target: holder });
     }).timeout(TIME_LIMIT);
 
     interface Upload { readonly sent: ClientRequest; readonly answer: Promise<IncomingMessage> }
 
-    /** Begins a large upload and leaves its second half to the caller. */
-    const beginUpload = (nodeId: NodeId, half: Buffer): Upload => {
+    /** Sends the first half of a large upload. The caller of this function sends the second half. */
+    const startUpload = (nodeId: NodeId, half: Buffer): Upload => {
         const { address, port } = findGateway(fleet, nodeId);
         const sent = sendRequest({
             host: address,
@@ -155,24 +154,26 @@
         return { sent, answer: once(sent, "response").then(([response]) => response as IncomingMessage) };
     };
 
-    it("cuts off nothing when a node under load is stopped as planned", async () => {
-        // Symptom: callers see broken connections or lost uploads whenever a node is replaced.
-        // Sequence: slow requests are in flight at the node's gateway and at its gate, and half of an upload is
-        // through; the node is told to stop; the second half follows.
-        // Cause: a process that closes its sockets, or ends, before what it carries has ended.
-        const stopping = "hall-a-1";
+    it("interrupts no request during a planned stop of a node under load", async () => {
+        // Guards against broken connections and lost uploads when a node is replaced. The node receives the stop signal
+        // while slow requests are in flight at its gateway and its gate and half of an upload is transferred. It must
+        // not close its sockets or exit before these requests have ended.
+        const stoppingNode = "hall-a-1";
         const half = Buffer.alloc(2 * 1024 * 1024, "part");
-        await spoilTargets({ slowByMs: SLOW_MS });
-        const upload = beginUpload(stopping, half);
+        await setTargetFaults({ slowByMs: SLOW_MS });
+        const upload = startUpload(stoppingNode, half);
         const runKeys = Array.from({ length: 12 }, (_, index) => `planned-stop-${index}`);
         const calls = runKeys.map((runKey, index) =>
-            caller.call(findGateway(fleet, index % 2 === 0 ? stopping : OUTSIDE), createRead(SERVICE, runKey)));
-        await waitUntil(fleet, "requests run at the node", async () => await countInFlight(stopping) > 2);
-        await waitUntil(fleet, "all requests run", async () =>
+            caller.call(
+                findGateway(fleet, index % 2 === 0 ? stoppingNode : NODE_WITHOUT_TARGET),
+                createRead(SERVICE, runKey),
+            ));
+        await waitUntil(fleet, "requests are running at the node", async () => await countInFlight(stoppingNode) > 2);
+        await waitUntil(fleet, "all requests are running", async () =>
             (await Promise.all(runKeys.map(countRuns))).every((runs) => runs > 0));
-        const exit = fleet.node(stopping).stop();
-        await waitUntil(fleet, "the node says that it stops", async () =>
-            await fleet.node(stopping).readUnreadiness() !== undefined);
+        const exit = fleet.node(stoppingNode).stop();
+        await waitUntil(fleet, "the node reports that it is stopping", async () =>
+            await fleet.node(stoppingNode).readNotReadyReason() !== undefined);
         upload.sent.end(half);
         const answer = await upload.answer;
         const echo = JSON.parse(await text(answer)) as Readonly<Record<string, unknown>>;
@@ -183,32 +184,31 @@
         expect(await exit).to.deep.include({ code: 0 });
     }).timeout(TIME_LIMIT);
 
-    it("serves by the one target left while its connections are silent and the other target leaves", async () => {
-        // Symptom: every request hangs or fails although a target is well, or a leaving target still gets new work.
-        // Sequence: all open connections of one target go silent for good; at the same moment the only other target
-        // says that it leaves.
-        // Cause: silence looks like a slow target, and there is no second target to turn to.
-        const [silent = "", leaving = ""] = SERVING;
+    it("uses the only remaining target when its connections become unresponsive and the other target leaves", async () => {
+        // Guards against requests that hang or fail although a target is healthy, and against new requests at a leaving
+        // target. All open connections of one target become unresponsive, which looks like a slow target, and at the
+        // same time the only other target announces that it is leaving.
+        const [silencedTarget = "", leavingTarget = ""] = SERVING_NODES;
         const gateways = fleet.nodes.map(({ vm }) => findGateway(fleet, vm.id));
-        const readThroughAll = (name: string): Promise<readonly CallResult[]> =>
+        const readThroughAllGateways = (name: string): Promise<readonly CallResult[]> =>
             Promise.all(gateways.flatMap((gateway, index) => [1, 2, 3].map((turn) =>
                 caller.call(gateway, createRead(SERVICE, `${name}-${index}-${turn}`)))));
-        await readThroughAll("warm");
+        await readThroughAllGateways("warm");
 
-        await Promise.all([fleet.targets.silence(silent), fleet.targets.leave(leaving)]);
+        await Promise.all([fleet.targets.silence(silencedTarget), fleet.targets.leave(leavingTarget)]);
         const results: CallResult[] = [];
         let round = 0;
-        await waitUntil(fleet, "all answers come from the target that stays", async () => {
+        await waitUntil(fleet, "all responses come from the remaining target", async () => {
             round += 1;
-            const answers = await readThroughAll(`round-${round}`);
-            results.push(...answers);
-            return answers.every((result) => result.kind === "Answered" && result.target === silent);
+            const roundResults = await readThroughAllGateways(`round-${round}`);
+            results.push(...roundResults);
+            return roundResults.every((result) => result.kind === "Answered" && result.target === silencedTarget);
         });
-        const settled = await readThroughAll("settled");
+        const finalResults = await readThroughAllGateways("settled");
 
-        const told = JSON.stringify([...results, ...settled]);
-        expect(results.every((result) => result.kind === "Answered" || isNotRun(result)), told).to.equal(true);
-        expect(settled.every((result) => result.kind === "Answered" && result.target === silent), told).to.equal(true);
+        const resultsText = JSON.stringify([...results, ...finalResults]);
+        expect(results.every((result) => result.kind === "Answered" || isNotRun(result)), resultsText).to.equal(true);
+        expect(finalResults.every((result) => result.kind === "Answered" && result.target === silencedTarget), resultsText).to.equal(true);
         const refused = results.filter(({ kind }) => kind !== "Answered");
         expect(await Promise.all(refused.map(({ runKey }) => countRuns(runKey)))).to.deep.equal(refused.map(() => 0));
     }).timeout(TIME_LIMIT);
--- a/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
@@ -9,29 +9,29 @@
 import {
     TIME_LIMIT,
     acceptChange,
-    acceptPatiently,
+    acceptWithRetries,
     choosePortBase,
     parseVersion,
-    readInForce,
+    readActiveVersion,
     readUntilAnswered,
     restoreFleet,
     waitUntil,
-    waitUntilInForce,
+    waitUntilActive,
 } from "./fleetProbes.js";
 
-/** Two zones of three nodes, one for each partner. */
+/** Two zones with three nodes each, one zone per partner. */
 const NODES = 6;
 const PARTNERS: readonly PartnerName[] = ["halloway", "kushiro"];
 const SERVICE = "service-1";
-/** Operators of each partner that race, and the changes that each of them sends. */
-const WRITERS = 6;
-const TURNS = 5;
+/** Number of concurrent operators per partner, and of changes that each of them sends. */
+const WRITERS_PER_PARTNER = 6;
+const CHANGES_PER_WRITER = 5;
 const halloway: readonly NodeId[] = ["halloway-1-1", "halloway-1-2", "halloway-1-3"];
 const kushiro: readonly NodeId[] = ["kushiro-1-1", "kushiro-1-2", "kushiro-1-3"];
 
-const weightCell = (partner: PartnerName): CellAddress => `services/${SERVICE}/weights/${partner}-1`;
+const formatWeightCell = (partner: PartnerName): CellAddress => `services/${SERVICE}/weights/${partner}-1`;
 
-/** New rows that no caller uses, too many for one datagram. */
+/** Creates new rows that no caller uses, too many for one datagram. */
 const createLargeChange = (changeId: string, round: number): ChangeInput => ({
     changeId,
     edits: Array.from({ length: 40 }, (_, index) =>
@@ -63,119 +63,120 @@
         await fleet.stop();
     });
 
-    /** Versions of `partner` at a node, as it tells them and as it serves from them. */
-    const observe = async (partner: PartnerName, nodeId: NodeId): Promise<readonly Sequence[]> => {
-        const told = await readInForce(fleet, partner, nodeId);
+    /** Returns the versions of `partner` that a node reports and from which it serves. */
+    const observeVersions = async (partner: PartnerName, nodeId: NodeId): Promise<readonly Sequence[]> => {
+        const reported = await readActiveVersion(fleet, partner, nodeId);
         const answer = await readUntilAnswered(fleet, caller, { partner, service: SERVICE }, nodeId);
-        return [...told === undefined ? [] : [told], parseVersion(answer.version)];
+        return [...reported === undefined ? [] : [reported], parseVersion(answer.version)];
     };
 
-    /** Looks at each node again and again until all serve from `newest`; returns what each showed, in order. */
-    const observeUntil = async (
+    /** Polls all nodes until each serves from `newest`. Returns the observed versions per node, in order. */
+    const observeVersionsUntil = async (
         partner: PartnerName,
         newest: Sequence,
         nodeIds: readonly NodeId[],
     ): Promise<ReadonlyMap<NodeId, readonly Sequence[]>> => {
-        const seen = await Promise.all(nodeIds.map(async (nodeId) => {
+        const versionsByNode = await Promise.all(nodeIds.map(async (nodeId) => {
             const versions: Sequence[] = [];
             await waitUntil(fleet, `${nodeId} serves from ${partner}:${newest}`, async () => {
-                versions.push(...await observe(partner, nodeId));
+                versions.push(...await observeVersions(partner, nodeId));
                 return (versions.at(-1) ?? 0) >= newest;
             });
-            versions.push(...await observe(partner, nodeId));
+            versions.push(...await observeVersions(partner, nodeId));
             return [nodeId, versions] as const;
         }));
-        return new Map(seen);
+        return new Map(versionsByNode);
     };
 
-    it("lets a node that was frozen over two versions catch up while the platform is down, and takes nobody back", async () => {
-        // Symptom: a resumed node serves or spreads an old version, or stays behind until the platform is back.
-        // Sequence: a node freezes, two versions too large for a datagram are accepted and in force at the others, the
-        // platform goes down, the node resumes.
-        // Cause: the node goes on with what it held, and only its peers can give it what it missed.
-        const [entry = "", , frozen = ""] = halloway;
-        const others = [...halloway, ...kushiro].filter((nodeId) => nodeId !== frozen);
-        const before = await readInForce(fleet, "halloway", frozen) ?? 0;
+    it("lets a node that was frozen during two changes catch up while the platform is down, and rolls back no node", async () => {
+        // Guards against a resumed node that serves or gossips an old version, or stays outdated until the platform
+        // recovers. While a node is frozen, the others apply two versions that are too large for a datagram, and the
+        // platform goes down. The node resumes with its old version, and only its peers can send it the missed ones.
+        const [entry = "", , frozenNode = ""] = halloway;
+        const otherNodes = [...halloway, ...kushiro].filter((nodeId) => nodeId !== frozenNode);
+        const versionBefore = await readActiveVersion(fleet, "halloway", frozenNode) ?? 0;
 
-        fleet.node(frozen).freeze();
+        fleet.node(frozenNode).freeze();
         await acceptChange(fleet, "halloway", createLargeChange("frozen-change-1", 1), entry);
         const newest = await acceptChange(fleet, "halloway", createLargeChange("frozen-change-2", 2), entry);
-        await waitUntilInForce(fleet, "halloway", newest, others);
+        await waitUntilActive(fleet, "halloway", newest, otherNodes);
         await fleet.platform.setFaults({ outage: "refuse" });
-        fleet.node(frozen).resume();
-        const all = [...others, frozen];
-        // The second look finds a node that went back after the first.
-        const looks = [await observeUntil("halloway", newest, all), await observeUntil("halloway", newest, all)];
+        fleet.node(frozenNode).resume();
+        const all = [...otherNodes, frozenNode];
+        // The second round of observations detects a node that returned to an older version after the first.
+        const observations = [await observeVersionsUntil("halloway", newest, all), await observeVersionsUntil("halloway", newest, all)];
         await fleet.platform.setFaults({});
 
-        const told = JSON.stringify(looks.map((look) => [...look]));
-        const versionsOf = (nodeId: NodeId): readonly Sequence[] => looks.flatMap((look) => look.get(nodeId) ?? []);
-        expect(newest).to.equal(before + 2);
-        expect(isSorted([before, ...versionsOf(frozen)]), told).to.equal(true);
-        expect(others.flatMap(versionsOf).every((version) => version === newest), told).to.equal(true);
+        const observationsText = JSON.stringify(observations.map((versionsByNode) => [...versionsByNode]));
+        const listVersions = (nodeId: NodeId): readonly Sequence[] =>
+            observations.flatMap((versionsByNode) => versionsByNode.get(nodeId) ?? []);
+        expect(newest).to.equal(versionBefore + 2);
+        expect(isSorted([versionBefore, ...listVersions(frozenNode)]), observationsText).to.equal(true);
+        expect(otherNodes.flatMap(listVersions).every((version) => version === newest), observationsText)
+            .to.equal(true);
     }).timeout(TIME_LIMIT);
 
-    it("lets a zone that is cut off from the platform follow what is accepted elsewhere", async () => {
-        // Symptom: an availability zone serves from an old version for as long as its way to the platform is broken.
-        // Sequence: a zone's way to the platform breaks; both partners' changes are accepted at another zone's node.
-        // Cause: the zone's own readers see nothing new, and only the other zone's nodes can tell them.
+    it("updates a zone that is cut off from the platform with changes accepted in other zones", async () => {
+        // Guards against a zone that serves from an old version while its connection to the platform is broken. Changes
+        // of both partners are accepted in another zone. The readers of the zone cannot read them from the platform, so
+        // only the nodes of the other zone can send them.
         await fleet.platform.setFaults({ cutEntrances: ["kushiro-1"] });
         for (const partner of PARTNERS) {
-            const change = { changeId: "cut-off-zone", edits: [{ cell: weightCell(partner), value: 75 }] };
+            const change = { changeId: "cut-off-zone", edits: [{ cell: formatWeightCell(partner), value: 75 }] };
             const newest = await acceptChange(fleet, partner, change, halloway[0] ?? "");
-            const seen = await observeUntil(partner, newest, kushiro);
+            const seen = await observeVersionsUntil(partner, newest, kushiro);
             expect([...seen.values()].every(isSorted), JSON.stringify([...seen])).to.equal(true);
         }
     }).timeout(TIME_LIMIT);
 
-    it("goes back nowhere when the platform is restored from a copy, and goes on past the version that was lost", async () => {
+    it("returns to no older version after a restore of the platform, and continues after the lost version", async () => {
         const all = [...halloway, ...kushiro];
         const [entry = ""] = halloway;
         const accept = (value: number): Promise<Sequence> => {
-            const edits = [{ cell: weightCell("halloway"), value }];
+            const edits = [{ cell: formatWeightCell("halloway"), value }];
             return acceptChange(fleet, "halloway", { changeId: `restored-${value}`, edits }, entry);
         };
-        const kept = await accept(61);
-        await waitUntilInForce(fleet, "halloway", kept, all);
-        await fleet.platform.keepCopy();
-        const lost = await accept(62);
-        await waitUntilInForce(fleet, "halloway", lost, all);
+        const keptVersion = await accept(61);
+        await waitUntilActive(fleet, "halloway", keptVersion, all);
+        await fleet.platform.takeCopy();
+        const lostVersion = await accept(62);
+        await waitUntilActive(fleet, "halloway", lostVersion, all);
         await fleet.platform.setFaults({ outage: "reset" });
         await fleet.platform.restore();
         await fleet.platform.setFaults({});
-        const afterRestore = await observeUntil("halloway", lost, all);
+        const afterRestore = await observeVersionsUntil("halloway", lostVersion, all);
 
-        const next = await accept(63);
-        const atLast = await observeUntil("halloway", next, all);
-        expect(next).to.equal(lost + 1);
+        const nextVersion = await accept(63);
+        const afterNextChange = await observeVersionsUntil("halloway", nextVersion, all);
+        expect(nextVersion).to.equal(lostVersion + 1);
         for (const nodeId of all) {
-            const versions = [lost, ...afterRestore.get(nodeId) ?? [], ...atLast.get(nodeId) ?? []];
+            const versions = [lostVersion, ...afterRestore.get(nodeId) ?? [], ...afterNextChange.get(nodeId) ?? []];
             expect(isSorted(versions), `${nodeId}: ${versions.join()}`).to.equal(true);
         }
     }).timeout(TIME_LIMIT);
 
-    it("restarts many nodes at once from their peers in each of two outages, even when a restart is killed again", async () => {
-        // Symptom: restarted nodes stay not ready, or serve from a version older than the fleet's.
-        // Sequence: both partners' versions are accepted, the platform goes down, half of the nodes die and restart,
-        // one of them is killed while it recovers; then the same once more, with a whole availability zone.
-        // Cause: nodes keep nothing on disk, and the platform cannot tell them what was accepted.
+    it("restarts several nodes from their peers in each of two outages, even if a restarting node is killed again", async () => {
+        // Guards against restarted nodes that do not become ready or serve from an older version than the fleet. During
+        // a platform outage half of the nodes, and in the second round a whole zone, die and restart, and one is killed
+        // again during its recovery. Nodes store nothing on disk, and the platform cannot provide the accepted
+        // versions.
         const restarts = [[...halloway.slice(0, 2), ...kushiro.slice(0, 1)], kushiro];
         for (const [round, nodeIds] of restarts.entries()) {
             const newest = new Map<PartnerName, Sequence>();
             for (const partner of PARTNERS) {
-                const edits = [{ cell: weightCell(partner), value: 70 - round }];
+                const edits = [{ cell: formatWeightCell(partner), value: 70 - round }];
                 const change = { changeId: `restart-round-${round}`, edits };
                 newest.set(partner, await acceptChange(fleet, partner, change, kushiro[0] ?? ""));
-                await waitUntilInForce(fleet, partner, newest.get(partner) ?? 0, [...halloway, ...kushiro]);
+                await waitUntilActive(fleet, partner, newest.get(partner) ?? 0, [...halloway, ...kushiro]);
             }
 
             await fleet.platform.setFaults({ outage: "refuse" });
             await Promise.all(nodeIds.map((nodeId) => fleet.node(nodeId).kill()));
             await Promise.all(nodeIds.map((nodeId) => fleet.node(nodeId).start()));
-            const again = fleet.node(nodeIds[0] ?? "");
-            await again.waitUntilListening(fleet.signal);
-            await again.kill();
-            await again.start();
+            const twiceKilledNode = fleet.node(nodeIds[0] ?? "");
+            await twiceKilledNode.waitUntilListening(fleet.signal);
+            await twiceKilledNode.kill();
+            await twiceKilledNode.start();
             await fleet.waitUntilReady();
 
             for (const partner of PARTNERS) {
@@ -188,28 +189,27 @@
         }
     }).timeout(TIME_LIMIT);
 
-    it("holds each accepted change once when operators race, answers are lost and a zone's readers die", async () => {
-        // Symptom: a change is missing from the audit trail or stands there twice, or an operator is told otherwise.
-        // Sequence: writers of each partner change the same cell through all nodes, and repeat at the next node; half
-        // of the answers to writes are lost after they took effect; two of a zone's three nodes are killed, of which
-        // one at least is a reader.
-        // Cause: neither the operator nor the node can tell a lost answer from a lost write.
-        interface Told { readonly changeId: string; readonly sequence: Sequence }
+    it("records each accepted change once with concurrent operators, lost responses and dying readers of a zone", async () => {
+        // Guards against missing or duplicate changes in the audit trail, and against outcomes that contradict it.
+        // Concurrent writers change one cell through all nodes and retry at the next node, half of the responses to
+        // writes are lost after their effect, and two of a zone's three nodes die, at least one of them a reader.
+        // Neither operators nor nodes can distinguish a lost response from a lost write.
+        interface AcceptedChange { readonly changeId: string; readonly sequence: Sequence }
         const cell = "limits/signing/queue";
-        const told = new Map<PartnerName, Told[]>(PARTNERS.map((partner) => [partner, []]));
+        const acceptedChanges = new Map<PartnerName, AcceptedChange[]>(PARTNERS.map((partner) => [partner, []]));
         const refused: string[] = [];
-        const dead = halloway.slice(0, 2);
+        const killedNodes = halloway.slice(0, 2);
 
         const all = [...halloway, ...kushiro];
 
         const write = async (partner: PartnerName, writer: number): Promise<void> => {
             const entries = [...all.slice(writer), ...all.slice(0, writer)];
-            for (let turn = 0; turn < TURNS; turn++) {
+            for (let turn = 0; turn < CHANGES_PER_WRITER; turn++) {
                 const changeId = `race-${partner}-${writer}-${turn}`;
-                const edits = [{ cell, value: 100 + WRITERS * turn + writer }];
-                const outcome = await acceptPatiently(fleet, partner, { changeId, edits }, entries);
+                const edits = [{ cell, value: 100 + WRITERS_PER_PARTNER * turn + writer }];
+                const outcome = await acceptWithRetries(fleet, partner, { changeId, edits }, entries);
                 if (either.isRight(outcome)) {
-                    told.get(partner)?.push({ changeId, sequence: outcome.right.sequence });
+                    acceptedChanges.get(partner)?.push({ changeId, sequence: outcome.right.sequence });
                 }
                 else {
                     refused.push(`${changeId}: ${outcome.left.kind}`);
@@ -217,17 +217,17 @@
             }
         };
 
-        const heads = new Map<PartnerName, Sequence>();
+        const firstVersions = new Map<PartnerName, Sequence>();
         for (const partner of PARTNERS) {
-            heads.set(partner, await readInForce(fleet, partner, kushiro[0] ?? "") ?? 0);
+            firstVersions.set(partner, await readActiveVersion(fleet, partner, kushiro[0] ?? "") ?? 0);
         }
         await fleet.platform.setFaults({ byOperation: { Transact: { loseAnswersShare: 0.5 } } });
         const writing = PARTNERS.flatMap((partner) =>
-            Array.from({ length: WRITERS }, (_, writer) => write(partner, writer)));
-        await Promise.all(dead.map((nodeId) => fleet.node(nodeId).kill()));
+            Array.from({ length: WRITERS_PER_PARTNER }, (_, writer) => write(partner, writer)));
+        await Promise.all(killedNodes.map((nodeId) => fleet.node(nodeId).kill()));
         await Promise.all(writing);
         await fleet.platform.setFaults({});
-        await Promise.all(dead.map((nodeId) => fleet.node(nodeId).start()));
+        await Promise.all(killedNodes.map((nodeId) => fleet.node(nodeId).start()));
         await fleet.waitUntilReady();
 
         expect(refused.filter((line) => !line.endsWith("Conflict"))).to.deep.equal([]);
@@ -235,16 +235,16 @@
             const audit = await fleet.operatorClient(partner).listAudit({ limit: 100 })();
             const entries = either.isRight(audit) ? audit.right.entries : [];
             const raced = entries.filter(({ changeId }) => changeId.startsWith("race-")).reverse();
-            const accepted = told.get(partner) ?? [];
+            const accepted = acceptedChanges.get(partner) ?? [];
             const bySequence = [...accepted].sort((left, right) => left.sequence - right.sequence);
             expect(raced.map(({ changeId, sequence }) => ({ changeId, sequence }))).to.deep.equal(bySequence);
-            const start = heads.get(partner) ?? 0;
+            const start = firstVersions.get(partner) ?? 0;
             expect(raced.map(({ sequence }) => sequence)).to.deep.equal(raced.map((_, index) => start + 1 + index));
 
             const steps = raced.flatMap(({ changes }) => changes);
             const after: readonly (CellValue | undefined)[] = steps.map((step) => step.after);
             expect(steps.slice(1).map((step) => step.before)).to.deep.equal(after.slice(0, -1));
-            await waitUntilInForce(fleet, partner, start + raced.length, all);
+            await waitUntilActive(fleet, partner, start + raced.length, all);
             for (const nodeId of all) {
                 const table = await fleet.operatorClient(partner, nodeId).getTable({ source: "inForce" })();
                 expect(either.isRight(table) ? table.right.cells[cell] : table.left).to.equal(after.at(-1));
--- a/packages/oleandergap-demo/src/__tests__/plans.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/plans.test.ts
@@ -8,7 +8,7 @@
 import { listSeedChanges } from "../plan/seedEdits.js";
 
 describe("createTodaysPlan", () => {
-    it("has the workers, slots and zones of both deployments", () => {
+    it("contains the targets, slots and zones of both deployments", () => {
         const { vms, partners } = createTodaysPlan();
         const count = (service: string): number => vms.filter(({ target }) => target?.service === service).length;
 
@@ -22,7 +22,7 @@
 });
 
 describe("createGeneratedPlan", () => {
-    it("places every node at an address of its own, with a target whose service has a row", () => {
+    it("assigns a unique address to each node, and a target whose service has a row", () => {
         fc.assert(fc.property(fc.integer({ min: 2, max: 400 }), fc.integer({ min: 1, max: 5 }), (nodes, zones) => {
             const plan = createGeneratedPlan({ nodes, zonesPerPartner: zones, servicesPerPartner: 30 });
             const rows = new Set(plan.partners.flatMap(({ partner, services }) =>
@@ -35,13 +35,13 @@
         }));
     });
 
-    it("refuses more nodes than the addresses of its zones", () => {
+    it("rejects more nodes than its zones have addresses", () => {
         expect(() => createGeneratedPlan({ nodes: 1200, zonesPerPartner: 2 })).to.throw(RangeError);
     });
 });
 
 describe("listSeedChanges", () => {
-    it("keeps every cell, stays within the size of a change, and never tears a row apart", () => {
+    it("contains all cells, limits the size of a change, and never splits a row", () => {
         fc.assert(fc.property(fc.integer({ min: 1, max: 600 }), fc.integer({ min: 1, max: 5 }), (services, zones) => {
             const plan = createGeneratedPlan({ nodes: 2, zonesPerPartner: zones, servicesPerPartner: services });
             const [partner] = plan.partners;
@@ -72,7 +72,7 @@
         "up 1",
     ].join("\n");
 
-    it("finds the samples of one metric and sums those with given labels", () => {
+    it("returns the samples of one metric and sums those with the given labels", () => {
         expect(readMetricSamples(text, "requests_total").map(({ value }) => value)).to.deep.equal([3, 4]);
         expect(sumMetric(text, "requests_total", { at: "gateway" })).to.equal(4);
         expect(sumMetric(text, "up")).to.equal(1);
--- a/packages/oleandergap-demo/src/__tests__/processes.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/processes.test.ts
@@ -7,8 +7,8 @@
 import { readProcessUsage } from "../process/processUsage.js";
 import type { Child } from "../process/childProcess.js";
 
-const STUBBORN = "process.on(\"SIGTERM\", () => {}); setInterval(() => {}, 1000); console.log(\"ready\");";
-const BROKEN = "console.error(\"no settings\"); process.exit(3);";
+const STUBBORN_SCRIPT = "process.on(\"SIGTERM\", () => {}); setInterval(() => {}, 1000); console.log(\"ready\");";
+const FAILING_SCRIPT = "console.error(\"no settings\"); process.exit(3);";
 
 describe("createProcessGroup", () => {
     let folder: string;
@@ -33,29 +33,28 @@
         await rm(folder, { recursive: true });
     });
 
-    it("tells why a process did not start", async () => {
-        const reason = await startScript("broken", BROKEN).then(() => "started", (error: Error) => error.message);
+    it("reports why a process did not start", async () => {
+        const reason = await startScript("broken", FAILING_SCRIPT).then(() => "started", (error: Error) => error.message);
         expect(reason).to.equal("broken ended with code 3; end of its log:\n  no settings");
     });
 
-    it("leaves no process behind, not even a frozen one that ignores the request to stop", async () => {
-        // Symptom: processes of an earlier run hold the ports.
-        // Sequence: a process hangs, the run ends.
-        // Cause: asking politely is not enough for a process that is frozen or ignores the signal.
-        const child = await startScript("stubborn", STUBBORN);
+    it("leaves no process running, not even a frozen one that ignores SIGTERM", async () => {
+        // Guards against processes of an earlier run that still occupy the ports. SIGTERM does not end a process that
+        // is frozen or ignores the signal.
+        const child = await startScript("stubborn", STUBBORN_SCRIPT);
         child.freeze();
         expect((await readProcessUsage(child.name, child.pid))?.residentBytes).to.be.above(0);
         await group.close();
 
         expect(existsSync(`/proc/${child.pid}`)).to.equal(false);
-        expect(await startScript("late", STUBBORN).then(() => "started", () => "refused")).to.equal("refused");
+        expect(await startScript("late", STUBBORN_SCRIPT).then(() => "started", () => "refused")).to.equal("refused");
     });
 
-    it("reports a process that ends by itself, and no other", async () => {
-        const asked = await startScript("asked", STUBBORN);
-        const crashing = await startScript("crashing", "console.log(\"ready\"); setTimeout(() => process.exit(4), 10);");
-        await asked.stop(0);
-        await crashing.exited;
+    it("reports only processes that exit without a stop request", async () => {
+        const stoppedChild = await startScript("asked", STUBBORN_SCRIPT);
+        const crashingChild = await startScript("crashing", "console.log(\"ready\"); setTimeout(() => process.exit(4), 10);");
+        await stoppedChild.stop(0);
+        await crashingChild.exited;
         while (reports.length === 0) {
             await new Promise((resolve) => setImmediate(resolve));
         }
--- a/packages/oleandergap-demo/src/check/checkContext.ts
+++ b/packages/oleandergap-demo/src/check/checkContext.ts
@@ -1,30 +1,30 @@
-/** What the steps of the check share. */
+/** Context and helpers that the steps of the check share. */
 import type { CallRequest, Caller, CallResult } from "oleandergap-standins";
 import type { Clock, ServiceReference } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import type { Fleet } from "../fleet/fleet.js";
 import type { ServicePlan } from "../plan/fleetPlan.js";
 
-/** A running fleet and the means to try it. */
+/** A running fleet and the tools to test it. */
 export interface CheckContext {
     readonly fleet: Fleet;
     readonly caller: Caller;
     readonly clock: Clock;
     readonly random: Random;
-    /** Aborts when the check's time is up or it is interrupted. */
+    /** Aborts when the time limit of the check is reached or the check is interrupted. */
     readonly signal: AbortSignal;
-    /** Hears what was seen. */
+    /** Receives each observation as a line of text. */
     readonly report: (line: string) => void;
 }
 
-/** A row of a table together with its owner. */
-export interface ListedService {
+/** A service of a partner together with its row of the table. */
+export interface ServedService {
     readonly reference: ServiceReference;
     readonly plan: ServicePlan;
 }
 
-/** Services that have at least one target in the fleet. */
-export const listServedServices = ({ plan }: Fleet): readonly ListedService[] =>
+/** Returns the services that have at least one target in the fleet. */
+export const listServedServices = ({ plan }: Fleet): readonly ServedService[] =>
     plan.partners.flatMap(({ partner, services }) => services
         .filter(({ service }) => plan.vms.some(({ target }) =>
             target?.partner === partner && target.service === service))
@@ -33,8 +33,8 @@
 const REQUEST_TIMEOUT = 5000;
 const encoder = new TextEncoder();
 
-/** A request that the service accepts: with an idempotency key where the table demands one. */
-export const createCheckRequest = ({ reference, plan }: ListedService, runKey: string): CallRequest => ({
+/** Creates a request that the service accepts, with an idempotency key if the table requires one. */
+export const createCheckRequest = ({ reference, plan }: ServedService, runKey: string): CallRequest => ({
     service: reference,
     method: "POST",
     path: `/check/${runKey}`,
@@ -44,7 +44,7 @@
     ...(plan.idempotency === "required" ? { idempotencyKey: runKey } : {}),
 });
 
-/** One line for people. */
+/** Describes a result in one human-readable line. */
 export const describeResult = (result: CallResult): string => {
     switch (result.kind) {
         case "Answered":
@@ -54,6 +54,6 @@
         case "Failed":
             return `failed: ${result.detail} (${result.verdict})`;
         case "Wrong":
-            return `wrong answer: ${result.detail}`;
+            return `received a wrong response: ${result.detail}`;
     }
 };
--- a/packages/oleandergap-demo/src/check/containRequest.ts
+++ b/packages/oleandergap-demo/src/check/containRequest.ts
@@ -1,18 +1,18 @@
 /**
- * Step of the check: a request crashes each target that runs it, and comes again and again. After its third crash every
- * node refuses it, and the service goes on.
+ * Step of the check: a request that crashes each target that runs it is sent repeatedly. After its third crash all
+ * nodes refuse the request, and the service remains available.
  */
 import type { CallRequest } from "oleandergap-standins";
 import type { Milliseconds, NodeId, ServiceReference } from "oleandergap-types";
 import { listServedServices, type CheckContext } from "./checkContext.js";
 
 const CRASH_PATH = "/check/crash";
-/** Short, so that the next step finds all targets. */
-const DOWN_MS: Milliseconds = 500;
-const SEND_DISTANCE_MS: Milliseconds = 50;
+/** Short, so that all targets are running again in the next step. */
+const TARGET_RESTART_DELAY_MS: Milliseconds = 500;
+const SEND_INTERVAL_MS: Milliseconds = 50;
 const REQUEST_TIMEOUT_MS: Milliseconds = 2000;
-/** Sends in all; three are enough unless each meets a target that is not back yet. */
-const MOST_SENDS = 200;
+/** Maximum number of sends. Three are enough unless a send reaches a target that has not restarted yet. */
+const MAX_SENDS = 200;
 
 const listTargets = ({ fleet }: CheckContext, { partner, service }: ServiceReference): readonly NodeId[] =>
     fleet.plan.vms
@@ -22,41 +22,44 @@
 const countCrashes = async ({ fleet }: CheckContext): Promise<number> => (await fleet.targets.targets())
     .reduce((sum, { counters }) => sum + counters.crashes, 0);
 
-/** Sends it through one gateway after the other until each of them in turn has refused it. */
+/**
+ * Sends the request through the gateways in turn until all of them have refused it in succession. Returns the number of
+ * sends.
+ */
 const sendUntilRefused = async (context: CheckContext, service: ServiceReference): Promise<number> => {
     const { fleet, caller, clock, signal } = context;
     const gateways = fleet.gateways();
-    let refusedInTurn = 0;
-    for (let sends = 1; sends <= MOST_SENDS; sends++) {
+    let consecutiveRefusals = 0;
+    for (let sends = 1; sends <= MAX_SENDS; sends++) {
         const request: CallRequest = {
             service, method: "GET", path: CRASH_PATH, runKey: `crash-${sends}`, timeoutMs: REQUEST_TIMEOUT_MS,
         };
         const gateway = gateways[sends % gateways.length];
         const result = gateway === undefined ? undefined : await caller.call(gateway, request);
         const isContained = result?.kind === "Refused" && result.reason === "Contained";
-        refusedInTurn = isContained ? refusedInTurn + 1 : 0;
-        if (refusedInTurn >= gateways.length) {
+        consecutiveRefusals = isContained ? consecutiveRefusals + 1 : 0;
+        if (consecutiveRefusals >= gateways.length) {
             return sends;
         }
-        await clock.sleep(isContained ? 0 : SEND_DISTANCE_MS, signal);
+        await clock.sleep(isContained ? 0 : SEND_INTERVAL_MS, signal);
     }
-    throw new Error(`a request that crashes its targets is not refused by all nodes after ${MOST_SENDS} sends`);
+    throw new Error(`not all nodes refuse a request that crashes its targets after ${MAX_SENDS} sends`);
 };
 
-/** Rejects unless all nodes refuse the request in the end. */
-export const containRequest = async (context: CheckContext): Promise<void> => {
+/** Runs the step. Rejects unless all nodes finally refuse the request. */
+export const checkContainment = async (context: CheckContext): Promise<void> => {
     const { fleet, report } = context;
-    const [listed] = listServedServices(fleet);
-    if (listed === undefined) {
-        throw new RangeError("the fleet serves nothing");
+    const [servedService] = listServedServices(fleet);
+    if (servedService === undefined) {
+        throw new RangeError("the fleet has no service with a target");
     }
-    const targets = listTargets(context, listed.reference);
-    const faults = { crashPath: CRASH_PATH, crashDownMs: DOWN_MS };
+    const targets = listTargets(context, servedService.reference);
+    const faults = { crashPath: CRASH_PATH, crashDownMs: TARGET_RESTART_DELAY_MS };
     await Promise.all(targets.map((id) => fleet.targets.setFaults(id, faults)));
     try {
-        const sends = await sendUntilRefused(context, listed.reference);
+        const sends = await sendUntilRefused(context, servedService.reference);
         const crashes = await countCrashes(context);
-        report(`a request that crashes its targets ended ${crashes}; sent ${sends} times, all nodes refuse it`);
+        report(`a request that crashes its targets caused ${crashes} crashes; after ${sends} sends all nodes refuse it`);
     }
     finally {
         await Promise.all(targets.map((id) => fleet.targets.setFaults(id, {})));
--- a/packages/oleandergap-demo/src/check/drainTarget.ts
+++ b/packages/oleandergap-demo/src/check/drainTarget.ts
@@ -1,21 +1,21 @@
-/** Step of the check: one target is drained, and a few seconds later no new request reaches it. */
+/** Step of the check: drains one target and verifies that no new request reaches it a few seconds later. */
 import type { TargetReport } from "oleandergap-standins";
 import type { Milliseconds } from "oleandergap-types";
 import { runCommand } from "../fleet/commandLine.js";
-import { listServedServices, type CheckContext, type ListedService } from "./checkContext.js";
-import { answerSeveral, describeComebacks } from "./serveServices.js";
+import { listServedServices, type CheckContext, type ServedService } from "./checkContext.js";
+import { sendRequests, describeRetries } from "./serveServices.js";
 
-/** Time in which the whole fleet has to learn that a target leaves. */
-const SPREAD_TIME: Milliseconds = 3000;
+/** Time within which all nodes must have received the information that a target is leaving. */
+const PROPAGATION_TIME: Milliseconds = 3000;
 const REQUESTS_AFTER_DRAIN = 40;
 
-interface Drain {
-    readonly service: ListedService;
+interface DrainCandidate {
+    readonly service: ServedService;
     readonly nodeId: string;
 }
 
-/** A service with several targets, and the last of them. */
-const chooseDrain = ({ fleet }: CheckContext): Drain | undefined => {
+/** Returns a service with several targets and the node of its last target. */
+const chooseDrainCandidate = ({ fleet }: CheckContext): DrainCandidate | undefined => {
     for (const service of listServedServices(fleet)) {
         const { partner, service: name } = service.reference;
         const vms = fleet.plan.vms.filter(({ target }) => target?.partner === partner && target.service === name);
@@ -30,34 +30,34 @@
 const findTarget = async ({ fleet }: CheckContext, id: string): Promise<TargetReport> => {
     const found = (await fleet.targets.targets()).find((target) => target.id === id);
     if (found === undefined) {
-        throw new Error(`no target stand-in ${id}`);
+        throw new Error(`no target stand-in has the id ${id}`);
     }
     return found;
 };
 
-/** Rejects when a request reaches the drained target, or isn't answered by another one. */
-export const drainOneTarget = async (context: CheckContext): Promise<void> => {
+/** Runs the step. Rejects if a request reaches the drained target or is not answered by another one. */
+export const checkDrain = async (context: CheckContext): Promise<void> => {
     const { fleet, clock, signal, report } = context;
-    const drain = chooseDrain(context);
-    if (drain === undefined) {
+    const candidate = chooseDrainCandidate(context);
+    if (candidate === undefined) {
         throw new Error("no service has two targets, so none can be drained");
     }
-    const { service, nodeId } = drain;
+    const { service, nodeId } = candidate;
     const { partner, service: name } = service.reference;
     report(`${partner} at ${nodeId}: oleandergap drain ${nodeId}`);
-    await runCommand(fleet, { partner, nodeId, words: ["drain", nodeId] });
-    await clock.sleep(SPREAD_TIME, signal);
+    await runCommand(fleet, { partner, nodeId, commandArguments: ["drain", nodeId] });
+    await clock.sleep(PROPAGATION_TIME, signal);
     signal.throwIfAborted();
 
     const before = await findTarget(context, nodeId);
-    const answers = await answerSeveral(context, service, "drained", REQUESTS_AFTER_DRAIN);
+    const summary = await sendRequests(context, service, "drained", REQUESTS_AFTER_DRAIN);
     const after = await findTarget(context, nodeId);
-    const reached = after.counters.received - before.counters.received;
-    if (reached > 0) {
-        throw new Error(`${partner}/${name}: ${reached} new requests reached the drained target at ${nodeId}`);
+    const newRequests = after.counters.received - before.counters.received;
+    if (newRequests > 0) {
+        throw new Error(`${partner}/${name}: ${newRequests} new requests reached the drained target at ${nodeId}`);
     }
     report(
-        `${partner}/${name}: target at ${nodeId} drained; of ${REQUESTS_AFTER_DRAIN} requests after ${SPREAD_TIME} ms ` +
-        `none reached it${describeComebacks(answers)}`,
+        `${partner}/${name}: target at ${nodeId} drained; of ${REQUESTS_AFTER_DRAIN} requests after ${PROPAGATION_TIME} ms ` +
+        `none reached it${describeRetries(summary)}`,
     );
 };
--- a/packages/oleandergap-demo/src/check/restorePlatform.ts
+++ b/packages/oleandergap-demo/src/check/restorePlatform.ts
@@ -1,35 +1,35 @@
 /**
- * Step of the check: the platform is away for a moment and comes back from a copy that lacks the last versions.
- * Requests go on meanwhile, no node goes back, and the next changes are followed as ever.
+ * Step of the check: the platform is briefly unavailable and is restored from a copy that lacks the latest versions.
+ * Meanwhile requests are served, no node returns to an older version, and later changes propagate as usual.
  */
 import type { CheckContext } from "./checkContext.js";
 import { listServedServices } from "./checkContext.js";
-import { followChanges } from "./followChange.js";
-import { answerSeveral, type AnswerCount } from "./serveServices.js";
+import { checkChanges } from "./followChange.js";
+import { sendRequests, type RequestSummary } from "./serveServices.js";
 
-/** For each service; enough that some are under way during the whole step. */
-const REQUESTS = 30;
+/** Large enough that requests are in flight during the whole step. */
+const REQUESTS_PER_SERVICE = 30;
 
-const serveAll = (context: CheckContext): Promise<readonly AnswerCount[]> =>
+const sendToAllServices = (context: CheckContext): Promise<readonly RequestSummary[]> =>
     Promise.all(listServedServices(context.fleet).map((service) =>
-        answerSeveral(context, service, "restored", REQUESTS)));
+        sendRequests(context, service, "restored", REQUESTS_PER_SERVICE)));
 
-const restore = async ({ fleet }: CheckContext): Promise<void> => {
+const restoreLastCopy = async ({ fleet }: CheckContext): Promise<void> => {
     await fleet.platform.setFaults({ outage: "reset" });
     await fleet.platform.restore();
     await fleet.platform.setFaults({});
 };
 
-/** Rejects unless all requests are answered and all nodes follow the changes after the restore. */
-export const restorePlatform = async (context: CheckContext): Promise<void> => {
-    await context.fleet.platform.keepCopy();
-    await followChanges(context);
-    const [answers] = await Promise.all([serveAll(context), restore(context)]);
-    const requests = answers.reduce((sum, { targets }) => sum + targets.length, 0);
-    const comebacks = answers.reduce((sum, answer) => sum + answer.comebacks, 0);
+/** Runs the step. Rejects unless all requests are answered and all nodes apply the changes after the restore. */
+export const checkPlatformRestore = async (context: CheckContext): Promise<void> => {
+    await context.fleet.platform.takeCopy();
+    await checkChanges(context);
+    const [summaries] = await Promise.all([sendToAllServices(context), restoreLastCopy(context)]);
+    const requests = summaries.reduce((sum, { targets }) => sum + targets.length, 0);
+    const retries = summaries.reduce((sum, answer) => sum + answer.retries, 0);
     context.report(
-        `platform restored from a copy that lacks the last versions: ${requests} requests meanwhile, all answered, ` +
-        `${comebacks} refusals as not run on the way`,
+        `platform restored from a copy that lacks the latest versions: all ${requests} requests meanwhile were answered, ` +
+        `${retries} retries after refusals as not run`,
     );
-    await followChanges(context);
+    await checkChanges(context);
 };
--- a/packages/oleandergap-demo/src/check/runCheck.ts
+++ b/packages/oleandergap-demo/src/check/runCheck.ts
@@ -1,4 +1,4 @@
-/** The self-check: one full round over a fleet, from start to stop. */
+/** The self-check: starts a fleet, runs all steps of the check and stops the fleet. */
 import { existsSync } from "node:fs";
 import { createCaller } from "oleandergap-standins";
 import { createSeededRandom, createSystemClock } from "oleandergap-utils";
@@ -7,13 +7,13 @@
 import { startFleet } from "../fleet/startFleet.js";
 import type { FleetPlan } from "../plan/fleetPlan.js";
 import type { CheckContext } from "./checkContext.js";
-import { containRequest } from "./containRequest.js";
-import { drainOneTarget } from "./drainTarget.js";
-import { followChanges } from "./followChange.js";
-import { restorePlatform } from "./restorePlatform.js";
-import { serveEveryService } from "./serveServices.js";
+import { checkContainment } from "./containRequest.js";
+import { checkDrain } from "./drainTarget.js";
+import { checkChanges } from "./followChange.js";
+import { checkPlatformRestore } from "./restorePlatform.js";
+import { checkEveryService } from "./serveServices.js";
 
-/** What to check, and who hears of it. */
+/** Options of the self-check. */
 export interface CheckOptions {
     readonly plan: FleetPlan;
     readonly signal: AbortSignal;
@@ -27,27 +27,27 @@
 const reportUsage = async ({ fleet, report }: CheckContext): Promise<readonly number[]> => {
     const usage = await fleet.usage();
     const nodes = usage.filter(({ name }) => name.startsWith("node "));
-    const resident = nodes.map((node) => node.residentBytes / BYTES_PER_MEBIBYTE);
-    const mean = resident.reduce((sum, value) => sum + value, 0) / Math.max(1, resident.length);
-    report(`${usage.length} processes; a node holds ${Math.round(mean)} MB in memory on average`);
+    const residentMebibytes = nodes.map((node) => node.residentBytes / BYTES_PER_MEBIBYTE);
+    const mean = residentMebibytes.reduce((sum, value) => sum + value, 0) / Math.max(1, residentMebibytes.length);
+    report(`${usage.length} processes; a node uses ${Math.round(mean)} MB of memory on average`);
     return usage.map(({ pid }) => pid);
 };
 
 const runSteps = async (context: CheckContext): Promise<readonly number[]> => {
-    await serveEveryService(context);
-    await followChanges(context);
-    await serveEveryService(context);
-    await restorePlatform(context);
-    await containRequest(context);
-    await serveEveryService(context);
-    await drainOneTarget(context);
+    await checkEveryService(context);
+    await checkChanges(context);
+    await checkEveryService(context);
+    await checkPlatformRestore(context);
+    await checkContainment(context);
+    await checkEveryService(context);
+    await checkDrain(context);
     return reportUsage(context);
 };
 
-const checkEnded = (pids: readonly number[]): void => {
-    const left = pids.filter((pid) => existsSync(`/proc/${pid}`));
-    if (left.length > 0) {
-        throw new Error(`processes still run after the stop: ${left.join(", ")}`);
+const checkProcessesEnded = (pids: readonly number[]): void => {
+    const remaining = pids.filter((pid) => existsSync(`/proc/${pid}`));
+    if (remaining.length > 0) {
+        throw new Error(`processes still running after the stop: ${remaining.join(", ")}`);
     }
 };
 
@@ -68,7 +68,7 @@
     }
 };
 
-/** Rejects with the reason when any step fails; the fleet is stopped in every case. */
+/** Runs the self-check. Rejects with the reason if any step fails; the fleet is stopped in all cases. */
 export const runCheck = async (options: CheckOptions): Promise<void> => {
     const { plan, signal, report, keepFiles = false } = options;
     await checkPrograms([programs.commandLine]);
@@ -80,6 +80,6 @@
     finally {
         await fleet.stop();
     }
-    checkEnded(pids);
+    checkProcessesEnded(pids);
     report("Everything has stopped.");
 };
--- a/packages/oleandergap-demo/src/check/serveServices.ts
+++ b/packages/oleandergap-demo/src/check/serveServices.ts
@@ -1,4 +1,4 @@
-/** Step of the check: a request for each service is answered by a target of that service. */
+/** Step of the check: verifies that a request for each service is answered by a target of that service. */
 import type { CallResult, GatewayAddress } from "oleandergap-standins";
 import type { Milliseconds } from "oleandergap-types";
 import { pickOne } from "oleandergap-utils";
@@ -9,15 +9,15 @@
     describeResult,
     listServedServices,
     type CheckContext,
-    type ListedService,
+    type ServedService,
 } from "./checkContext.js";
 
-/** Longest wait until a target that announced itself is known in the whole fleet. */
-const FIRST_ANSWER_TIMEOUT: Milliseconds = 30_000;
-/** Times that a caller comes back after a refusal before it gives up. */
-const MAX_COMEBACKS = 10;
-const REQUESTS_AT_ONCE = 8;
-/** Wait after a refusal that names none. */
+/** Maximum time until all nodes can route requests to a target that announced itself. */
+const FIRST_RESPONSE_TIMEOUT: Milliseconds = 30_000;
+/** Maximum number of retries after refusals. */
+const MAX_RETRIES = 10;
+const MAX_CONCURRENT_REQUESTS = 8;
+/** Retry delay after a refusal that contains none. */
 const DEFAULT_RETRY_AFTER: Milliseconds = 500;
 
 interface SentCall {
@@ -27,12 +27,12 @@
 
 const callAnyGateway = async (
     { fleet, caller, random }: CheckContext,
-    service: ListedService,
+    service: ServedService,
     runKey: string,
 ): Promise<SentCall> => {
     const gateway = pickOne(random, fleet.gateways());
     if (gateway === undefined) {
-        throw new Error("no node runs");
+        throw new Error("no node is running");
     }
     return { gateway, result: await caller.call(gateway, createCheckRequest(service, runKey)) };
 };
@@ -40,29 +40,33 @@
 const describeCall = ({ gateway, result }: SentCall): string =>
     `at gateway ${gateway.address}:${gateway.port} ${describeResult(result)}`;
 
-const nameRun = ({ reference }: ListedService, label: string, index: number): string =>
+const formatRunKey = ({ reference }: ServedService, label: string, index: number): string =>
     `${reference.partner}-${reference.service}-${label}-${index}`;
 
-/** Waits until the service is served. A refusal before that is no error: the fleet is only just coming up. */
-const waitUntilServed = (context: CheckContext, service: ListedService): Promise<CallResult> => {
+/** Waits until the service answers a request. Earlier refusals are no error, because the fleet is still starting. */
+const waitUntilServed = (context: CheckContext, service: ServedService): Promise<CallResult> => {
     const { partner, service: name } = service.reference;
     let attempts = 0;
-    let last = "not asked yet";
+    let lastResult = "not queried yet";
     const probe = async (): Promise<CallResult | undefined> => {
-        const call = await callAnyGateway(context, service, nameRun(service, "first", attempts++));
+        const call = await callAnyGateway(context, service, formatRunKey(service, "first", attempts++));
         const { result } = call;
-        last = describeCall(call);
+        lastResult = describeCall(call);
         if (result.kind === "Wrong") {
-            throw new Error(`${partner}/${name}: ${last}`);
+            throw new Error(`${partner}/${name}: ${lastResult}`);
         }
         return result.kind === "Answered" ? result : undefined;
     };
-    const what = `${partner}/${name} is served`;
-    return waitForValue({ what, timeoutMs: FIRST_ANSWER_TIMEOUT, signal: context.signal }, probe, () => last);
+    const description = `${partner}/${name} is served`;
+    return waitForValue(
+        { description, timeoutMs: FIRST_RESPONSE_TIMEOUT, signal: context.signal },
+        probe,
+        () => lastResult,
+    );
 };
 
-/** One answered request per service; rejects when a service stays without an answer. */
-export const serveEveryService = async (context: CheckContext): Promise<void> => {
+/** Waits for one answered request per service. Rejects if a service does not answer in time. */
+export const checkEveryService = async (context: CheckContext): Promise<void> => {
     for (const service of listServedServices(context.fleet)) {
         const result = await waitUntilServed(context, service);
         const { partner, service: name } = service.reference;
@@ -70,55 +74,55 @@
     }
 };
 
-/** Who answered a row of requests, and how often a caller had to come back for its answer. */
-export interface AnswerCount {
+/** Targets that answered a series of requests, and the number of retries that were needed. */
+export interface RequestSummary {
     readonly targets: readonly string[];
-    readonly comebacks: number;
+    readonly retries: number;
 }
 
-const isWorthComingBack = ({ result }: SentCall): boolean => result.kind === "Refused" && result.verdict === "notRun";
+const isRetryable = ({ result }: SentCall): boolean => result.kind === "Refused" && result.verdict === "notRun";
 
 /**
- * One request by a caller who does as it is told: refused as not run, it comes back when the answer says. The first
- * request for a service at a gateway of another zone may meet such a refusal.
+ * Sends one request and retries it after each refusal as not run, with the delay given in the refusal. The first
+ * request for a service at a gateway of another zone may receive such a refusal.
  */
 const callUntilAnswered = async (
     context: CheckContext,
-    service: ListedService,
+    service: ServedService,
     runKey: string,
-): Promise<{ readonly call: SentCall; readonly comebacks: number }> => {
+): Promise<{ readonly call: SentCall; readonly retries: number }> => {
     let call = await callAnyGateway(context, service, runKey);
-    let comebacks = 0;
-    while (isWorthComingBack(call) && comebacks < MAX_COMEBACKS && call.result.kind === "Refused") {
-        comebacks += 1;
+    let retries = 0;
+    while (isRetryable(call) && retries < MAX_RETRIES && call.result.kind === "Refused") {
+        retries += 1;
         await context.clock.sleep(call.result.retryAfterMs ?? DEFAULT_RETRY_AFTER, context.signal);
         context.signal.throwIfAborted();
         call = { ...call, result: await context.caller.call(call.gateway, createCheckRequest(service, runKey)) };
     }
-    return { call, comebacks };
+    return { call, retries };
 };
 
-/** Sends `count` requests through any gateways, a few at once; rejects unless all are answered. */
-export const answerSeveral = async (
+/** Sends `count` requests through random gateways, several concurrently. Rejects unless all are answered. */
+export const sendRequests = async (
     context: CheckContext,
-    service: ListedService,
+    service: ServedService,
     label: string,
     count: number,
-): Promise<AnswerCount> => {
-    const runKeys = Array.from({ length: count }, (_, index) => nameRun(service, label, index));
-    const answered = await mapWithLimit(runKeys, REQUESTS_AT_ONCE, async (runKey) => {
-        const { call, comebacks } = await callUntilAnswered(context, service, runKey);
+): Promise<RequestSummary> => {
+    const runKeys = Array.from({ length: count }, (_, index) => formatRunKey(service, label, index));
+    const answered = await mapWithLimit(runKeys, MAX_CONCURRENT_REQUESTS, async (runKey) => {
+        const { call, retries } = await callUntilAnswered(context, service, runKey);
         if (call.result.kind !== "Answered") {
             throw new Error(`request ${runKey} ${describeCall(call)}`);
         }
-        return { target: call.result.target, comebacks };
+        return { target: call.result.target, retries };
     });
     return {
         targets: answered.map(({ target }) => target),
-        comebacks: answered.reduce((sum, { comebacks }) => sum + comebacks, 0),
+        retries: answered.reduce((sum, { retries }) => sum + retries, 0),
     };
 };
 
-/** For people: nothing, or how often callers had to come back. */
-export const describeComebacks = ({ comebacks }: AnswerCount): string =>
-    comebacks === 0 ? "" : ` (${comebacks} refusals as not run on the way)`;
+/** Returns a human-readable note on the number of retries, or an empty string if there were none. */
+export const describeRetries = ({ retries }: RequestSummary): string =>
+    retries === 0 ? "" : ` (${retries} retries after refusals as not run)`;
--- a/packages/oleandergap-demo/src/fleet/commandLine.ts
+++ b/packages/oleandergap-demo/src/fleet/commandLine.ts
@@ -1,13 +1,13 @@
-/** Runs the operators' command line against a fleet, as an operator would. */
+/** Runs the operators' command-line tool against a fleet, as an operator would. */
 import { execFile } from "node:child_process";
 import type { Milliseconds, NodeId, PartnerName } from "oleandergap-types";
 import { z } from "zod";
 import type { Fleet } from "./fleet.js";
 import { programs } from "./programs.js";
 
-const TIME_LIMIT: Milliseconds = 60_000;
+const COMMAND_TIMEOUT: Milliseconds = 60_000;
 
-/** The words that let the command line find a node and the operator's credential. */
+/** Returns the command-line options that select a node and the credential of an operator. */
 export const formatAccessOptions = (fleet: Fleet, partner: PartnerName, nodeId: NodeId): readonly string[] => {
     const { vm } = fleet.node(nodeId);
     return [
@@ -16,26 +16,26 @@
     ];
 };
 
-/** One command of an operator. */
+/** One operator command. */
 export interface CommandRun {
     readonly partner: PartnerName;
-    /** The node to ask. */
+    /** Node to which the command is sent. */
     readonly nodeId: NodeId;
     /** The command and its arguments, for example `["drain", "hall-a-1"]`. */
-    readonly words: readonly string[];
+    readonly commandArguments: readonly string[];
 }
 
-/** What the command line writes with `--json`. */
+/** Output of the command-line tool with `--json`. */
 const outputSchema = z.discriminatedUnion("ok", [
     z.object({ ok: z.literal(true), result: z.unknown() }),
     z.object({ ok: z.literal(false), error: z.object({ message: z.string() }) }),
 ]);
 
-/** The result in the output; throws an error that tells what went wrong. */
-const readResult = (words: readonly string[], standardOutput: string, standardError: string): unknown => {
-    const command = `oleandergap ${words.join(" ")}`;
+/** Returns the result from the output. Throws an error with the reason if the command failed. */
+const readResult = (commandArguments: readonly string[], standardOutput: string, standardError: string): unknown => {
+    const command = `oleandergap ${commandArguments.join(" ")}`;
     if (standardOutput.trim() === "") {
-        throw new Error(`${command} wrote nothing: ${standardError}`);
+        throw new Error(`${command} produced no output: ${standardError}`);
     }
     const output = outputSchema.parse(JSON.parse(standardOutput));
     if (!output.ok) {
@@ -49,19 +49,23 @@
     readonly standardError: string;
 }
 
-/** Resolves also when the program fails; it says why in its output. */
-const runProgram = (program: string, words: readonly string[], signal: AbortSignal): Promise<ProcessOutput> =>
+/** Runs a program. Resolves even if the program fails, because its output contains the reason. */
+const runProgram = (
+    program: string,
+    programArguments: readonly string[],
+    signal: AbortSignal,
+): Promise<ProcessOutput> =>
     new Promise((resolve) => {
-        const options = { timeout: TIME_LIMIT, signal };
-        execFile(process.execPath, [program, ...words], options, (error, standardOutput, standardError) => {
+        const options = { timeout: COMMAND_TIMEOUT, signal };
+        execFile(process.execPath, [program, ...programArguments], options, (error, standardOutput, standardError) => {
             resolve({ standardOutput, standardError: standardError || (error?.message ?? "") });
         });
     });
 
-/** The result of a command; rejects with the command's own message when it failed. */
-export const runCommand = async (fleet: Fleet, { partner, nodeId, words }: CommandRun): Promise<unknown> => {
+/** Runs a command and returns its result. Rejects with the error message of the command if it failed. */
+export const runCommand = async (fleet: Fleet, { partner, nodeId, commandArguments }: CommandRun): Promise<unknown> => {
     const options = ["--json", ...formatAccessOptions(fleet, partner, nodeId)];
-    const output = await runProgram(programs.commandLine, [...options, ...words], fleet.signal);
+    const output = await runProgram(programs.commandLine, [...options, ...commandArguments], fleet.signal);
     fleet.signal.throwIfAborted();
-    return readResult(words, output.standardOutput, output.standardError);
+    return readResult(commandArguments, output.standardOutput, output.standardError);
 };
--- a/packages/oleandergap-demo/src/fleet/fleet.ts
+++ b/packages/oleandergap-demo/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A running fleet, as the demo and the experiments handle it. */
+/** Interface of a running fleet for the demo and the experiments. */
 import type { OperatorClient } from "oleandergap-operator";
 import type { GatewayAddress } from "oleandergap-standins";
 import type { Milliseconds, NodeId, PartnerName } from "oleandergap-types";
@@ -8,27 +8,29 @@
 import type { FleetNode } from "./fleetNode.js";
 import type { PlatformControl, TargetsControl } from "./standInControl.js";
 
-/** Readings and interventions; all of them act on real processes. */
+/** Functions to inspect and control a fleet. All of them act on real processes. */
 export interface Fleet {
     readonly plan: FleetPlan;
-    /** Folder with settings, credentials and logs. Removed at the stop unless the files are kept. */
+    /** Folder with settings, credentials and logs. It is removed when the fleet stops, unless the files are kept. */
     readonly folder: string;
     readonly nodes: readonly FleetNode[];
-    /** Throws a `RangeError` for an unknown id. */
+    /** Returns the node with the given id. Throws a `RangeError` for an unknown id. */
     readonly node: (id: NodeId) => FleetNode;
-    /** Gateways of the nodes that run. */
+    /** Returns the gateways of all running nodes. */
     readonly gateways: () => readonly GatewayAddress[];
     readonly platform: PlatformControl;
     readonly targets: TargetsControl;
     readonly access: (partner: PartnerName) => OperatorAccess;
-    /** A client of the operators' interface that asks `nodeId`, or else every running node in turn. */
+    /**
+     * Creates a client of the operator interface that queries `nodeId`, or all running nodes in turn if it is omitted.
+     */
     readonly operatorClient: (partner: PartnerName, nodeId?: NodeId) => OperatorClient;
     /** Resolves when all running nodes are ready. */
     readonly waitUntilReady: (timeoutMs?: Milliseconds) => Promise<void>;
-    /** Usage of every running process of the fleet, stand-ins included. */
+    /** Returns the resource usage of all running processes of the fleet, including the stand-ins. */
     readonly usage: () => Promise<readonly ProcessUsage[]>;
     /** Aborts when the fleet stops. */
     readonly signal: AbortSignal;
-    /** Ends everything that the fleet started, in order, and nothing else. Repeated calls wait for the first. */
+    /** Stops all processes of the fleet in order, and no others. Repeated calls wait for the first one. */
     readonly stop: () => Promise<void>;
 }
--- a/packages/oleandergap-demo/src/fleet/fleetFiles.ts
+++ b/packages/oleandergap-demo/src/fleet/fleetFiles.ts
@@ -1,23 +1,23 @@
-/** The temporary folder of a fleet: settings, credentials, logs. */
+/** Temporary folder of a fleet with settings, credentials and logs. */
 import { mkdir, mkdtemp, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { stringify } from "yaml";
 
-/** Writers return the path of the file that they wrote. */
+/** Files of a fleet. The write functions return the path of the written file. */
 export interface FleetFiles {
     readonly folder: string;
     readonly logFile: (name: string) => string;
     readonly writeYaml: (name: string, value: unknown) => Promise<string>;
     readonly writeJson: (name: string, value: unknown) => Promise<string>;
-    /** Readable by the owner alone. */
+    /** Writes a file that only its owner can read. */
     readonly writeSecret: (name: string, text: string) => Promise<string>;
     readonly remove: () => Promise<void>;
 }
 
 const OWNER_ONLY = 0o600;
 
-/** Creates an empty folder of its own for each fleet. */
+/** Creates a new empty folder for a fleet. */
 export const createFleetFiles = async (): Promise<FleetFiles> => {
     const folder = await mkdtemp(join(tmpdir(), "oleandergap-fleet-"));
     await mkdir(join(folder, "logs"));
--- a/packages/oleandergap-demo/src/fleet/fleetNode.ts
+++ b/packages/oleandergap-demo/src/fleet/fleetNode.ts
@@ -1,4 +1,4 @@
-/** One VM's node: its process over all its restarts, and what it tells about itself. */
+/** Controls the node of one VM across restarts of its process, and reads its state and metrics. */
 import { request } from "undici";
 import type { Milliseconds } from "oleandergap-types";
 import { describeError } from "oleandergap-utils";
@@ -8,31 +8,31 @@
 import { programs } from "./programs.js";
 import { waitForValue } from "./waitFor.js";
 
-/** A VM's node. It keeps its id, address and settings when its process is started anew. */
+/** The node of a VM. It keeps its id, address and settings when its process is restarted. */
 export interface FleetNode {
     readonly vm: VmPlan;
-    /** Undefined while no process runs. */
+    /** Returns the process id, or undefined while no process is running. */
     readonly pid: () => number | undefined;
     readonly isRunning: () => boolean;
-    /** Starts the process; it isn't ready yet. Does nothing when it runs. */
+    /** Starts the process without waiting until it is ready. Does nothing if it is already running. */
     readonly start: () => Promise<void>;
-    /** Resolves when the node answers at all; rejects when its process ends or the time is up. */
+    /** Resolves when the node responds to requests. Rejects if its process exits or the timeout expires. */
     readonly waitUntilListening: (signal: AbortSignal, timeoutMs?: Milliseconds) => Promise<void>;
-    /** Resolves when the node says that it is ready; rejects when its process ends or the time is up. */
+    /** Resolves when the node reports that it is ready. Rejects if its process exits or the timeout expires. */
     readonly waitUntilReady: (signal: AbortSignal, timeoutMs?: Milliseconds) => Promise<void>;
-    /** A planned stop by SIGTERM; by SIGKILL when it takes longer than `patience`. */
-    readonly stop: (patience?: Milliseconds) => Promise<ChildExit | undefined>;
-    /** SIGKILL. */
+    /** Stops the process gracefully with SIGTERM, and with SIGKILL if this takes longer than `timeoutMs`. */
+    readonly stop: (timeoutMs?: Milliseconds) => Promise<ChildExit | undefined>;
+    /** Kills the process with SIGKILL. */
     readonly kill: () => Promise<void>;
     readonly freeze: () => void;
     readonly resume: () => void;
-    /** Metrics in Prometheus' text format. Rejects when the node doesn't answer. */
+    /** Returns the metrics in the Prometheus text format. Rejects if the node does not respond. */
     readonly readMetrics: () => Promise<string>;
-    /** The node's own word for why it isn't ready; undefined when it is. */
-    readonly readUnreadiness: () => Promise<string | undefined>;
+    /** Returns the reason that the node reports for not being ready, or undefined if it is ready. */
+    readonly readNotReadyReason: () => Promise<string | undefined>;
 }
 
-/** What a node is made of; no process runs yet. */
+/** Options to create a node. */
 export interface FleetNodeOptions {
     readonly plan: FleetPlan;
     readonly vm: VmPlan;
@@ -42,14 +42,14 @@
 }
 
 const READY_TIMEOUT: Milliseconds = 60_000;
-/** Longer than a node's own limit for its requests in flight, so that it is never the launcher that cuts one off. */
-const PLANNED_STOP_PATIENCE: Milliseconds = 75_000;
-const ASK_TIMEOUT: Milliseconds = 5000;
+/** Longer than the limit of a node for its requests in flight, so that the launcher never cuts off a request. */
+const PLANNED_STOP_TIMEOUT: Milliseconds = 75_000;
+const ADMIN_TIMEOUT: Milliseconds = 5000;
 const OK = 200;
 const LIVENESS_PATH = "/healthz";
 const READINESS_PATH = "/readyz";
 
-/** Creates the handle; `start` starts the process. */
+/** Creates the handle of a node without starting its process. */
 export const createFleetNode = ({ plan, vm, settingsFile, logFile, processes }: FleetNodeOptions): FleetNode => {
     const admin = `http://${vm.address}:${plan.ports.admin}`;
     let child: Child | undefined;
@@ -69,33 +69,33 @@
         });
     };
 
-    /** The reason why the answer from `path` isn't 200, or undefined when it is. */
-    const askForProblem = async (path: string): Promise<string | undefined> => {
+    /** Returns the reason why the response of `path` does not have status 200, or undefined if it has. */
+    const fetchProblem = async (path: string): Promise<string | undefined> => {
         try {
-            const answer = await request(`${admin}${path}`, { signal: AbortSignal.timeout(ASK_TIMEOUT) });
-            const text = await answer.body.text();
-            return answer.statusCode === OK ? undefined : text;
+            const response = await request(`${admin}${path}`, { signal: AbortSignal.timeout(ADMIN_TIMEOUT) });
+            const text = await response.body.text();
+            return response.statusCode === OK ? undefined : text;
         }
         catch (error) {
             return describeError(error);
         }
     };
 
-    const failIfEnded = async (): Promise<void> => {
+    const throwIfExited = async (): Promise<void> => {
         if (child !== undefined && !child.isRunning()) {
             throw await createEarlyExitError(child.name, await child.exited, child.logFile);
         }
     };
 
-    const createWait = (path: string, state: string): FleetNode["waitUntilReady"] =>
+    const createWaitFunction = (path: string, description: string): FleetNode["waitUntilReady"] =>
         async (signal, timeoutMs = READY_TIMEOUT) => {
-            let last: string | undefined = "";
+            let lastProblem: string | undefined = "";
             const probe = async (): Promise<true | undefined> => {
-                await failIfEnded();
-                last = await askForProblem(path);
-                return last === undefined ? true : undefined;
+                await throwIfExited();
+                lastProblem = await fetchProblem(path);
+                return lastProblem === undefined ? true : undefined;
             };
-            await waitForValue({ what: `node ${vm.id} ${state}`, timeoutMs, signal }, probe, () => last ?? "");
+            await waitForValue({ description: `node ${vm.id} ${description}`, timeoutMs, signal }, probe, () => lastProblem ?? "");
         };
 
     return {
@@ -103,18 +103,18 @@
         pid: () => isRunning() ? child?.pid : undefined,
         isRunning,
         start,
-        waitUntilListening: createWait(LIVENESS_PATH, "answers"),
-        waitUntilReady: createWait(READINESS_PATH, "is ready"),
-        stop: async (patience = PLANNED_STOP_PATIENCE) => child?.stop(patience),
+        waitUntilListening: createWaitFunction(LIVENESS_PATH, "responds"),
+        waitUntilReady: createWaitFunction(READINESS_PATH, "is ready"),
+        stop: async (timeoutMs = PLANNED_STOP_TIMEOUT) => child?.stop(timeoutMs),
         kill: async () => {
             await child?.kill();
         },
         freeze: () => child?.freeze(),
         resume: () => child?.resume(),
         readMetrics: async () => {
-            const answer = await request(`${admin}/metrics`, { signal: AbortSignal.timeout(ASK_TIMEOUT) });
-            return answer.body.text();
+            const response = await request(`${admin}/metrics`, { signal: AbortSignal.timeout(ADMIN_TIMEOUT) });
+            return response.body.text();
         },
-        readUnreadiness: () => askForProblem(READINESS_PATH),
+        readNotReadyReason: () => fetchProblem(READINESS_PATH),
     };
 };
--- a/packages/oleandergap-demo/src/fleet/nodeSettings.ts
+++ b/packages/oleandergap-demo/src/fleet/nodeSettings.ts
@@ -1,8 +1,8 @@
-/** The settings file of one node. */
+/** Creates the settings file of a node. */
 import type { ZoneName } from "oleandergap-types";
 import { listZones, type FleetPlan, type VmPlan } from "../plan/fleetPlan.js";
 
-/** Nodes of each availability zone that every node is told as seeds. */
+/** Number of nodes per availability zone that are listed as seeds in the settings of every node. */
 const SEEDS_PER_ZONE = 2;
 
 type Section = Readonly<Record<string, unknown>>;
@@ -23,17 +23,17 @@
 const isSection = (value: unknown): value is Section =>
     typeof value === "object" && value !== null && !Array.isArray(value);
 
-/** `extra` over `base`, section by section. */
-const mergeSections = (base: Section, extra: Section): Section => {
+/** Merges `overrides` into `base`, section by section. */
+const mergeSections = (base: Section, overrides: Section): Section => {
     const merged: Record<string, unknown> = { ...base };
-    for (const [name, value] of Object.entries(extra)) {
-        const old = merged[name];
-        merged[name] = isSection(old) && isSection(value) ? mergeSections(old, value) : value;
+    for (const [name, value] of Object.entries(overrides)) {
+        const current = merged[name];
+        merged[name] = isSection(current) && isSection(value) ? mergeSections(current, value) : value;
     }
     return merged;
 };
 
-/** The content of the settings file of `vm`'s daemon, with the plan's own settings merged in. */
+/** Returns the content of the settings file of the daemon on `vm`, merged with the settings of the plan. */
 export const createNodeSettings = (plan: FleetPlan, vm: VmPlan, keyFile: string): Section => {
     const { ports } = plan;
     const platform = { address: plan.platform.entrances[vm.zone] ?? plan.platform.address, port: ports.platform };
--- a/packages/oleandergap-demo/src/fleet/portCheck.ts
+++ b/packages/oleandergap-demo/src/fleet/portCheck.ts
@@ -1,4 +1,4 @@
-/** Looks whether the ports of a plan are free, before anything is started. */
+/** Checks that the ports of a plan are free before any process is started. */
 import { createSocket } from "node:dgram";
 import { createServer } from "node:net";
 import type { FleetPlan, VmPlan } from "../plan/fleetPlan.js";
@@ -10,7 +10,7 @@
     readonly port: number;
 }
 
-const CHECKS_AT_ONCE = 32;
+const MAX_CONCURRENT_CHECKS = 32;
 
 const checkTcp = ({ address, port }: Endpoint): Promise<boolean> =>
     new Promise((resolve) => {
@@ -30,9 +30,10 @@
     });
 
 const listVmEndpoints = ({ ports }: FleetPlan) => ({ address, target }: VmPlan): readonly Endpoint[] => {
-    const used = [ports.gateway, ports.gate, ports.control, ports.admin, ...target === undefined ? [] : [ports.target]];
-    const tcp = used.map((port): Endpoint => ({ protocol: "tcp", address, port }));
-    return [...tcp, { protocol: "udp", address, port: ports.control }];
+    const tcpPorts =
+        [ports.gateway, ports.gate, ports.control, ports.admin, ...target === undefined ? [] : [ports.target]];
+    const tcpEndpoints = tcpPorts.map((port): Endpoint => ({ protocol: "tcp", address, port }));
+    return [...tcpEndpoints, { protocol: "udp", address, port: ports.control }];
 };
 
 const listEndpoints = (plan: FleetPlan): readonly Endpoint[] => [
@@ -41,17 +42,17 @@
         .map((address): Endpoint => ({ protocol: "tcp", address, port: plan.ports.platform })),
 ];
 
-/** Throws an error that names a taken port and what to do about it. */
+/** Rejects with an error that names a port in use and explains how to resolve the conflict. */
 export const checkPorts = async (plan: FleetPlan): Promise<void> => {
     const endpoints = listEndpoints(plan);
-    const taken = await mapWithLimit(endpoints, CHECKS_AT_ONCE, async (endpoint) => {
+    const endpointsInUse = await mapWithLimit(endpoints, MAX_CONCURRENT_CHECKS, async (endpoint) => {
         const isFree = await (endpoint.protocol === "tcp" ? checkTcp(endpoint) : checkUdp(endpoint));
         return isFree ? [] : [endpoint];
     });
-    const first = taken.flat()[0];
-    if (first !== undefined) {
+    const firstInUse = endpointsInUse.flat()[0];
+    if (firstInUse !== undefined) {
         throw new Error(
-            `${first.protocol} port ${first.address}:${first.port} is in use; is another fleet running? ` +
+            `${firstInUse.protocol} port ${firstInUse.address}:${firstInUse.port} is in use; is another fleet running? ` +
             "Stop it, or choose other ports with --port-base",
         );
     }
--- a/packages/oleandergap-demo/src/fleet/programs.ts
+++ b/packages/oleandergap-demo/src/fleet/programs.ts
@@ -1,25 +1,25 @@
-/** The programs that a fleet runs, as built in this workspace. */
+/** Programs that a fleet runs, as built in this workspace. */
 import { access } from "node:fs/promises";
 import { fileURLToPath } from "node:url";
 
-/** Seen from this file's place in `lib/fleet`. */
-const PACKAGES = "../../../";
+/** Path of the packages folder, relative to the built file in `lib/fleet`. */
+const PACKAGES_FOLDER = "../../../";
 
-const locate = (path: string): string => fileURLToPath(new URL(`${PACKAGES}${path}`, import.meta.url));
+const locateInPackages = (path: string): string => fileURLToPath(new URL(`${PACKAGES_FOLDER}${path}`, import.meta.url));
 
-/** Paths of the built programs; whether they exist is `checkPrograms`' question. */
+/** Paths of the built programs. `checkPrograms` checks whether they exist. */
 export const programs = {
-    /** Executable; its first line holds the flags that the daemon needs. */
-    node: locate("oleandergap-node/bin/oleandergap-node.js"),
-    nodeModule: locate("oleandergap-node/lib/main.js"),
-    commandLine: locate("oleandergap-cli/lib/main.js"),
-    platform: locate("oleandergap-standins/lib/platformMain.js"),
-    targets: locate("oleandergap-standins/lib/targetsMain.js"),
+    /** Executable whose first line contains the Node.js flags that the daemon needs. */
+    node: locateInPackages("oleandergap-node/bin/oleandergap-node.js"),
+    nodeModule: locateInPackages("oleandergap-node/lib/main.js"),
+    commandLine: locateInPackages("oleandergap-cli/lib/main.js"),
+    platform: locateInPackages("oleandergap-standins/lib/platformMain.js"),
+    targets: locateInPackages("oleandergap-standins/lib/targetsMain.js"),
 } as const;
 
-/** Throws with what to do when one of `needed` isn't built. */
-export const checkPrograms = async (needed: readonly string[]): Promise<void> => {
-    for (const program of needed) {
+/** Rejects with instructions if one of `requiredPrograms` is not built. */
+export const checkPrograms = async (requiredPrograms: readonly string[]): Promise<void> => {
+    for (const program of requiredPrograms) {
         try {
             await access(program);
         }
--- a/packages/oleandergap-demo/src/fleet/readMetric.ts
+++ b/packages/oleandergap-demo/src/fleet/readMetric.ts
@@ -1,6 +1,6 @@
-/** Reads single figures from metrics in Prometheus' text format. */
+/** Reads single values from metrics in the Prometheus text format. */
 
-/** One line of a metric. */
+/** One sample of a metric. */
 export interface MetricSample {
     readonly labels: Readonly<Record<string, string>>;
     readonly value: number;
@@ -12,14 +12,14 @@
 const parseLabels = (text: string): Readonly<Record<string, string>> =>
     Object.fromEntries([...text.matchAll(LABEL_PATTERN)].map(([, name = "", value = ""]) => [name, value]));
 
-/** All samples of the metric `name`. */
+/** Returns all samples of the metric `name`. */
 export const readMetricSamples = (text: string, name: string): readonly MetricSample[] =>
     text.split("\n").flatMap((line) => {
-        const [, found, labels = "", value] = SAMPLE_PATTERN.exec(line) ?? [];
-        return found === name ? [{ labels: parseLabels(labels), value: Number(value) }] : [];
+        const [, sampleName, labels = "", value] = SAMPLE_PATTERN.exec(line) ?? [];
+        return sampleName === name ? [{ labels: parseLabels(labels), value: Number(value) }] : [];
     });
 
-/** The sum of the metric's samples that carry all of `labels`; 0 when there is none. */
+/** Returns the sum of the samples of a metric that have all of `labels`, or 0 if there are none. */
 export const sumMetric = (text: string, name: string, labels: Readonly<Record<string, string>> = {}): number =>
     readMetricSamples(text, name)
         .filter((sample) => Object.entries(labels).every(([label, value]) => sample.labels[label] === value))
--- a/packages/oleandergap-demo/src/fleet/seedPlatform.ts
+++ b/packages/oleandergap-demo/src/fleet/seedPlatform.ts
@@ -1,4 +1,7 @@
-/** Fills an empty platform: the partners' first tables by the same path as every later change, and credentials. */
+/**
+ * Fills an empty platform with the partners' first tables, through the same change service as later changes, and with
+ * credentials.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import { createChangeService, type ChangeRequest, type ChangeService } from "oleandergap-configuration";
 import { createLogger } from "oleandergap-logger";
@@ -10,8 +13,11 @@
 import { createOperatorAccess, type OperatorAccess } from "./credentials.js";
 import type { FleetFiles } from "./fleetFiles.js";
 
-/** Accepts one change. A large first table is more than a partner's budget lets through at once, so it waits. */
-const acceptPatiently = async (
+/**
+ * Accepts one change, with retries. A large first table exceeds the partner's change budget, so the next change must
+ * wait.
+ */
+const acceptWithRetries = async (
     changeService: ChangeService,
     clock: Clock,
     request: ChangeRequest,
@@ -37,7 +43,7 @@
     signal: AbortSignal,
 ): Promise<void> => {
     for (const [index, cells] of listSeedChanges(plan).entries()) {
-        await acceptPatiently(changeService, clock, {
+        await acceptWithRetries(changeService, clock, {
             partner: plan.partner,
             operator: plan.operator,
             changeId: `first-table-${index + 1}`,
@@ -46,14 +52,17 @@
     }
 };
 
-/** Resolves with the operators' access; rejects when the platform or the change service refuses. */
+/**
+ * Fills the platform and returns the access data of the operators. Rejects if the platform or the change service
+ * refuses a write.
+ */
 export const seedPlatform = async (
     plan: FleetPlan,
     files: FleetFiles,
     signal: AbortSignal,
 ): Promise<readonly OperatorAccess[]> => {
     const clock = createSystemClock();
-    const done = new AbortController();
+    const clientLifetime = new AbortController();
     const { tableService, objectStore } = createPlatformClient({
         address: plan.platform.address,
         port: plan.ports.platform,
@@ -62,7 +71,7 @@
         connections: 2,
         maximumAnswerBytes: 8 * 1024 * 1024,
         clock,
-        signal: done.signal,
+        signal: clientLifetime.signal,
     });
     const logger = createLogger("seed");
     const changeService = createChangeService({ tableService, objectStore, clock, random: Math.random, logger });
@@ -75,6 +84,6 @@
         return access;
     }
     finally {
-        done.abort();
+        clientLifetime.abort();
     }
 };
--- a/packages/oleandergap-demo/src/fleet/standInControl.ts
+++ b/packages/oleandergap-demo/src/fleet/standInControl.ts
@@ -1,4 +1,4 @@
-/** Reads and switches the stand-ins of a fleet over their control interfaces. */
+/** Clients of the control interfaces of a fleet's stand-ins. */
 import { request } from "undici";
 import type {
     PlatformStandInCounters,
@@ -8,74 +8,74 @@
     TargetReport,
 } from "oleandergap-standins";
 
-/** The platform stand-in's switches and counters. Calls reject when it doesn't answer. */
+/** Client of the platform stand-in's control interface. Calls reject if it does not respond. */
 export interface PlatformControl {
     readonly setFaults: (faults: PlatformFaultsInput) => Promise<void>;
     readonly counters: () => Promise<PlatformStandInCounters>;
     readonly resetCounters: () => Promise<void>;
-    /** Keeps what the platform holds now. */
-    readonly keepCopy: () => Promise<void>;
-    /** Goes back to what was kept last, in a new era. */
+    /** Stores a copy of the current content of the platform. */
+    readonly takeCopy: () => Promise<void>;
+    /** Restores the last copy and starts a new era. */
     readonly restore: () => Promise<void>;
 }
 
-/** The target stand-ins' switches and logs. Calls reject for an unknown id. */
+/** Client of the target stand-ins' control interface. Calls reject for an unknown id. */
 export interface TargetsControl {
-    /** Runs per key over all targets, since the start. */
+    /** Returns the runs per key of all targets since their start. */
     readonly runs: () => Promise<RunsReport>;
     readonly targets: () => Promise<readonly TargetReport[]>;
     readonly setFaults: (id: string, faults: Partial<TargetFaults>) => Promise<void>;
     readonly leave: (id: string) => Promise<void>;
     readonly stop: (id: string) => Promise<void>;
     readonly crash: (id: string) => Promise<void>;
-    /** Ends a target as a crash does; it starts again by itself. */
+    /** Stops a target like a crash. The target restarts automatically. */
     readonly restart: (id: string) => Promise<void>;
     readonly silence: (id: string) => Promise<void>;
 }
 
 const FIRST_ERROR_STATUS = 400;
 
-const call = async (method: "GET" | "PUT" | "POST" | "DELETE", url: string, body?: unknown): Promise<unknown> => {
-    const answer = await request(url, { method, ...(body === undefined ? {} : { body: JSON.stringify(body) }) });
-    const value = await answer.body.json();
-    if (answer.statusCode >= FIRST_ERROR_STATUS) {
-        throw new Error(`${method} ${url}: ${answer.statusCode} ${JSON.stringify(value)}`);
+const sendControlRequest = async (method: "GET" | "PUT" | "POST" | "DELETE", url: string, body?: unknown): Promise<unknown> => {
+    const response = await request(url, { method, ...(body === undefined ? {} : { body: JSON.stringify(body) }) });
+    const value = await response.body.json();
+    if (response.statusCode >= FIRST_ERROR_STATUS) {
+        throw new Error(`${method} ${url}: ${response.statusCode} ${JSON.stringify(value)}`);
     }
     return value;
 };
 
-/** `origin` as in `http://127.20.0.1:17100`. */
+/** Creates a client for an origin such as `http://127.20.0.1:17100`. */
 export const createPlatformControl = (origin: string): PlatformControl => ({
     setFaults: async (faults) => {
-        await call("PUT", `${origin}/control/faults`, faults);
+        await sendControlRequest("PUT", `${origin}/control/faults`, faults);
     },
-    counters: async () => await call("GET", `${origin}/control/counters`) as PlatformStandInCounters,
+    counters: async () => await sendControlRequest("GET", `${origin}/control/counters`) as PlatformStandInCounters,
     resetCounters: async () => {
-        await call("DELETE", `${origin}/control/counters`);
+        await sendControlRequest("DELETE", `${origin}/control/counters`);
     },
-    keepCopy: async () => {
-        await call("POST", `${origin}/control/copy`);
+    takeCopy: async () => {
+        await sendControlRequest("POST", `${origin}/control/copy`);
     },
     restore: async () => {
-        await call("POST", `${origin}/control/restore`);
+        await sendControlRequest("POST", `${origin}/control/restore`);
     },
 });
 
-/** `origin` as in `http://127.20.0.1:41000`. */
+/** Creates a client for an origin such as `http://127.20.0.1:41000`. */
 export const createTargetsControl = (origin: string): TargetsControl => {
-    const act = async (id: string, action: string): Promise<void> => {
-        await call("POST", `${origin}/control/targets/${id}/${action}`);
+    const runAction = async (id: string, action: string): Promise<void> => {
+        await sendControlRequest("POST", `${origin}/control/targets/${id}/${action}`);
     };
     return {
-        runs: async () => await call("GET", `${origin}/control/runs`) as RunsReport,
-        targets: async () => await call("GET", `${origin}/control/targets`) as readonly TargetReport[],
+        runs: async () => await sendControlRequest("GET", `${origin}/control/runs`) as RunsReport,
+        targets: async () => await sendControlRequest("GET", `${origin}/control/targets`) as readonly TargetReport[],
         setFaults: async (id, faults) => {
-            await call("PUT", `${origin}/control/targets/${id}/faults`, faults);
+            await sendControlRequest("PUT", `${origin}/control/targets/${id}/faults`, faults);
         },
-        leave: (id) => act(id, "leave"),
-        stop: (id) => act(id, "stop"),
-        crash: (id) => act(id, "crash"),
-        restart: (id) => act(id, "restart"),
-        silence: (id) => act(id, "silence"),
+        leave: (id) => runAction(id, "leave"),
+        stop: (id) => runAction(id, "stop"),
+        crash: (id) => runAction(id, "crash"),
+        restart: (id) => runAction(id, "restart"),
+        silence: (id) => runAction(id, "silence"),
     };
 };
--- a/packages/oleandergap-demo/src/fleet/startFleet.ts
+++ b/packages/oleandergap-demo/src/fleet/startFleet.ts
@@ -12,7 +12,7 @@
 import { mapWithLimit } from "../process/mapWithLimit.js";
 import { createProcessGroup, type ProcessGroup } from "../process/processGroup.js";
 import { readProcessUsage } from "../process/processUsage.js";
-import { guardAgainstSignals } from "../process/signalGuard.js";
+import { installSignalHandlers } from "../process/signalGuard.js";
 import type { OperatorAccess } from "./credentials.js";
 import type { Fleet } from "./fleet.js";
 import { createFleetFiles, type FleetFiles } from "./fleetFiles.js";
@@ -24,35 +24,35 @@
 import { createPlatformControl, createTargetsControl, type TargetsControl } from "./standInControl.js";
 import { createTargetsPlan } from "./targetSettings.js";
 
-/** How to run a fleet; everything may be left out. */
+/** Options of a fleet. All of them are optional. */
 export interface FleetOptions {
-    /** Stops the fleet when it aborts, also in the middle of its start. */
+    /** Stops the fleet when it aborts, even during the start. */
     readonly signal?: AbortSignal;
-    /** Leave settings and logs behind. */
+    /** Whether to keep settings and logs after the stop. */
     readonly keepFiles?: boolean;
-    /** Hears of each step, in a short sentence. */
+    /** Receives a short sentence for each step. */
     readonly report?: (step: string) => void;
 }
 
-/** Starting processes load the processor; more at once only make each of them slower. */
-const STARTS_AT_ONCE = 8;
-/** At the end of the whole fleet nobody waits for requests any more. */
-const STOP_PATIENCE: Milliseconds = 15_000;
+/** Starting processes are CPU-bound, so more concurrent starts would only slow down each of them. */
+const MAX_CONCURRENT_STARTS = 8;
+/** Shorter than the stop of a single node, because no caller waits for requests when the whole fleet stops. */
+const STOP_TIMEOUT: Milliseconds = 15_000;
 const OPERATOR_TIMEOUT: Milliseconds = 10_000;
 const FLEET_KEY_BYTES = 32;
 
 const targetsReadySchema = z.object({ controlPort: z.number() });
 
-/** What is there while the fleet starts, so that a failed start can be undone. */
-interface Scene {
+/** Resources of a starting fleet, which are released if the start fails. */
+interface LaunchContext {
     readonly plan: FleetPlan;
     readonly files: FleetFiles;
     readonly processes: ProcessGroup;
-    readonly end: AbortController;
+    readonly lifetime: AbortController;
     readonly report: (step: string) => void;
 }
 
-const startPlatform = ({ plan, files, processes }: Scene): Promise<Child> => {
+const startPlatform = ({ plan, files, processes }: LaunchContext): Promise<Child> => {
     const { address, entrances, writesPerSecond, readsPerSecond } = plan.platform;
     const port = String(plan.ports.platform);
     return processes.start({
@@ -70,8 +70,8 @@
     });
 };
 
-const startNodes = async (scene: Scene): Promise<readonly FleetNode[]> => {
-    const { plan, files, processes } = scene;
+const startNodes = async (context: LaunchContext): Promise<readonly FleetNode[]> => {
+    const { plan, files, processes } = context;
     const keyFile = await files.writeSecret("fleet.key", randomBytes(FLEET_KEY_BYTES).toString("base64url"));
     const nodes = await Promise.all(plan.vms.map(async (vm) => createFleetNode({
         plan,
@@ -80,11 +80,11 @@
         logFile: files.logFile(vm.id),
         processes,
     })));
-    await mapWithLimit(nodes, STARTS_AT_ONCE, async (node) => {
+    await mapWithLimit(nodes, MAX_CONCURRENT_STARTS, async (node) => {
         await node.start();
-        await node.waitUntilListening(scene.end.signal);
+        await node.waitUntilListening(context.lifetime.signal);
     });
-    await Promise.all(nodes.map((node) => node.waitUntilReady(scene.end.signal)));
+    await Promise.all(nodes.map((node) => node.waitUntilReady(context.lifetime.signal)));
     return nodes;
 };
 
@@ -93,7 +93,7 @@
     readonly control: TargetsControl;
 }
 
-const startTargets = async ({ plan, files, processes }: Scene): Promise<Targets> => {
+const startTargets = async ({ plan, files, processes }: LaunchContext): Promise<Targets> => {
     const planFile = await files.writeJson("targets", createTargetsPlan(plan));
     const child = await processes.start({
         name: "target stand-ins",
@@ -106,36 +106,36 @@
     return { child, control: createTargetsControl(`http://${plan.platform.address}:${controlPort}`) };
 };
 
-/** Everything that was started, for the way down. */
-interface Started {
+/** Started components, which are needed to stop the fleet. */
+interface StartedFleet {
     readonly platform: Child;
     readonly nodes: readonly FleetNode[];
     readonly targets: Targets;
     readonly access: readonly OperatorAccess[];
 }
 
-const startAll = async (scene: Scene): Promise<Started> => {
-    const { plan, report } = scene;
+const startAll = async (context: LaunchContext): Promise<StartedFleet> => {
+    const { plan, report } = context;
     await checkPrograms([programs.nodeModule, programs.platform, programs.targets]);
     await checkPorts(plan);
     report("Starting the platform stand-in.");
-    const platform = await startPlatform(scene);
-    report("Writing both partners' first tables.");
-    const access = await seedPlatform(plan, scene.files, scene.end.signal);
+    const platform = await startPlatform(context);
+    report("Writing the first tables of both partners.");
+    const access = await seedPlatform(plan, context.files, context.lifetime.signal);
     report(`Starting ${plan.vms.length} nodes.`);
-    const nodes = await startNodes(scene);
+    const nodes = await startNodes(context);
     report("Starting the target stand-ins.");
-    const targets = await startTargets(scene);
+    const targets = await startTargets(context);
     return { platform, nodes, targets, access };
 };
 
-const stopInOrder = async ({ targets, nodes, platform }: Started): Promise<void> => {
-    await Promise.all([targets.child.stop(STOP_PATIENCE), ...nodes.map((node) => node.stop(STOP_PATIENCE))]);
-    await platform.stop(STOP_PATIENCE);
+const stopInOrder = async ({ targets, nodes, platform }: StartedFleet): Promise<void> => {
+    await Promise.all([targets.child.stop(STOP_TIMEOUT), ...nodes.map((node) => node.stop(STOP_TIMEOUT))]);
+    await platform.stop(STOP_TIMEOUT);
 };
 
-const createFleet = (scene: Scene, started: Started, stop: () => Promise<void>): Fleet => {
-    const { plan, processes, end } = scene;
+const createFleet = (context: LaunchContext, started: StartedFleet, stop: () => Promise<void>): Fleet => {
+    const { plan, processes, lifetime } = context;
     const { nodes } = started;
 
     const node = (id: NodeId): FleetNode => {
@@ -155,19 +155,19 @@
     };
 
     const operatorClient = (partner: PartnerName, nodeId?: NodeId): OperatorClient => {
-        const asked = nodeId === undefined ? nodes.filter((candidate) => candidate.isRunning()) : [node(nodeId)];
+        const queriedNodes = nodeId === undefined ? nodes.filter((candidate) => candidate.isRunning()) : [node(nodeId)];
         return createOperatorClient({
-            nodes: asked.map(({ vm }) => ({ address: vm.address, port: plan.ports.control })),
+            nodes: queriedNodes.map(({ vm }) => ({ address: vm.address, port: plan.ports.control })),
             credential: access(partner).credential,
             timeoutMs: OPERATOR_TIMEOUT,
             clock: createSystemClock(),
-            signal: end.signal,
+            signal: lifetime.signal,
         });
     };
 
     return {
         plan,
-        folder: scene.files.folder,
+        folder: context.files.folder,
         nodes,
         node,
         gateways: () => nodes
@@ -179,59 +179,59 @@
         operatorClient,
         waitUntilReady: async (timeoutMs) => {
             const running = nodes.filter((candidate) => candidate.isRunning());
-            await Promise.all(running.map((candidate) => candidate.waitUntilReady(end.signal, timeoutMs)));
+            await Promise.all(running.map((candidate) => candidate.waitUntilReady(lifetime.signal, timeoutMs)));
         },
         usage: async () => {
             const readings = processes.running().map(({ name, pid }) => readProcessUsage(name, pid));
             return (await Promise.all(readings)).flatMap((usage) => usage === undefined ? [] : [usage]);
         },
-        signal: end.signal,
+        signal: lifetime.signal,
         stop,
     };
 };
 
-/** Runs `action` at most once; later calls share its result. */
-const once = (action: () => Promise<void>): (() => Promise<void>) => {
-    let running: Promise<void> | undefined;
-    return () => running ??= action();
+/** Returns a function that runs `action` at most once. Later calls share the result of the first one. */
+const runOnce = (action: () => Promise<void>): (() => Promise<void>) => {
+    let result: Promise<void> | undefined;
+    return () => result ??= action();
 };
 
-/** Starts all of `plan`. When any part fails to start, everything is stopped and the reason is thrown. */
+/** Starts all processes of `plan`. If any of them fails to start, stops all of them and rejects with the reason. */
 export const startFleet = async (plan: FleetPlan, options: FleetOptions = {}): Promise<Fleet> => {
     const report = options.report ?? (() => undefined);
-    const scene: Scene = {
+    const context: LaunchContext = {
         plan,
         files: await createFleetFiles(),
         processes: createProcessGroup(report),
-        end: new AbortController(),
+        lifetime: new AbortController(),
         report,
     };
-    // Every client and every wait of the fleet listens to this one signal; many listeners are no leak here.
-    setMaxListeners(0, scene.end.signal);
-    let started: Started | undefined;
+    // All clients and waits of the fleet listen to this signal, so many listeners do not indicate a leak.
+    setMaxListeners(0, context.lifetime.signal);
+    let started: StartedFleet | undefined;
 
-    const stop = once(async () => {
-        scene.end.abort(options.signal?.aborted === true ? options.signal.reason : new Error("the fleet was stopped"));
+    const stop = runOnce(async () => {
+        context.lifetime.abort(options.signal?.aborted === true ? options.signal.reason : new Error("the fleet was stopped"));
         if (started !== undefined) {
             await stopInOrder(started);
         }
-        await scene.processes.close();
+        await context.processes.close();
         if (options.keepFiles !== true) {
-            await scene.files.remove();
+            await context.files.remove();
         }
-        removeGuard();
+        removeSignalHandlers();
     });
-    const removeGuard = guardAgainstSignals(stop);
+    const removeSignalHandlers = installSignalHandlers(stop);
     const onAbort = (): void => {
-        stop().catch((error: unknown) => report(`The fleet didn't stop cleanly: ${String(error)}`));
+        stop().catch((error: unknown) => report(`The fleet did not stop cleanly: ${String(error)}`));
     };
     options.signal?.addEventListener("abort", onAbort, { once: true });
 
     try {
         options.signal?.throwIfAborted();
-        started = await startAll(scene);
-        scene.end.signal.throwIfAborted();
-        return createFleet(scene, started, stop);
+        started = await startAll(context);
+        context.lifetime.signal.throwIfAborted();
+        return createFleet(context, started, stop);
     }
     catch (error) {
         await stop();
--- a/packages/oleandergap-demo/src/fleet/targetSettings.ts
+++ b/packages/oleandergap-demo/src/fleet/targetSettings.ts
@@ -1,9 +1,12 @@
-/** The plan file of the process that runs all target stand-ins of a fleet. */
+/** Creates the plan file of the process that runs all target stand-ins of a fleet. */
 import type { z } from "zod";
 import type { targetsPlanSchema } from "oleandergap-standins";
 import type { FleetPlan } from "../plan/fleetPlan.js";
 
-/** One target per VM that has one. The control port is any free one; the process tells it when it is ready. */
+/**
+ * Returns a plan with the target of each VM that has one. The control port is any free port; the ready line of the
+ * process contains it.
+ */
 export const createTargetsPlan = (plan: FleetPlan): z.input<typeof targetsPlanSchema> => ({
     control: { address: plan.platform.address, port: 0 },
     targets: plan.vms.flatMap((vm, index) => {
--- a/packages/oleandergap-demo/src/fleet/waitFor.ts
+++ b/packages/oleandergap-demo/src/fleet/waitFor.ts
@@ -1,26 +1,26 @@
-/** Waiting for a state that another process reaches in its own time. */
+/** Waits for a state of another process by polling. */
 import { createSystemClock } from "oleandergap-utils";
 import type { Milliseconds } from "oleandergap-types";
 
-/** What is awaited, and for how long. */
+/** Options of a wait. */
 export interface WaitOptions {
-    /** Named in the error, for example `node hall-a-1 is ready`. */
-    readonly what: string;
+    /** Awaited state, used in the error message, for example `node hall-a-1 is ready`. */
+    readonly description: string;
     readonly timeoutMs: Milliseconds;
     readonly signal: AbortSignal;
-    readonly everyMs?: Milliseconds;
+    readonly intervalMs?: Milliseconds;
 }
 
-const DEFAULT_PERIOD: Milliseconds = 100;
+const DEFAULT_INTERVAL: Milliseconds = 100;
 
 /**
- * Asks `probe` again and again until it returns a value. Rejects with what `describeLast` says when the time is up,
- * and with the signal's reason when it aborts. Errors of the probe itself are passed on.
+ * Calls `probe` repeatedly until it returns a value. Rejects with the result of `describeLast` when the timeout
+ * expires, and with the reason of the signal when it aborts. Errors of the probe are passed on.
  */
 export const waitForValue = async <Value>(
-    { what, timeoutMs, signal, everyMs = DEFAULT_PERIOD }: WaitOptions,
+    { description, timeoutMs, signal, intervalMs = DEFAULT_INTERVAL }: WaitOptions,
     probe: () => Promise<Value | undefined>,
-    describeLast: () => string = () => "no sign of it",
+    describeLast: () => string = () => "not observed",
 ): Promise<Value> => {
     const clock = createSystemClock();
     const deadline = clock.monotonic() + timeoutMs;
@@ -31,8 +31,8 @@
             return value;
         }
         if (clock.monotonic() >= deadline) {
-            throw new Error(`waited ${timeoutMs} ms in vain until ${what}: ${describeLast()}`);
+            throw new Error(`timed out after ${timeoutMs} ms waiting until ${description}: ${describeLast()}`);
         }
-        await clock.sleep(everyMs, signal);
+        await clock.sleep(intervalMs, signal);
     }
 };
--- a/packages/oleandergap-demo/src/main.ts
+++ b/packages/oleandergap-demo/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Runs both deployments on this machine, or checks them in one full round (`--check`). */
+/** Runs both deployments on this machine, or runs the self-check (`--check`). */
 import { Command, InvalidArgumentError } from "commander";
 import { MILLISECONDS_PER_SECOND } from "oleandergap-types";
 import { runCheck } from "./check/runCheck.js";
@@ -20,7 +20,7 @@
 const EXIT_FAILURE = 1;
 const DEFAULT_TIME_LIMIT_SECONDS = 180;
 
-const parseWholeNumber = (minimum: number, maximum: number) => (text: string): number => {
+const parseInteger = (minimum: number, maximum: number) => (text: string): number => {
     const value = Number(text);
     if (!Number.isInteger(value) || value < minimum || value > maximum) {
         throw new InvalidArgumentError(`use a whole number from ${minimum} to ${maximum}`);
@@ -31,16 +31,16 @@
 const readCommandLine = (): CommandOptions =>
     new Command("npm start --")
         .description("Runs both deployments on this machine with stand-ins for the platform and the targets.")
-        .option("--check", "do one full round, print what was seen, and stop", false)
-        .option("--small", "three nodes in place of both deployments", false)
-        .option("--port-base <port>", "first of the ports in use", parseWholeNumber(1024, 32_000), DEFAULT_PORT_BASE)
+        .option("--check", "run the self-check, print its observations, and stop", false)
+        .option("--small", "run three nodes instead of both deployments", false)
+        .option("--port-base <port>", "first port to use", parseInteger(1024, 32_000), DEFAULT_PORT_BASE)
         .option(
             "--time-limit <seconds>",
-            "longest time for --check",
-            parseWholeNumber(10, 3600),
+            "maximum duration of --check",
+            parseInteger(10, 3600),
             DEFAULT_TIME_LIMIT_SECONDS,
         )
-        .option("--keep-files", "leave settings and logs behind", false)
+        .option("--keep-files", "keep settings and logs after the stop", false)
         .parse()
         .opts<CommandOptions>();
 
@@ -55,7 +55,7 @@
             return;
         }
         signal.addEventListener("abort", () => resolve(), { once: true });
-        // An abort listener alone does not keep the process running.
+        // An abort listener alone does not keep the process running, so a timer does.
         const keepAlive = setInterval(() => undefined, MILLISECONDS_PER_SECOND);
         signal.addEventListener("abort", () => clearInterval(keepAlive), { once: true });
     });
@@ -63,15 +63,15 @@
 const choosePlan = ({ small, portBase }: CommandOptions): FleetPlan =>
     small ? createSmallPlan(portBase) : createTodaysPlan(portBase);
 
-const check = async (commandOptions: CommandOptions, stop: AbortSignal): Promise<void> => {
+const check = async (commandOptions: CommandOptions, stopSignal: AbortSignal): Promise<void> => {
     const { timeLimit, keepFiles } = commandOptions;
-    const timeUp = new AbortController();
+    const timeoutController = new AbortController();
     const timer = setTimeout(
-        () => timeUp.abort(new Error(`the check took longer than its limit of ${timeLimit} s`)),
+        () => timeoutController.abort(new Error(`the check exceeded its time limit of ${timeLimit} s`)),
         timeLimit * MILLISECONDS_PER_SECOND,
     );
     try {
-        const signal = AbortSignal.any([stop, timeUp.signal]);
+        const signal = AbortSignal.any([stopSignal, timeoutController.signal]);
         await runCheck({ plan: choosePlan(commandOptions), signal, report: print, keepFiles });
     }
     finally {
@@ -79,11 +79,11 @@
     }
 };
 
-const run = async (commandOptions: CommandOptions, stop: AbortSignal): Promise<void> => {
+const run = async (commandOptions: CommandOptions, stopSignal: AbortSignal): Promise<void> => {
     const { keepFiles } = commandOptions;
-    const fleet = await startFleet(choosePlan(commandOptions), { signal: stop, report: print, keepFiles });
+    const fleet = await startFleet(choosePlan(commandOptions), { signal: stopSignal, report: print, keepFiles });
     print(`\n${describeFleet(fleet)}`);
-    await waitForAbort(stop);
+    await waitForAbort(stopSignal);
     print("\nStopping.");
     await fleet.stop();
     print("Everything has stopped.");
@@ -97,7 +97,7 @@
 }
 catch (error) {
     if (signal.aborted && !options.check) {
-        print("Stopped before everything had started.");
+        print("Stopped before all processes had started.");
         process.exit(0);
     }
     const message = error instanceof Error ? error.message : String(error);
--- a/packages/oleandergap-demo/src/plan/deployments.ts
+++ b/packages/oleandergap-demo/src/plan/deployments.ts
@@ -1,4 +1,4 @@
-/** Today's two deployments of the brief, on one shared system. */
+/** Plans of the two deployments of the requirements, on one shared system, and of smaller fleets. */
 import type { Limit, ZoneName } from "oleandergap-types";
 import {
     createPlatformPlan,
@@ -8,21 +8,21 @@
     type ServicePlan,
     type TargetBehaviour,
 } from "./fleetPlan.js";
-import { dealOverZones, placeOnVms, type PlacedTarget } from "./placement.js";
+import { distributeOverZones, placeOnVms, type PlacedTarget } from "./placement.js";
 
 const EQUAL_WEIGHT = 100;
 
-const weighEqually = (zones: readonly ZoneName[]): ServicePlan["weights"] =>
+const createEqualWeights = (zones: readonly ZoneName[]): ServicePlan["weights"] =>
     Object.fromEntries(zones.map((zone) => [zone, EQUAL_WEIGHT]));
 
-/** The limits that a partner's services name, for targets with so many slots. */
+/** Returns the limits that a partner's services refer to, for targets with the given number of slots. */
 export const createLimits = (slots: number): Readonly<Record<"reading" | "signing" | "upload", Limit>> => ({
     reading: { concurrency: slots, queue: 2 * slots, timeoutMs: 3000, retryRatio: 0.1 },
     signing: { concurrency: slots, queue: slots, timeoutMs: 10_000, retryRatio: 0.05 },
     upload: { concurrency: slots, queue: slots, timeoutMs: 60_000, retryRatio: 0.05 },
 });
 
-interface Worker {
+interface ServiceDeployment {
     readonly service: string;
     readonly count: number;
     readonly limit: "reading" | "signing" | "upload";
@@ -34,7 +34,7 @@
     readonly zones: readonly ZoneName[];
     readonly slots: number;
     readonly connections: number;
-    readonly workers: readonly Worker[];
+    readonly services: readonly ServiceDeployment[];
 }
 
 const halloway: Deployment = {
@@ -43,7 +43,7 @@
     zones: ["hall-a", "hall-b", "hall-c"],
     slots: 12,
     connections: 120,
-    workers: [
+    services: [
         { service: "wills-desk", count: 4, limit: "reading" },
         { service: "grant-filer", count: 3, limit: "signing" },
         { service: "deed-vault", count: 3, limit: "upload" },
@@ -56,29 +56,29 @@
     zones: ["sapporo", "kushiro", "asahikawa", "hakodate"],
     slots: 18,
     connections: 130,
-    workers: [
+    services: [
         { service: "checklist", count: 4, limit: "reading" },
         { service: "signoff-svc", count: 4, limit: "signing" },
         { service: "evidence", count: 4, limit: "upload" },
     ],
 };
 
-const toPartnerPlan = ({ partner, operator, zones, slots, workers }: Deployment): PartnerPlan => ({
+const toPartnerPlan = ({ partner, operator, zones, slots, services }: Deployment): PartnerPlan => ({
     partner,
     operator,
     zones,
     limits: createLimits(slots),
-    services: workers.map(({ service, limit }) => ({
+    services: services.map(({ service, limit }) => ({
         service,
         limit,
         idempotency: limit === "signing" ? "required" : "optional",
-        weights: weighEqually(zones),
+        weights: createEqualWeights(zones),
     })),
 });
 
-const placeTargets = ({ partner, zones, slots, connections, workers }: Deployment): readonly PlacedTarget[] =>
-    workers.flatMap(({ service, count }) =>
-        dealOverZones({ partner, service, slots, connections }, count, zones));
+const placeTargets = ({ partner, zones, slots, connections, services }: Deployment): readonly PlacedTarget[] =>
+    services.flatMap(({ service, count }) =>
+        distributeOverZones({ partner, service, slots, connections }, count, zones));
 
 const createDeploymentPlan = (deployments: readonly Deployment[], portBase: number | undefined): FleetPlan => {
     const zones = deployments.flatMap((deployment) => deployment.zones);
@@ -90,30 +90,33 @@
     };
 };
 
-/** Both deployments at today's sizes: 22 VMs in seven availability zones. */
+/** Creates a plan of both deployments at their full sizes: 22 VMs in seven availability zones. */
 export const createTodaysPlan = (portBase?: number): FleetPlan =>
     createDeploymentPlan([halloway, kushiro], portBase);
 
-/** A small fleet for tests: one service each, with a VM in two zones of the first partner and one of the second. */
+/**
+ * Creates a small plan for tests: one service per partner, with one VM in each of two zones of the first partner and
+ * one zone of the second.
+ */
 export const createSmallPlan = (portBase?: number): FleetPlan =>
     createDeploymentPlan([
-        { ...halloway, zones: ["hall-a", "hall-b"], workers: [{ service: "wills-desk", count: 2, limit: "reading" }] },
-        { ...kushiro, zones: ["sapporo"], workers: [{ service: "checklist", count: 1, limit: "reading" }] },
+        { ...halloway, zones: ["hall-a", "hall-b"], services: [{ service: "wills-desk", count: 2, limit: "reading" }] },
+        { ...kushiro, zones: ["sapporo"], services: [{ service: "checklist", count: 1, limit: "reading" }] },
     ], portBase);
 
-/** How a fleet of one service differs from the usual. */
+/** Options of a fleet with a single service. */
 export interface OneServiceOptions {
     readonly targets: number;
     readonly portBase?: number;
     readonly behaviour?: TargetBehaviour;
-    /** Merged into every daemon's settings file. */
+    /** Settings that are merged into the settings file of every daemon. */
     readonly settings?: FleetPlan["settings"];
 }
 
-/** One service of the first partner in its three availability zones, one VM for each target. */
+/** Creates a plan with one service of the first partner in its three availability zones and one VM per target. */
 export const createOneServicePlan = ({ targets, portBase, behaviour, settings }: OneServiceOptions): FleetPlan => {
     const plan = createDeploymentPlan([
-        { ...halloway, workers: [{ service: "wills-desk", count: targets, limit: "reading" }] },
+        { ...halloway, services: [{ service: "wills-desk", count: targets, limit: "reading" }] },
     ], portBase);
     const vms = plan.vms.map((vm) =>
         vm.target === undefined || behaviour === undefined ? vm : { ...vm, target: { ...vm.target, behaviour } });
--- a/packages/oleandergap-demo/src/plan/fleetPlan.ts
+++ b/packages/oleandergap-demo/src/plan/fleetPlan.ts
@@ -1,8 +1,8 @@
-/** What a fleet on one machine consists of: partners with their tables, VMs with their targets, ports and limits. */
+/** Plan of a fleet on one machine: partners with their tables, VMs with their targets, ports and limits. */
 import type { Limit, PartnerName, ServiceName, ZoneName } from "oleandergap-types";
 import type { TargetOptions } from "oleandergap-standins";
 
-/** A row of a partner's table at the start. */
+/** Row of a partner's first table. */
 export interface ServicePlan {
     readonly service: ServiceName;
     /** Name of one of the partner's limits. */
@@ -12,7 +12,7 @@
     readonly weights: Readonly<Record<ZoneName, number>>;
 }
 
-/** A partner's first table, and who edits it. */
+/** First table of a partner, and its operator. */
 export interface PartnerPlan {
     readonly partner: PartnerName;
     /** Name of the operator whose credential is created. */
@@ -22,7 +22,7 @@
     readonly services: readonly ServicePlan[];
 }
 
-/** How a VM's target behaves; what is left out has the stand-in's default. */
+/** Behaviour of the target on a VM. Omitted options have the defaults of the stand-in. */
 export type TargetBehaviour = Partial<Pick<
     TargetOptions,
     "serviceTime" | "coldStart" | "healthBehaviour" | "shed" | "keepAliveMs"
@@ -37,16 +37,16 @@
     readonly behaviour?: TargetBehaviour;
 }
 
-/** A VM of the system: one node, and at most one target. */
+/** A VM with one node and at most one target. */
 export interface VmPlan {
-    /** Names the VM and its node. */
+    /** Id of the VM and of its node. */
     readonly id: string;
     readonly zone: ZoneName;
     readonly address: string;
     readonly target?: TargetPlan;
 }
 
-/** Ports that every VM uses, told apart by address. */
+/** Ports that all VMs use. The VMs differ by address. */
 export interface PortPlan {
     readonly gateway: number;
     readonly gate: number;
@@ -56,7 +56,7 @@
     readonly platform: number;
 }
 
-/** Everything that `startFleet` needs to know. */
+/** Complete description of a fleet for `startFleet`. */
 export interface FleetPlan {
     readonly partners: readonly PartnerPlan[];
     readonly vms: readonly VmPlan[];
@@ -65,17 +65,17 @@
         readonly address: string;
         readonly writesPerSecond: number;
         readonly readsPerSecond: number;
-        /** Way into the platform of each availability zone. */
+        /** Address of the platform entrance of each availability zone. */
         readonly entrances: Readonly<Record<ZoneName, string>>;
     };
-    /** Merged into every daemon's settings file, for experiments with other options. */
+    /** Settings that are merged into the settings file of every daemon, for experiments with other options. */
     readonly settings?: Readonly<Record<string, unknown>>;
 }
 
-/** First port of a fleet unless another is asked for. */
+/** Default for the first port of a fleet. */
 export const DEFAULT_PORT_BASE = 17_080;
 
-/** Ports above a base, so that several fleets can run side by side on the same addresses. */
+/** Returns ports relative to a base, so that several fleets can run concurrently on the same addresses. */
 export const createPortPlan = (base: number = DEFAULT_PORT_BASE): PortPlan => ({
     gateway: base,
     gate: base + 1,
@@ -85,15 +85,15 @@
     platform: base + 20,
 });
 
-/** Last part of the address through which an availability zone reaches the platform. */
+/** Last part of the address of the platform entrance of an availability zone. */
 const ENTRANCE_HOST = 254;
-/** Most VMs in an availability zone; the address space of a zone holds no more. */
+/** Maximum number of VMs in an availability zone, limited by the address space of a zone. */
 export const MAX_VMS_PER_ZONE = ENTRANCE_HOST - 1;
 
-/** Address of VM `host` (from 1) of the availability zone number `zone` (from 1). */
+/** Returns the address of VM number `host` in availability zone number `zone`. Both numbers start at 1. */
 export const formatVmAddress = (zone: number, host: number): string => `127.20.${zone}.${host}`;
 
-/** The platform's own address and limits, with an entrance for each of `zones`. */
+/** Returns the address and limits of the platform, with an entrance for each of `zones`. */
 export const createPlatformPlan = (zones: readonly ZoneName[]): FleetPlan["platform"] => ({
     address: "127.20.0.1",
     writesPerSecond: 500,
@@ -101,6 +101,6 @@
     entrances: Object.fromEntries(zones.map((zone, index) => [zone, formatVmAddress(index + 1, ENTRANCE_HOST)])),
 });
 
-/** All availability zones in the order of their numbers, each once. */
+/** Returns all availability zones without duplicates, in the order of their numbers. */
 export const listZones = (plan: Pick<FleetPlan, "partners">): readonly ZoneName[] =>
     [...new Set(plan.partners.flatMap((partner) => partner.zones))];
--- a/packages/oleandergap-demo/src/plan/generatedPlan.ts
+++ b/packages/oleandergap-demo/src/plan/generatedPlan.ts
@@ -1,4 +1,4 @@
-/** Fleets of any size for experiments. */
+/** Generates plans of fleets of any size for experiments. */
 import type { PartnerName, ServiceName, ZoneName } from "oleandergap-types";
 import { createLimits } from "./deployments.js";
 import {
@@ -9,16 +9,18 @@
     type PartnerPlan,
     type TargetBehaviour,
 } from "./fleetPlan.js";
-import { dealOverZones, placeOnVms } from "./placement.js";
+import { distributeOverZones, placeOnVms } from "./placement.js";
 
-/** Only the number of nodes is needed; it is split evenly between the partners. */
+/**
+ * Options of a generated plan. Only the number of nodes is required; the nodes are split evenly between the partners.
+ */
 export interface GeneratedPlanOptions {
     readonly nodes: number;
-    /** Availability zones of each partner. */
+    /** Number of availability zones per partner. */
     readonly zonesPerPartner?: number;
-    /** Rows in each partner's table. */
+    /** Number of rows in each partner's table. */
     readonly servicesPerPartner?: number;
-    /** Targets of each service that has any; rows that go without are only configuration. */
+    /** Number of targets of each service that has targets. The other rows exist only as configuration. */
     readonly targetsPerService?: number;
     readonly behaviour?: TargetBehaviour;
     readonly portBase?: number;
@@ -56,7 +58,10 @@
 const countNodes = (nodes: number, partnerIndex: number): number =>
     Math.floor((nodes + PARTNERS.length - 1 - partnerIndex) / PARTNERS.length);
 
-/** Both partners with half of the nodes each, one target per node. Throws a `RangeError` when zones get too full. */
+/**
+ * Creates a plan in which each partner has half of the nodes, with one target per node. Throws a `RangeError` if a zone
+ * would exceed its maximum number of VMs.
+ */
 export const createGeneratedPlan = (options: GeneratedPlanOptions): FleetPlan => {
     const { nodes, zonesPerPartner = DEFAULT_ZONES_PER_PARTNER, behaviour, settings } = options;
     const targetsPerService = options.targetsPerService ?? DEFAULT_TARGETS_PER_SERVICE;
@@ -64,12 +69,12 @@
         throw new RangeError(`${nodes} nodes need more than ${zonesPerPartner} zones per partner`);
     }
 
-    const drafts = PARTNERS.map((partner, index) => {
+    const partnerDrafts = PARTNERS.map((partner, index) => {
         const zones = Array.from({ length: zonesPerPartner }, (_, zone) => `${partner}-${zone + 1}`);
         const nodeCount = countNodes(nodes, index);
-        const served = Math.max(1, Math.ceil(nodeCount / targetsPerService));
-        const services = nameServices(Math.max(served, options.servicesPerPartner ?? served));
-        const placed = Array.from({ length: nodeCount }, (_, node) => {
+        const servedServiceCount = Math.max(1, Math.ceil(nodeCount / targetsPerService));
+        const services = nameServices(Math.max(servedServiceCount, options.servicesPerPartner ?? servedServiceCount));
+        const placedTargets = Array.from({ length: nodeCount }, (_, node) => {
             const service = services[Math.floor(node / targetsPerService)] ?? "";
             const target = {
                 partner,
@@ -78,15 +83,15 @@
                 connections: CONNECTIONS,
                 ...(behaviour === undefined ? {} : { behaviour }),
             };
-            return dealOverZones(target, 1, zones, node);
+            return distributeOverZones(target, 1, zones, node);
         }).flat();
-        return { plan: createPartner(partner, zones, services), placed };
+        return { plan: createPartner(partner, zones, services), placed: placedTargets };
     });
 
-    const zones = drafts.flatMap((draft) => draft.plan.zones);
+    const zones = partnerDrafts.flatMap((draft) => draft.plan.zones);
     return {
-        partners: drafts.map((draft) => draft.plan),
-        vms: placeOnVms(zones, drafts.flatMap((draft) => draft.placed)),
+        partners: partnerDrafts.map((draft) => draft.plan),
+        vms: placeOnVms(zones, partnerDrafts.flatMap((draft) => draft.placed)),
         ports: createPortPlan(options.portBase),
         platform: createPlatformPlan(zones),
         ...(settings === undefined ? {} : { settings }),
--- a/packages/oleandergap-demo/src/plan/placement.ts
+++ b/packages/oleandergap-demo/src/plan/placement.ts
@@ -1,19 +1,19 @@
-/** Places targets on VMs. */
+/** Assigns targets to availability zones and VMs. */
 import type { ZoneName } from "oleandergap-types";
 import { formatVmAddress, type TargetPlan, type VmPlan } from "./fleetPlan.js";
 
-/** A target and the availability zone that it stands in. */
+/** A target and its availability zone. */
 export interface PlacedTarget {
     readonly zone: ZoneName;
     readonly target: TargetPlan;
 }
 
-/** One VM per target, numbered within its zone; the zones' order gives their addresses. */
+/** Creates one VM per target, numbered within its zone. The order of the zones determines the addresses. */
 export const placeOnVms = (zones: readonly ZoneName[], placed: readonly PlacedTarget[]): readonly VmPlan[] => {
-    const used = new Map<ZoneName, number>();
+    const vmCounts = new Map<ZoneName, number>();
     return placed.map(({ zone, target }) => {
-        const host = (used.get(zone) ?? 0) + 1;
-        used.set(zone, host);
+        const host = (vmCounts.get(zone) ?? 0) + 1;
+        vmCounts.set(zone, host);
         return {
             id: `${zone}-${host}`,
             zone,
@@ -23,8 +23,8 @@
     });
 };
 
-/** `count` copies of a target, dealt out over `zones` from the one at `firstZone` on. */
-export const dealOverZones = (
+/** Distributes `count` copies of a target over `zones` in turn, starting with the zone at index `firstZone`. */
+export const distributeOverZones = (
     target: TargetPlan,
     count: number,
     zones: readonly ZoneName[],
--- a/packages/oleandergap-demo/src/plan/seedEdits.ts
+++ b/packages/oleandergap-demo/src/plan/seedEdits.ts
@@ -1,8 +1,8 @@
-/** The changes that fill a partner's empty table. */
+/** Creates the changes that fill a partner's empty table. */
 import { MAX_CELLS_PER_CHANGE, type CellAddress, type CellValue, type Limit } from "oleandergap-types";
 import type { PartnerPlan, ServicePlan } from "./fleetPlan.js";
 
-/** A cell of the first table. */
+/** Cell of the first table. */
 export interface SeedCell {
     readonly cell: CellAddress;
     readonly value: CellValue;
@@ -24,19 +24,19 @@
 ];
 
 /**
- * Groups of cells, each small enough for one change. A row is never torn apart, so that the table is sound after
- * every one of the changes.
+ * Groups the cells of the first table into changes of at most the permitted size. A row is never split, so that the
+ * table is valid after each change.
  */
 export const listSeedChanges = (partner: PartnerPlan): readonly (readonly SeedCell[])[] => {
-    const groups = [
+    const cellGroups = [
         [...listZoneCells(partner), ...Object.entries(partner.limits).flatMap(listLimitCells)],
         ...partner.services.map(listServiceCells),
     ];
     const changes: SeedCell[][] = [[]];
-    for (const group of groups) {
-        const last = changes.at(-1);
-        if (last !== undefined && last.length + group.length <= MAX_CELLS_PER_CHANGE) {
-            last.push(...group);
+    for (const group of cellGroups) {
+        const lastChange = changes.at(-1);
+        if (lastChange !== undefined && lastChange.length + group.length <= MAX_CELLS_PER_CHANGE) {
+            lastChange.push(...group);
         }
         else {
             changes.push([...group]);
--- a/packages/oleandergap-demo/src/process/childProcess.ts
+++ b/packages/oleandergap-demo/src/process/childProcess.ts
@@ -1,4 +1,6 @@
-/** One process that the fleet started: it can be stopped, killed, frozen and resumed, always by its own id. */
+/**
+ * Starts a child process, which can be stopped, killed, frozen and resumed. Signals are sent to its process id only.
+ */
 import { spawn, type ChildProcess } from "node:child_process";
 import { once } from "node:events";
 import { closeSync, openSync } from "node:fs";
@@ -6,55 +8,58 @@
 import type { Milliseconds } from "oleandergap-types";
 import { readLastLines } from "./logTail.js";
 
-/** What to run, and where its log goes. */
+/** Program and log file of a child process. */
 export interface ChildOptions {
-    /** Names the process in messages. */
+    /** Name of the process in messages. */
     readonly name: string;
     /** JavaScript file to run. */
     readonly script: string;
-    /** The file is run by its own first line, with the flags there, rather than by this process's Node.js. */
+    /**
+     * Whether to execute the file by its shebang line, with the flags there, instead of with the Node.js of this
+     * process.
+     */
     readonly isExecutable?: boolean;
     readonly arguments: readonly string[];
-    /** Receives what the process writes to its standard error. */
+    /** File that receives the standard error of the process. */
     readonly logFile: string;
-    /** Wait for a first line on standard output before the process counts as started. */
+    /** Whether the process counts as started only after its first line on standard output. */
     readonly awaitReadyLine?: boolean;
 }
 
-/** How a process ended: its exit code, or the signal that ended it. */
+/** Exit code of a process, or the signal that ended it. */
 export interface ChildExit {
     readonly code: number | undefined;
     readonly signal: string | undefined;
 }
 
-/** A process that was started. Signals go to it only while it runs. */
+/** A started process. Signals are sent only while it is running. */
 export interface Child {
     readonly name: string;
     readonly pid: number;
     readonly logFile: string;
     readonly isRunning: () => boolean;
-    /** Whether anybody asked the process to end. */
+    /** Returns whether a stop or kill of the process was requested. */
     readonly isStopRequested: () => boolean;
-    /** Settles when the process has ended. */
+    /** Resolves when the process has exited. */
     readonly exited: Promise<ChildExit>;
-    /** The ready line, undefined when none was asked for. */
+    /** First line on standard output, or undefined if `awaitReadyLine` was not set. */
     readonly readyLine: string | undefined;
-    /** Asks to end, and kills when that takes longer than `patience`. */
-    readonly stop: (patience: Milliseconds) => Promise<ChildExit>;
+    /** Sends SIGTERM, and SIGKILL if the process takes longer than `timeoutMs` to exit. */
+    readonly stop: (timeoutMs: Milliseconds) => Promise<ChildExit>;
     readonly kill: () => Promise<ChildExit>;
     readonly freeze: () => void;
     readonly resume: () => void;
-    /** Sends SIGKILL without waiting; for the last moment of the parent. */
+    /** Sends SIGKILL without waiting. Used while the parent process exits. */
     readonly killNow: () => void;
 }
 
-/** Longest wait for the ready line of a process. */
+/** Maximum time to wait for the ready line of a process. */
 const READY_TIMEOUT: Milliseconds = 30_000;
 
 const describeExit = ({ code, signal }: ChildExit): string =>
     signal === undefined ? `with code ${code ?? "unknown"}` : `by ${signal}`;
 
-/** An error that names the process and shows the end of its log. */
+/** Returns an error that names the process and contains the end of its log. */
 export const createEarlyExitError = async (name: string, exit: ChildExit, logFile: string): Promise<Error> =>
     new Error(`${name} ended ${describeExit(exit)}; end of its log:\n${await readLastLines(logFile)}`);
 
@@ -67,10 +72,10 @@
         throw new Error(`${options.name} has no standard output`);
     }
     const lines = createInterface({ input: child.stdout });
-    const first = once(lines, "line", { signal: AbortSignal.timeout(READY_TIMEOUT) });
-    const outcome = await Promise.race([first, exited]);
+    const firstLine = once(lines, "line", { signal: AbortSignal.timeout(READY_TIMEOUT) });
+    const outcome = await Promise.race([firstLine, exited]);
     if (!Array.isArray(outcome)) {
-        first.catch(() => undefined);
+        firstLine.catch(() => undefined);
         throw await createEarlyExitError(options.name, outcome, options.logFile);
     }
     return String(outcome[0]);
@@ -84,12 +89,13 @@
 const spawnDetached = (options: ChildOptions): ChildProcess => {
     const log = openSync(options.logFile, "a");
     try {
-        // A process group of its own: the terminal's Ctrl-C reaches the launcher alone, which then stops the processes
-        // in order. Otherwise all would end at once, and the round would look like a failure of the whole fleet.
-        const [command, ...first] = options.isExecutable === true ?
+        // The child gets a separate process group, so that Ctrl-C in the terminal reaches only the launcher, which then
+        // stops the processes in order. Otherwise all processes would end at the same time, which would look like a
+        // failure of the whole fleet.
+        const [command, ...scriptArguments] = options.isExecutable === true ?
             [options.script] :
             [process.execPath, options.script];
-        return spawn(command, [...first, ...options.arguments], {
+        return spawn(command, [...scriptArguments, ...options.arguments], {
             detached: true,
             stdio: ["ignore", options.awaitReadyLine === true ? "pipe" : log, log],
         });
@@ -99,7 +105,7 @@
     }
 };
 
-/** Starts a process; rejects when it cannot be started or ends before its ready line. */
+/** Starts a process. Rejects if it cannot be started or exits before its ready line. */
 export const startChild = async (options: ChildOptions): Promise<Child> => {
     const child = spawnDetached(options);
     const exited = watchExit(child);
@@ -110,18 +116,18 @@
     }
     const isRunning = (): boolean => child.exitCode === null && child.signalCode === null;
 
-    let stopRequested = false;
+    let hasStopRequest = false;
 
-    /** The id of an ended process may belong to another by now, so only a running one is ever signalled. */
-    const send = (signal: NodeJS.Signals): void => {
+    /** Sends a signal only while the process is running, because the id of an exited process may have been reused. */
+    const sendSignal = (signal: NodeJS.Signals): void => {
         if (isRunning()) {
             child.kill(signal);
         }
     };
 
     const killNow = (): void => {
-        stopRequested = true;
-        send("SIGKILL");
+        hasStopRequest = true;
+        sendSignal("SIGKILL");
     };
 
     const kill = (): Promise<ChildExit> => {
@@ -129,12 +135,12 @@
         return exited;
     };
 
-    const stop = async (patience: Milliseconds): Promise<ChildExit> => {
-        stopRequested = true;
-        // A frozen process would not notice the request.
-        send("SIGCONT");
-        send("SIGTERM");
-        const timer = setTimeout(() => send("SIGKILL"), patience);
+    const stop = async (timeoutMs: Milliseconds): Promise<ChildExit> => {
+        hasStopRequest = true;
+        // A frozen process would not handle SIGTERM.
+        sendSignal("SIGCONT");
+        sendSignal("SIGTERM");
+        const timer = setTimeout(() => sendSignal("SIGKILL"), timeoutMs);
         const exit = await exited;
         clearTimeout(timer);
         return exit;
@@ -152,13 +158,13 @@
         pid,
         logFile: options.logFile,
         isRunning,
-        isStopRequested: () => stopRequested,
+        isStopRequested: () => hasStopRequest,
         exited,
         readyLine,
         stop,
         kill,
-        freeze: () => send("SIGSTOP"),
-        resume: () => send("SIGCONT"),
+        freeze: () => sendSignal("SIGSTOP"),
+        resume: () => sendSignal("SIGCONT"),
         killNow,
     };
 };
--- a/packages/oleandergap-demo/src/process/logTail.ts
+++ b/packages/oleandergap-demo/src/process/logTail.ts
@@ -1,9 +1,9 @@
-/** The end of a log file, for error messages. */
+/** Reads the end of a log file for error messages. */
 import { readFile } from "node:fs/promises";
 
 const DEFAULT_LINES = 15;
 
-/** The last lines of `file`, indented, or a line that says why there are none. Never rejects. */
+/** Returns the last lines of `file`, indented, or a line with the reason why it cannot be read. Never rejects. */
 export const readLastLines = async (file: string, lines = DEFAULT_LINES): Promise<string> => {
     try {
         const text = await readFile(file, "utf8");
--- a/packages/oleandergap-demo/src/process/processGroup.ts
+++ b/packages/oleandergap-demo/src/process/processGroup.ts
@@ -1,27 +1,27 @@
-/** All processes that one fleet started, so that none outlives it. */
+/** Tracks all processes of a fleet, so that none of them outlives the fleet. */
 import { createEarlyExitError, startChild, type Child, type ChildOptions } from "./childProcess.js";
 
-/** Starts processes and remembers those that run. */
+/** Starts processes and tracks the running ones. */
 export interface ProcessGroup {
     readonly start: (options: ChildOptions) => Promise<Child>;
-    /** Those that run. */
+    /** Returns the running processes. */
     readonly running: () => readonly Child[];
-    /** Refuses new starts, then kills whatever still runs. */
+    /** Refuses new starts and kills all running processes. */
     readonly close: () => Promise<void>;
 }
 
-/** `report` hears of each process that ended although nobody asked it to. */
+/** Creates a process group. `report` receives a message for each process that exits without a stop request. */
 export const createProcessGroup = (report: (message: string) => void): ProcessGroup => {
     const children = new Set<Child>();
     const starting = new Set<Promise<Child>>();
-    let closed = false;
+    let isClosed = false;
 
     const killAllNow = (): void => {
         for (const child of children) {
             child.killNow();
         }
     };
-    // The last resort when the launcher ends by an uncaught error: nobody would be left to stop the processes.
+    // If the launcher exits because of an uncaught error, nothing else would stop the processes.
     process.once("exit", killAllNow);
 
     const track = (child: Child): void => {
@@ -35,7 +35,7 @@
     };
 
     const start = async (options: ChildOptions): Promise<Child> => {
-        if (closed) {
+        if (isClosed) {
             throw new Error(`${options.name} is not started: the fleet is stopping`);
         }
         const started = startChild(options);
@@ -51,7 +51,7 @@
     };
 
     const close = async (): Promise<void> => {
-        closed = true;
+        isClosed = true;
         await Promise.allSettled(starting);
         await Promise.all([...children].map((child) => child.kill()));
         process.off("exit", killAllNow);
--- a/packages/oleandergap-demo/src/process/signalGuard.ts
+++ b/packages/oleandergap-demo/src/process/signalGuard.ts
@@ -1,26 +1,26 @@
 /**
- * Stops a fleet when its program is asked to end and has made no provision of its own.
+ * Stops a fleet when its program receives a stop signal that the program does not handle itself.
  *
- * The fleet's processes stand in process groups of their own, so neither Ctrl-C nor the death of the launcher ends
- * them; an experiment broken off would leave daemons that hold ports, memory and processor. A program that handles the
- * signals itself, as the demo does, is left alone.
+ * The processes of a fleet are in separate process groups, so neither Ctrl-C nor the exit of the launcher ends them. An
+ * interrupted experiment would leave daemons running that occupy ports, memory and processor time. Signals that the
+ * program handles itself, as the demo does, are not affected.
  */
 import { constants } from "node:os";
 
 const STOP_SIGNALS = ["SIGINT", "SIGTERM", "SIGHUP"] as const;
-/** Shells report the end by signal number n as this plus n. */
+/** Shells report the termination by signal number n as an exit code of this value plus n. */
 const SIGNAL_EXIT_BASE = 128;
 
-/** Returns a function that takes the guard off again. */
-export const guardAgainstSignals = (stop: () => Promise<void>): (() => void) => {
-    const guarded = STOP_SIGNALS.filter((name) => process.listenerCount(name) === 0);
+/** Installs handlers that call `stop` and then exit. Returns a function that removes the handlers. */
+export const installSignalHandlers = (stop: () => Promise<void>): (() => void) => {
+    const handledSignals = STOP_SIGNALS.filter((name) => process.listenerCount(name) === 0);
 
     const onSignal = (name: NodeJS.Signals): void => {
         const exit = (): void => process.exit(SIGNAL_EXIT_BASE + constants.signals[name]);
         stop().then(exit, exit);
     };
-    guarded.forEach((name) => process.on(name, onSignal));
+    handledSignals.forEach((name) => process.on(name, onSignal));
     return () => {
-        guarded.forEach((name) => process.off(name, onSignal));
+        handledSignals.forEach((name) => process.off(name, onSignal));
     };
 };
--- a/packages/oleandergap-demo/src/process/stopSignals.ts
+++ b/packages/oleandergap-demo/src/process/stopSignals.ts
@@ -1,19 +1,19 @@
-/** Turns the signals that ask a program to stop into an abort signal. */
+/** Converts stop signals of the process into an abort signal. */
 
 const STOP_SIGNALS = ["SIGINT", "SIGTERM", "SIGHUP"] as const;
 
-/** A watch over SIGINT, SIGTERM and SIGHUP. */
+/** Handle of the handlers for SIGINT, SIGTERM and SIGHUP. */
 export interface StopSignals {
-    /** Aborts with the first signal. */
+    /** Aborts on the first stop signal. */
     readonly signal: AbortSignal;
-    /** Gives the signals their usual effect back. */
+    /** Removes the handlers, which restores the default effect of the signals. */
     readonly release: () => void;
 }
 
 /**
- * Ctrl-C reaches this program from the terminal and, a moment later, once more from npm. A second signal must not
- * break off the orderly stop, or processes would be left behind; so all but the first are ignored. The stop has time
- * limits of its own.
+ * Installs the handlers. This program receives Ctrl-C from the terminal and shortly afterwards again from npm. A second
+ * signal must not interrupt the orderly stop, or processes would be left running, so all signals after the first are
+ * ignored. The stop has separate time limits.
  */
 export const watchStopSignals = (): StopSignals => {
     const stop = new AbortController();
--- a/packages/oleandergap-demo/src/report/describeFleet.ts
+++ b/packages/oleandergap-demo/src/report/describeFleet.ts
@@ -1,14 +1,14 @@
-/** Tells people what listens where, and what to try. */
+/** Describes the addresses of a running fleet and example commands for users. */
 import { formatAccessOptions } from "../fleet/commandLine.js";
 import type { Fleet } from "../fleet/fleet.js";
 import type { FleetPlan, VmPlan } from "../plan/fleetPlan.js";
 
 const COLUMN_GAP = "  ";
 
-/** Left-aligned columns. */
+/** Formats rows as a table with left-aligned columns. */
 const formatTable = (rows: readonly (readonly string[])[]): string => {
     const widths = rows.reduce<readonly number[]>(
-        (known, row) => row.map((cell, column) => Math.max(known[column] ?? 0, cell.length)),
+        (currentWidths, row) => row.map((cell, column) => Math.max(currentWidths[column] ?? 0, cell.length)),
         [],
     );
     return rows
@@ -26,7 +26,7 @@
 
 const HEADINGS = ["node", "requests", "operators", "metrics", "target"];
 
-const describeTry = (fleet: Fleet): readonly string[] => {
+const describeExamples = (fleet: Fleet): readonly string[] => {
     const { plan } = fleet;
     const [vm] = plan.vms;
     const [partner] = plan.partners;
@@ -37,17 +37,17 @@
     const platform = `http://${plan.platform.address}:${plan.ports.platform}/control`;
     const access = formatAccessOptions(fleet, partner.partner, vm.id).join(" ");
     return [
-        "A request, as a caller sends it:",
+        "Send a request as a caller:",
         `  curl -i -H 'Host: ${service.service}.${partner.partner}' http://${vm.address}:${plan.ports.gateway}/`,
-        "The table, as an operator sees it:",
+        "Read the table as an operator:",
         `  node packages/oleandergap-cli/lib/main.js ${access} get`,
-        "A platform that comes back from an older copy; change something between the two:",
+        "Restore the platform from an older copy; make a change between the two commands:",
         `  curl -X POST ${platform}/copy`,
         `  curl -X POST ${platform}/restore`,
     ];
 };
 
-/** Several lines, without a line end. */
+/** Returns the description as several lines without a trailing line break. */
 export const describeFleet = (fleet: Fleet): string => {
     const { plan } = fleet;
     return [
@@ -56,8 +56,8 @@
         `Platform stand-in: ${plan.platform.address}:${plan.ports.platform}`,
         `Settings, credentials and logs: ${fleet.folder}`,
         "",
-        ...describeTry(fleet),
+        ...describeExamples(fleet),
         "",
-        "Ctrl-C stops everything.",
+        "Ctrl-C stops all processes.",
     ].join("\n");
 };
