--- a/packages/oleandergap-demo/src/__tests__/fleet.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleet.test.ts
@@ -15,7 +15,7 @@
 import { STEP_TIMEOUT, TIME_LIMIT, choosePortBase } from "./fleetProbes.js";
 
 /** Returns the ids of the processes whose command line contains `text`. */
-const listProcesses = async (text: string): Promise<readonly string[]> => {
+const listProcessIds = async (text: string): Promise<readonly string[]> => {
     const ids = (await readdir("/proc")).filter((name) => /^[0-9]+$/.test(name));
     const lines = await Promise.all(ids.map(async (id) => ({
         id,
@@ -125,6 +125,6 @@
         expect(await exited).to.deep.equal([0, null]);
         expect(folder).to.not.equal("");
         expect(existsSync(folder)).to.equal(false);
-        expect(await listProcesses(folder)).to.deep.equal([]);
+        expect(await listProcessIds(folder)).to.deep.equal([]);
     }).timeout(TIME_LIMIT);
 });
--- a/packages/oleandergap-demo/src/__tests__/fleetCrashes.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetCrashes.test.ts
@@ -86,14 +86,14 @@
 
     for (const method of ["GET", "POST"] as const) {
         it(`runs at most three more times after the third crash, without containing popular reads (${method})`, async () => {
-            const end = new AbortController();
-            const popularReads = readPopular(end.signal);
+            const popularReadsEnd = new AbortController();
+            const popularReads = readPopular(popularReadsEnd.signal);
             await sendUntilThirdCrash(method);
             await sleep(PROPAGATION_MS);
             const runsBefore = await countRuns();
             const results = [...await sendThroughAllNodes(method), ...await sendThroughAllNodes(method)];
             const runsAfter = await countRuns() - runsBefore;
-            end.abort();
+            popularReadsEnd.abort();
             const reasons = (await popularReads).map(getReason);
 
             expect(runsAfter, JSON.stringify(results)).to.be.at.most(MAX_LATE_RUNS);
@@ -103,14 +103,14 @@
 
     it("runs at most three more times through a node that starts after the third crash", async () => {
         await sendUntilThirdCrash("GET");
-        const restarted: NodeId = fleet.nodes[0]?.vm.id ?? "";
-        await fleet.node(restarted).kill();
-        await fleet.node(restarted).start();
+        const restartedNode: NodeId = fleet.nodes[0]?.vm.id ?? "";
+        await fleet.node(restartedNode).kill();
+        await fleet.node(restartedNode).start();
         await fleet.waitUntilReady();
         await sleep(PROPAGATION_MS);
         const runsBefore = await countRuns();
         for (let count = 0; count < 2 * MAX_LATE_RUNS; count++) {
-            await caller.call(findGateway(fleet, restarted), createCrashRequest("GET"));
+            await caller.call(findGateway(fleet, restartedNode), createCrashRequest("GET"));
             await sleep(SEND_INTERVAL_MS);
         }
 
--- a/packages/oleandergap-demo/src/__tests__/fleetProbes.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetProbes.ts
@@ -54,7 +54,7 @@
 });
 
 /** Returns the sequence from a version in the form `partner:sequence`. */
-export const parseVersion = (version: string | undefined): Sequence => Number(version?.split(":").at(-1));
+export const parseSequence = (version: string | undefined): Sequence => Number(version?.split(":").at(-1));
 
 /** Sends new read requests until one is answered. */
 export const readUntilAnswered = (
--- a/packages/oleandergap-demo/src/__tests__/fleetRequests.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetRequests.test.ts
@@ -106,8 +106,9 @@
 
     it("runs a keyed request once if its holder freezes and other nodes take over, and replays the response", async () => {
         // Guards against a second run at another target, and against a late response that reaches the wrong caller. The
-        // node freezes with a keyed request and reads in flight, which are repeated through other gateways. A frozen
-        // node looks like a dead one, and when it resumes it continues and sends its late responses.
+        // node freezes with a keyed request and reads in flight; the key is retried through other gateways, and the
+        // reads run at another target. A frozen node looks like a dead one, and when it resumes it sends its late
+        // responses.
         await setTargetFaults({ slowByMs: SLOW_MS });
         const { firstResult, holder } = await startKeyedRun("frozen-holder");
         const gatewayWithoutTarget = findGateway(fleet, NODE_WITHOUT_TARGET);
--- a/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
@@ -11,7 +11,7 @@
     acceptChange,
     acceptWithRetries,
     choosePortBase,
-    parseVersion,
+    parseSequence,
     readActiveVersion,
     readUntilAnswered,
     restoreFleet,
@@ -67,7 +67,7 @@
     const observeVersions = async (partner: PartnerName, nodeId: NodeId): Promise<readonly Sequence[]> => {
         const reported = await readActiveVersion(fleet, partner, nodeId);
         const answer = await readUntilAnswered(fleet, caller, { partner, service: SERVICE }, nodeId);
-        return [...reported === undefined ? [] : [reported], parseVersion(answer.version)];
+        return [...reported === undefined ? [] : [reported], parseSequence(answer.version)];
     };
 
     /** Polls all nodes until each serves from `newest`. Returns the observed versions per node, in order. */
@@ -92,19 +92,22 @@
         // Guards against a resumed node that serves or gossips an old version, or stays outdated until the platform
         // recovers. While a node is frozen, the others apply two versions that are too large for a datagram, and the
         // platform goes down. The node resumes with its old version, and only its peers can send it the missed ones.
-        const [entry = "", , frozenNode = ""] = halloway;
+        const [entryNode = "", , frozenNode = ""] = halloway;
         const otherNodes = [...halloway, ...kushiro].filter((nodeId) => nodeId !== frozenNode);
         const versionBefore = await readActiveVersion(fleet, "halloway", frozenNode) ?? 0;
 
         fleet.node(frozenNode).freeze();
-        await acceptChange(fleet, "halloway", createLargeChange("frozen-change-1", 1), entry);
-        const newest = await acceptChange(fleet, "halloway", createLargeChange("frozen-change-2", 2), entry);
+        await acceptChange(fleet, "halloway", createLargeChange("frozen-change-1", 1), entryNode);
+        const newest = await acceptChange(fleet, "halloway", createLargeChange("frozen-change-2", 2), entryNode);
         await waitUntilActive(fleet, "halloway", newest, otherNodes);
         await fleet.platform.setFaults({ outage: "refuse" });
         fleet.node(frozenNode).resume();
-        const all = [...otherNodes, frozenNode];
+        const allNodes = [...otherNodes, frozenNode];
         // The second round of observations detects a node that returned to an older version after the first.
-        const observations = [await observeVersionsUntil("halloway", newest, all), await observeVersionsUntil("halloway", newest, all)];
+        const observations = [
+            await observeVersionsUntil("halloway", newest, allNodes),
+            await observeVersionsUntil("halloway", newest, allNodes),
+        ];
         await fleet.platform.setFaults({});
 
         const observationsText = JSON.stringify(observations.map((versionsByNode) => [...versionsByNode]));
@@ -124,32 +127,33 @@
         for (const partner of PARTNERS) {
             const change = { changeId: "cut-off-zone", edits: [{ cell: formatWeightCell(partner), value: 75 }] };
             const newest = await acceptChange(fleet, partner, change, halloway[0] ?? "");
-            const seen = await observeVersionsUntil(partner, newest, kushiro);
-            expect([...seen.values()].every(isSorted), JSON.stringify([...seen])).to.equal(true);
+            const observedVersions = await observeVersionsUntil(partner, newest, kushiro);
+            expect([...observedVersions.values()].every(isSorted), JSON.stringify([...observedVersions]))
+                .to.equal(true);
         }
     }).timeout(TIME_LIMIT);
 
     it("returns to no older version after a restore of the platform, and continues after the lost version", async () => {
-        const all = [...halloway, ...kushiro];
-        const [entry = ""] = halloway;
+        const allNodes = [...halloway, ...kushiro];
+        const [entryNode = ""] = halloway;
         const accept = (value: number): Promise<Sequence> => {
             const edits = [{ cell: formatWeightCell("halloway"), value }];
-            return acceptChange(fleet, "halloway", { changeId: `restored-${value}`, edits }, entry);
+            return acceptChange(fleet, "halloway", { changeId: `restored-${value}`, edits }, entryNode);
         };
         const keptVersion = await accept(61);
-        await waitUntilActive(fleet, "halloway", keptVersion, all);
+        await waitUntilActive(fleet, "halloway", keptVersion, allNodes);
         await fleet.platform.takeCopy();
         const lostVersion = await accept(62);
-        await waitUntilActive(fleet, "halloway", lostVersion, all);
+        await waitUntilActive(fleet, "halloway", lostVersion, allNodes);
         await fleet.platform.setFaults({ outage: "reset" });
         await fleet.platform.restore();
         await fleet.platform.setFaults({});
-        const afterRestore = await observeVersionsUntil("halloway", lostVersion, all);
+        const afterRestore = await observeVersionsUntil("halloway", lostVersion, allNodes);
 
         const nextVersion = await accept(63);
-        const afterNextChange = await observeVersionsUntil("halloway", nextVersion, all);
+        const afterNextChange = await observeVersionsUntil("halloway", nextVersion, allNodes);
         expect(nextVersion).to.equal(lostVersion + 1);
-        for (const nodeId of all) {
+        for (const nodeId of allNodes) {
             const versions = [lostVersion, ...afterRestore.get(nodeId) ?? [], ...afterNextChange.get(nodeId) ?? []];
             expect(isSorted(versions), `${nodeId}: ${versions.join()}`).to.equal(true);
         }
@@ -200,10 +204,10 @@
         const refused: string[] = [];
         const killedNodes = halloway.slice(0, 2);
 
-        const all = [...halloway, ...kushiro];
+        const allNodes = [...halloway, ...kushiro];
 
         const write = async (partner: PartnerName, writer: number): Promise<void> => {
-            const entries = [...all.slice(writer), ...all.slice(0, writer)];
+            const entries = [...allNodes.slice(writer), ...allNodes.slice(0, writer)];
             for (let turn = 0; turn < CHANGES_PER_WRITER; turn++) {
                 const changeId = `race-${partner}-${writer}-${turn}`;
                 const edits = [{ cell, value: 100 + WRITERS_PER_PARTNER * turn + writer }];
@@ -234,18 +238,19 @@
         for (const partner of PARTNERS) {
             const audit = await fleet.operatorClient(partner).listAudit({ limit: 100 })();
             const entries = either.isRight(audit) ? audit.right.entries : [];
-            const raced = entries.filter(({ changeId }) => changeId.startsWith("race-")).reverse();
+            const raceEntries = entries.filter(({ changeId }) => changeId.startsWith("race-")).reverse();
             const accepted = acceptedChanges.get(partner) ?? [];
             const bySequence = [...accepted].sort((left, right) => left.sequence - right.sequence);
-            expect(raced.map(({ changeId, sequence }) => ({ changeId, sequence }))).to.deep.equal(bySequence);
+            expect(raceEntries.map(({ changeId, sequence }) => ({ changeId, sequence }))).to.deep.equal(bySequence);
             const start = firstVersions.get(partner) ?? 0;
-            expect(raced.map(({ sequence }) => sequence)).to.deep.equal(raced.map((_, index) => start + 1 + index));
+            expect(raceEntries.map(({ sequence }) => sequence))
+                .to.deep.equal(raceEntries.map((_, index) => start + 1 + index));
 
-            const steps = raced.flatMap(({ changes }) => changes);
+            const steps = raceEntries.flatMap(({ changes }) => changes);
             const after: readonly (CellValue | undefined)[] = steps.map((step) => step.after);
             expect(steps.slice(1).map((step) => step.before)).to.deep.equal(after.slice(0, -1));
-            await waitUntilActive(fleet, partner, start + raced.length, all);
-            for (const nodeId of all) {
+            await waitUntilActive(fleet, partner, start + raceEntries.length, allNodes);
+            for (const nodeId of allNodes) {
                 const table = await fleet.operatorClient(partner, nodeId).getTable({ source: "inForce" })();
                 expect(either.isRight(table) ? table.right.cells[cell] : table.left).to.equal(after.at(-1));
             }
--- a/packages/oleandergap-demo/src/check/followChange.ts
+++ b/packages/oleandergap-demo/src/check/followChange.ts
@@ -49,9 +49,9 @@
         throw new Error("no node is running");
     }
     const cell = `${name}.weights.${zone}`;
-    const words = ["set", `${cell}=${after}`, "--expect", `${cell}=${before}`];
-    report(`${partner} at ${entryNode.vm.id}: oleandergap ${words.join(" ")}`);
-    const outcome = await runCommand(fleet, { partner, nodeId: entryNode.vm.id, commandArguments: words });
+    const commandArguments = ["set", `${cell}=${after}`, "--expect", `${cell}=${before}`];
+    report(`${partner} at ${entryNode.vm.id}: oleandergap ${commandArguments.join(" ")}`);
+    const outcome = await runCommand(fleet, { partner, nodeId: entryNode.vm.id, commandArguments });
     return changeOutcomeSchema.parse(outcome).sequence;
 };
 
--- a/packages/oleandergap-demo/src/check/serveServices.ts
+++ b/packages/oleandergap-demo/src/check/serveServices.ts
@@ -17,7 +17,7 @@
 /** Maximum number of retries after refusals. */
 const MAX_RETRIES = 10;
 const MAX_CONCURRENT_REQUESTS = 8;
-/** Retry delay after a refusal that contains none. */
+/** Retry delay after a refusal that does not specify one. */
 const DEFAULT_RETRY_AFTER: Milliseconds = 500;
 
 interface SentCall {
@@ -25,7 +25,7 @@
     readonly result: CallResult;
 }
 
-const callAnyGateway = async (
+const callRandomGateway = async (
     { fleet, caller, random }: CheckContext,
     service: ServedService,
     runKey: string,
@@ -49,7 +49,7 @@
     let attempts = 0;
     let lastResult = "not queried yet";
     const probe = async (): Promise<CallResult | undefined> => {
-        const call = await callAnyGateway(context, service, formatRunKey(service, "first", attempts++));
+        const call = await callRandomGateway(context, service, formatRunKey(service, "first", attempts++));
         const { result } = call;
         lastResult = describeCall(call);
         if (result.kind === "Wrong") {
@@ -65,7 +65,7 @@
     );
 };
 
-/** Waits for one answered request per service. Rejects if a service does not answer in time. */
+/** Sends requests to each service until one is answered. Rejects if a service does not answer in time. */
 export const checkEveryService = async (context: CheckContext): Promise<void> => {
     for (const service of listServedServices(context.fleet)) {
         const result = await waitUntilServed(context, service);
@@ -91,7 +91,7 @@
     service: ServedService,
     runKey: string,
 ): Promise<{ readonly call: SentCall; readonly retries: number }> => {
-    let call = await callAnyGateway(context, service, runKey);
+    let call = await callRandomGateway(context, service, runKey);
     let retries = 0;
     while (isRetryable(call) && retries < MAX_RETRIES && call.result.kind === "Refused") {
         retries += 1;
--- a/packages/oleandergap-demo/src/fleet/seedPlatform.ts
+++ b/packages/oleandergap-demo/src/fleet/seedPlatform.ts
@@ -14,8 +14,8 @@
 import type { FleetFiles } from "./fleetFiles.js";
 
 /**
- * Accepts one change, with retries. A large first table exceeds the partner's change budget, so the next change must
- * wait.
+ * Submits one change and retries it while the partner's change budget is exceeded. A large first table needs more than
+ * the budget permits at once.
  */
 const acceptWithRetries = async (
     changeService: ChangeService,
--- a/packages/oleandergap-demo/src/fleet/startFleet.ts
+++ b/packages/oleandergap-demo/src/fleet/startFleet.ts
@@ -36,12 +36,12 @@
 
 /** Starting processes are CPU-bound, so more concurrent starts would only slow down each of them. */
 const MAX_CONCURRENT_STARTS = 8;
-/** Shorter than the stop of a single node, because no caller waits for requests when the whole fleet stops. */
+/** Shorter than the stop timeout of a single node, because no caller waits for requests when the whole fleet stops. */
 const STOP_TIMEOUT: Milliseconds = 15_000;
 const OPERATOR_TIMEOUT: Milliseconds = 10_000;
 const FLEET_KEY_BYTES = 32;
 
-const targetsReadySchema = z.object({ controlPort: z.number() });
+const targetsReadyLineSchema = z.object({ controlPort: z.number() });
 
 /** Resources of a starting fleet, which are released if the start fails. */
 interface LaunchContext {
@@ -88,12 +88,12 @@
     return nodes;
 };
 
-interface Targets {
+interface RunningTargets {
     readonly child: Child;
     readonly control: TargetsControl;
 }
 
-const startTargets = async ({ plan, files, processes }: LaunchContext): Promise<Targets> => {
+const startTargets = async ({ plan, files, processes }: LaunchContext): Promise<RunningTargets> => {
     const planFile = await files.writeJson("targets", createTargetsPlan(plan));
     const child = await processes.start({
         name: "target stand-ins",
@@ -102,15 +102,15 @@
         logFile: files.logFile("targets"),
         awaitReadyLine: true,
     });
-    const { controlPort } = targetsReadySchema.parse(JSON.parse(child.readyLine ?? ""));
+    const { controlPort } = targetsReadyLineSchema.parse(JSON.parse(child.readyLine ?? ""));
     return { child, control: createTargetsControl(`http://${plan.platform.address}:${controlPort}`) };
 };
 
-/** Started components, which are needed to stop the fleet. */
+/** Started components of the fleet, which must be stopped at the end. */
 interface StartedFleet {
     readonly platform: Child;
     readonly nodes: readonly FleetNode[];
-    readonly targets: Targets;
+    readonly targets: RunningTargets;
     readonly access: readonly OperatorAccess[];
 }
 
@@ -129,7 +129,7 @@
     return { platform, nodes, targets, access };
 };
 
-const stopInOrder = async ({ targets, nodes, platform }: StartedFleet): Promise<void> => {
+const stopStartedFleet = async ({ targets, nodes, platform }: StartedFleet): Promise<void> => {
     await Promise.all([targets.child.stop(STOP_TIMEOUT), ...nodes.map((node) => node.stop(STOP_TIMEOUT))]);
     await platform.stop(STOP_TIMEOUT);
 };
@@ -213,7 +213,7 @@
     const stop = runOnce(async () => {
         context.lifetime.abort(options.signal?.aborted === true ? options.signal.reason : new Error("the fleet was stopped"));
         if (started !== undefined) {
-            await stopInOrder(started);
+            await stopStartedFleet(started);
         }
         await context.processes.close();
         if (options.keepFiles !== true) {
--- a/packages/oleandergap-demo/src/plan/deployments.ts
+++ b/packages/oleandergap-demo/src/plan/deployments.ts
@@ -63,7 +63,7 @@
     ],
 };
 
-const toPartnerPlan = ({ partner, operator, zones, slots, services }: Deployment): PartnerPlan => ({
+const createPartnerPlan = ({ partner, operator, zones, slots, services }: Deployment): PartnerPlan => ({
     partner,
     operator,
     zones,
@@ -76,15 +76,15 @@
     })),
 });
 
-const placeTargets = ({ partner, zones, slots, connections, services }: Deployment): readonly PlacedTarget[] =>
+const distributeTargets = ({ partner, zones, slots, connections, services }: Deployment): readonly PlacedTarget[] =>
     services.flatMap(({ service, count }) =>
         distributeOverZones({ partner, service, slots, connections }, count, zones));
 
 const createDeploymentPlan = (deployments: readonly Deployment[], portBase: number | undefined): FleetPlan => {
     const zones = deployments.flatMap((deployment) => deployment.zones);
     return {
-        partners: deployments.map(toPartnerPlan),
-        vms: placeOnVms(zones, deployments.flatMap(placeTargets)),
+        partners: deployments.map(createPartnerPlan),
+        vms: placeOnVms(zones, deployments.flatMap(distributeTargets)),
         ports: createPortPlan(portBase),
         platform: createPlatformPlan(zones),
     };
--- a/packages/oleandergap-demo/src/plan/generatedPlan.ts
+++ b/packages/oleandergap-demo/src/plan/generatedPlan.ts
@@ -35,7 +35,7 @@
 const PARTNERS: readonly PartnerName[] = ["halloway", "kushiro"];
 const IDEMPOTENCY_CYCLE = ["optional", "required"] as const;
 
-const nameServices = (count: number): readonly ServiceName[] =>
+const createServiceNames = (count: number): readonly ServiceName[] =>
     Array.from({ length: count }, (_, index) => `service-${index + 1}`);
 
 const createPartner = (
@@ -73,7 +73,8 @@
         const zones = Array.from({ length: zonesPerPartner }, (_, zone) => `${partner}-${zone + 1}`);
         const nodeCount = countNodes(nodes, index);
         const servedServiceCount = Math.max(1, Math.ceil(nodeCount / targetsPerService));
-        const services = nameServices(Math.max(servedServiceCount, options.servicesPerPartner ?? servedServiceCount));
+        const services =
+            createServiceNames(Math.max(servedServiceCount, options.servicesPerPartner ?? servedServiceCount));
         const placedTargets = Array.from({ length: nodeCount }, (_, node) => {
             const service = services[Math.floor(node / targetsPerService)] ?? "";
             const target = {
--- a/packages/oleandergap-demo/src/process/processGroup.ts
+++ b/packages/oleandergap-demo/src/process/processGroup.ts
@@ -6,7 +6,7 @@
     readonly start: (options: ChildOptions) => Promise<Child>;
     /** Returns the running processes. */
     readonly running: () => readonly Child[];
-    /** Refuses new starts and kills all running processes. */
+    /** Refuses new starts, then kills all processes that are still running. */
     readonly close: () => Promise<void>;
 }
 
--- a/packages/oleandergap-demo/src/process/processUsage.ts
+++ b/packages/oleandergap-demo/src/process/processUsage.ts
@@ -2,7 +2,7 @@
 import { readFile } from "node:fs/promises";
 import type { Milliseconds } from "oleandergap-types";
 
-/** Resource usage at one point in time. The difference of two values is the processor time between them. */
+/** Resource usage at one point in time. The difference of two `cpuMs` values is the processor time used in between. */
 export interface ProcessUsage {
     readonly name: string;
     readonly pid: number;
--- a/packages/oleandergap-standins/src/caller/__tests__/caller.test.ts
+++ b/packages/oleandergap-standins/src/caller/__tests__/caller.test.ts
@@ -65,10 +65,10 @@
             const recorder = createLatencyRecorder();
             values.forEach(recorder.record);
             const { p99Ms, maxMs } = recorder.summarise();
-            const valuesUpTo = values.filter((value) => value <= p99Ms).length;
-            const valuesBelow = values.filter((value) => value < p99Ms).length;
-            expect(valuesUpTo).to.be.at.least(values.length * 0.99);
-            expect(valuesBelow).to.be.below(values.length * 0.99);
+            const countUpTo = values.filter((value) => value <= p99Ms).length;
+            const countBelow = values.filter((value) => value < p99Ms).length;
+            expect(countUpTo).to.be.at.least(values.length * 0.99);
+            expect(countBelow).to.be.below(values.length * 0.99);
             expect(maxMs).to.equal(Math.max(...values));
         }));
     });
--- a/packages/oleandergap-standins/src/platform/__tests__/platformStandIn.test.ts
+++ b/packages/oleandergap-standins/src/platform/__tests__/platformStandIn.test.ts
@@ -19,7 +19,7 @@
 const createPut = (key: string, value: unknown): unknown =>
     ({ operations: [{ kind: "Put", key, condition: { kind: "Any" }, value }] });
 
-const failsToConnect = (call: Promise<unknown>): Promise<boolean> => call.then(() => false, () => true);
+const isRejected = (call: Promise<unknown>): Promise<boolean> => call.then(() => false, () => true);
 
 describe("startPlatformStandIn", () => {
     let platform: PlatformStandIn;
@@ -51,7 +51,7 @@
         // tests against this fault would prove nothing.
         platform.setFaults({ loseAnswersShare: 1 });
 
-        expect(await failsToConnect(post(platform.port, "/table/transact", createPut("a", 1)))).to.equal(true);
+        expect(await isRejected(post(platform.port, "/table/transact", createPut("a", 1)))).to.equal(true);
         expect(platform.state.table.read(["a"])).to.have.length(1);
         expect(platform.counters()).to.include({ writes: 1, answersLost: 1 });
     });
@@ -60,7 +60,7 @@
         platform.setFaults({ outage: "refuse" });
         expect(await post(platform.port, "/table/transact", createPut("a", 1))).to.include({ status: 503, retryAfter: "1" });
         platform.setFaults({ outage: "reset" });
-        expect(await failsToConnect(post(platform.port, "/table/transact", createPut("a", 1)))).to.equal(true);
+        expect(await isRejected(post(platform.port, "/table/transact", createPut("a", 1)))).to.equal(true);
 
         expect(platform.state.table.size()).to.equal(0);
         expect(platform.counters()).to.include({ writes: 0, refused: 2 });
@@ -128,7 +128,7 @@
         const [first = 0, second = 0] = platform.entrances.map((entrance) => entrance.port);
         platform.setFaults({ cutEntrances: ["hall-a"] });
 
-        expect(await failsToConnect(post(first, "/table/read", { keys: ["a"] }))).to.equal(true);
+        expect(await isRejected(post(first, "/table/read", { keys: ["a"] }))).to.equal(true);
         expect(await post(second, "/table/read", { keys: ["a"] })).to.include({ status: 200 });
         expect(platform.counters().byCaller["hall-b"]).to.include({ reads: 1 });
         await platform.stop();
--- a/packages/oleandergap-standins/src/target/options.ts
+++ b/packages/oleandergap-standins/src/target/options.ts
@@ -15,7 +15,9 @@
     spread: z.number().min(0).max(3).default(0.3),
 });
 
-/** Factor by which a target is slower after its start. It decreases linearly to 1 over `durationMs`. */
+/**
+ * Slowdown after the start of a target: a factor on the service time that decreases linearly to 1 over `durationMs`.
+ */
 export const coldStartSchema = z.strictObject({
     factor: z.number().min(1).default(4),
     durationMs: millisecondsSchema.default(2000),
--- a/packages/oleandergap-standins/src/target/targetControl.ts
+++ b/packages/oleandergap-standins/src/target/targetControl.ts
@@ -5,7 +5,7 @@
  * - `GET /control/runs`: returns the runs per key of all targets of the process;
  * - `GET /control/targets`: returns all targets with their counters;
  * - `PUT /control/targets/<id>/faults`: replaces the faults of the target;
- * - `POST /control/targets/<id>/{leave,stop,crash,restart,silence}`.
+ * - `POST /control/targets/<id>/{leave,stop,crash,restart,silence}`: runs the action of the same name on the target.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { describeInputError } from "../http/describeInputError.js";
--- a/packages/oleandergap-standins/src/target/targetStandIn.ts
+++ b/packages/oleandergap-standins/src/target/targetStandIn.ts
@@ -41,7 +41,7 @@
     readonly stop: () => Promise<void>;
     /** Stops immediately and resets all connections, without informing the node. */
     readonly crash: () => Promise<void>;
-    /** Stops in the same way and restarts after the `crashDownMs` of its faults. */
+    /** Stops like `crash` and restarts after the `crashDownMs` of its faults. */
     readonly restart: () => void;
 }
 
