--- a/packages/oleandergap-demo/src/__tests__/fleetProbes.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetProbes.ts
@@ -65,7 +65,11 @@
 ): Promise<Extract<CallResult, { readonly kind: "Answered" }>> => {
     let count = 0;
     let lastResult = "";
-    const waitOptions = { description: `${nodeId} serves ${service.service}`, timeoutMs: STEP_TIMEOUT, signal: fleet.signal };
+    const waitOptions = {
+        description: `${nodeId} serves ${service.service}`,
+        timeoutMs: STEP_TIMEOUT,
+        signal: fleet.signal,
+    };
     return waitForValue(waitOptions, async () => {
         count += 1;
         const result = await caller.call(findGateway(fleet, nodeId), createRead(service, `${nodeId}-${count}`));
@@ -110,7 +114,11 @@
 ): Promise<either.Either<OperatorError, ChangeOutcomeView>> => {
     let lastOutcome = "";
     let count = 0;
-    const waitOptions = { description: `change ${change.changeId} has an outcome`, timeoutMs: STEP_TIMEOUT, signal: fleet.signal };
+    const waitOptions = {
+        description: `change ${change.changeId} has an outcome`,
+        timeoutMs: STEP_TIMEOUT,
+        signal: fleet.signal,
+    };
     return waitForValue(waitOptions, async () => {
         const entryNode = entryNodes[count % entryNodes.length];
         count += 1;
--- a/packages/oleandergap-demo/src/__tests__/fleetRequests.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetRequests.test.ts
@@ -67,16 +67,16 @@
     const countInFlight = async (id: NodeId): Promise<number> =>
         (await fleet.targets.targets()).find((target) => target.id === id)?.counters.inFlight ?? 0;
 
-    interface KeyedRun { readonly firstResult: Promise<CallResult>; readonly holder: NodeId }
+    interface KeyedRun { readonly pendingResult: Promise<CallResult>; readonly holder: NodeId }
 
     /** Sends a keyed request through the gateway without a target, and determines which target runs it. */
     const startKeyedRun = async (key: string): Promise<KeyedRun> => {
         // The deadline must not pass while the holder is frozen, or there would be no response to replay.
-        const firstResult =
+        const pendingResult =
             caller.call(findGateway(fleet, NODE_WITHOUT_TARGET), createKeyedPost(SERVICE, key, STEP_TIMEOUT));
         await waitUntil(fleet, `${key} runs`, async () => await countRuns(key) === 1);
         const inFlightCounts = await Promise.all(SERVING_NODES.map(countInFlight));
-        return { firstResult, holder: SERVING_NODES[inFlightCounts.indexOf(1)] ?? "" };
+        return { pendingResult: pendingResult, holder: SERVING_NODES[inFlightCounts.indexOf(1)] ?? "" };
     };
 
     /** Sends a request with the same key through all gateways but that of the holder. */
@@ -90,17 +90,17 @@
         // receives the retries before and after the restart, has no information about the run.
         await setTargetFaults({ hangShare: 1 });
         await fleet.platform.setFaults({ loseAnswersShare: 0.3 });
-        const { firstResult, holder } = await startKeyedRun("killed-holder");
+        const { pendingResult, holder } = await startKeyedRun("killed-holder");
         await fleet.node(holder).kill();
-        const firstOutcome = await firstResult;
+        const firstResult = await pendingResult;
         const results = [...await retryThroughOtherGateways("killed-holder", holder)];
         await fleet.node(holder).start();
         await fleet.waitUntilReady();
         results.push(...await retryThroughOtherGateways("killed-holder", holder));
 
-        const resultsText = JSON.stringify([firstOutcome, ...results]);
+        const resultsText = JSON.stringify([firstResult, ...results]);
         expect(await countRuns("killed-holder"), resultsText).to.equal(1);
-        expect(isNotRun(firstOutcome), resultsText).to.equal(false);
+        expect(isNotRun(firstResult), resultsText).to.equal(false);
         expect(results.some(({ kind }) => kind === "Answered" || kind === "Wrong"), resultsText).to.equal(false);
     }).timeout(TIME_LIMIT);
 
@@ -110,15 +110,16 @@
         // reads run at another target. A frozen node looks like a dead one, and when it resumes it sends its late
         // responses.
         await setTargetFaults({ slowByMs: SLOW_MS });
-        const { firstResult, holder } = await startKeyedRun("frozen-holder");
+        const { pendingResult, holder } = await startKeyedRun("frozen-holder");
         const gatewayWithoutTarget = findGateway(fleet, NODE_WITHOUT_TARGET);
-        const reads = ["1", "2", "3", "4"].map((name) => caller.call(gatewayWithoutTarget, createRead(SERVICE, `held-${name}`)));
+        const reads = ["1", "2", "3", "4"].map((name) =>
+            caller.call(gatewayWithoutTarget, createRead(SERVICE, `held-${name}`)));
         await waitUntil(fleet, "a read is in flight at the holder", async () => await countInFlight(holder) > 1);
         fleet.node(holder).freeze();
         const retryResults = await retryThroughOtherGateways("frozen-holder", holder);
         const readResults = await Promise.all(reads);
         fleet.node(holder).resume();
-        const lateResult = await firstResult;
+        const lateResult = await pendingResult;
 
         const replayResults: CallResult[] = [];
         await waitUntil(fleet, "the first response is replayed", async () => {
@@ -209,7 +210,8 @@
 
         const resultsText = JSON.stringify([...results, ...finalResults]);
         expect(results.every((result) => result.kind === "Answered" || isNotRun(result)), resultsText).to.equal(true);
-        expect(finalResults.every((result) => result.kind === "Answered" && result.target === silencedTarget), resultsText).to.equal(true);
+        expect(finalResults.every((result) => result.kind === "Answered" && result.target === silencedTarget), resultsText)
+            .to.equal(true);
         const refused = results.filter(({ kind }) => kind !== "Answered");
         expect(await Promise.all(refused.map(({ runKey }) => countRuns(runKey)))).to.deep.equal(refused.map(() => 0));
     }).timeout(TIME_LIMIT);
--- a/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
@@ -66,8 +66,8 @@
     /** Returns the versions of `partner` that a node reports and from which it serves. */
     const observeVersions = async (partner: PartnerName, nodeId: NodeId): Promise<readonly Sequence[]> => {
         const reported = await readActiveVersion(fleet, partner, nodeId);
-        const answer = await readUntilAnswered(fleet, caller, { partner, service: SERVICE }, nodeId);
-        return [...reported === undefined ? [] : [reported], parseSequence(answer.version)];
+        const result = await readUntilAnswered(fleet, caller, { partner, service: SERVICE }, nodeId);
+        return [...reported === undefined ? [] : [reported], parseSequence(result.version)];
     };
 
     /** Polls all nodes until each serves from `newest`. Returns the observed versions per node, in order. */
--- a/packages/oleandergap-demo/src/__tests__/processes.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/processes.test.ts
@@ -34,7 +34,8 @@
     });
 
     it("reports why a process did not start", async () => {
-        const reason = await startScript("broken", FAILING_SCRIPT).then(() => "started", (error: Error) => error.message);
+        const reason = await startScript("broken", FAILING_SCRIPT)
+            .then(() => "started", (error: Error) => error.message);
         expect(reason).to.equal("broken ended with code 3; end of its log:\n  no settings");
     });
 
@@ -52,7 +53,8 @@
 
     it("reports only processes that exit without a stop request", async () => {
         const stoppedChild = await startScript("asked", STUBBORN_SCRIPT);
-        const crashingChild = await startScript("crashing", "console.log(\"ready\"); setTimeout(() => process.exit(4), 10);");
+        const crashingChild =
+            await startScript("crashing", "console.log(\"ready\"); setTimeout(() => process.exit(4), 10);");
         await stoppedChild.stop(0);
         await crashingChild.exited;
         while (reports.length === 0) {
--- a/packages/oleandergap-demo/src/check/followChange.ts
+++ b/packages/oleandergap-demo/src/check/followChange.ts
@@ -96,7 +96,9 @@
     const { targets } = summary;
     const misroutedTargets = targets.filter((target) => fleet.node(target).vm.zone === move.zone);
     if (misroutedTargets.length > 0) {
-        throw new Error(`${partner}/${name}: ${misroutedTargets.length} requests were routed to ${move.zone} despite its weight 0`);
+        throw new Error(
+            `${partner}/${name}: ${misroutedTargets.length} requests were routed to ${move.zone} despite its weight 0`,
+        );
     }
     report(`${partner}/${name}: ${targets.length} requests, none in ${move.zone}${describeRetries(summary)}`);
     await changeWeight(context, move, { before: 0, after: weight });
--- a/packages/oleandergap-demo/src/fleet/fleetNode.ts
+++ b/packages/oleandergap-demo/src/fleet/fleetNode.ts
@@ -95,7 +95,11 @@
                 lastProblem = await fetchProblem(path);
                 return lastProblem === undefined ? true : undefined;
             };
-            await waitForValue({ description: `node ${vm.id} ${description}`, timeoutMs, signal }, probe, () => lastProblem ?? "");
+            await waitForValue(
+                { description: `node ${vm.id} ${description}`, timeoutMs, signal },
+                probe,
+                () => lastProblem ?? "",
+            );
         };
 
     return {
--- a/packages/oleandergap-demo/src/fleet/standInControl.ts
+++ b/packages/oleandergap-demo/src/fleet/standInControl.ts
@@ -35,7 +35,11 @@
 
 const FIRST_ERROR_STATUS = 400;
 
-const sendControlRequest = async (method: "GET" | "PUT" | "POST" | "DELETE", url: string, body?: unknown): Promise<unknown> => {
+const sendControlRequest = async (
+    method: "GET" | "PUT" | "POST" | "DELETE",
+    url: string,
+    body?: unknown,
+): Promise<unknown> => {
     const response = await request(url, { method, ...(body === undefined ? {} : { body: JSON.stringify(body) }) });
     const value = await response.body.json();
     if (response.statusCode >= FIRST_ERROR_STATUS) {
--- a/packages/oleandergap-demo/src/fleet/startFleet.ts
+++ b/packages/oleandergap-demo/src/fleet/startFleet.ts
@@ -211,7 +211,9 @@
     let started: StartedFleet | undefined;
 
     const stop = runOnce(async () => {
-        context.lifetime.abort(options.signal?.aborted === true ? options.signal.reason : new Error("the fleet was stopped"));
+        context.lifetime.abort(
+            options.signal?.aborted === true ? options.signal.reason : new Error("the fleet was stopped"),
+        );
         if (started !== undefined) {
             await stopStartedFleet(started);
         }
--- a/packages/oleandergap-standins/src/caller/__tests__/caller.test.ts
+++ b/packages/oleandergap-standins/src/caller/__tests__/caller.test.ts
@@ -93,7 +93,8 @@
             createRequest: () => createRequest("wills-desk"),
         });
         await clock.advance(2000);
-        resolvers.forEach((resolve) => resolve({ kind: "Failed", runKey: "k1", latencyMs: 1, verdict: "notRun", detail: "x" }));
+        resolvers.forEach((resolve) =>
+            resolve({ kind: "Failed", runKey: "k1", latencyMs: 1, verdict: "notRun", detail: "x" }));
         const report = await run;
 
         expect(report).to.include({ sent: 60, failed: 60 });
--- a/packages/oleandergap-standins/src/platform/__tests__/platformStandIn.test.ts
+++ b/packages/oleandergap-standins/src/platform/__tests__/platformStandIn.test.ts
@@ -86,9 +86,9 @@
 
     it("restores a copy, reports the next era, and assigns versions again", async () => {
         const readEra = async (): Promise<unknown> => {
-            const answer = await request(`http://127.0.0.1:${platform.port}/table/rows/a`);
-            await answer.body.dump();
-            return answer.headers[ERA_HEADER];
+            const response = await request(`http://127.0.0.1:${platform.port}/table/rows/a`);
+            await response.body.dump();
+            return response.headers[ERA_HEADER];
         };
         await post(platform.port, "/table/transact", createPut("a", 1));
         expect(await readEra()).to.equal("0");
--- a/packages/oleandergap-standins/src/target/__tests__/targetStandIn.test.ts
+++ b/packages/oleandergap-standins/src/target/__tests__/targetStandIn.test.ts
@@ -29,7 +29,7 @@
             ...(signal === undefined ? {} : { signal }),
         });
 
-    const finishWork = async (): Promise<void> => {
+    const completeServiceTime = async (): Promise<void> => {
         await clock.advance(100);
     };
 
@@ -54,10 +54,10 @@
     it("returns the received request in its response and counts the run by its key", async () => {
         const sent = send({ "idempotency-key": "k1", "oleandergap-request-id": "r1" });
         await waitUntil(() => target.counters().started === 1);
-        await finishWork();
-        const answer = await sent;
+        await completeServiceTime();
+        const response = await sent;
 
-        expect(await answer.body.json()).to.include({ target: "t1", path: "/file", runKey: "k1", bodyBytes: 4 });
+        expect(await response.body.json()).to.include({ target: "t1", path: "/file", runKey: "k1", bodyBytes: 4 });
         expect(target.runLog.entries()).to.deep.equal([{ key: "k1", runs: 1, requestIds: ["r1"] }]);
     });
 
@@ -65,7 +65,7 @@
         const inFlight = [send(), send()];
         await waitUntil(() => target.counters().started === 2);
         const shed = await send();
-        await finishWork();
+        await completeServiceTime();
         await Promise.all(inFlight);
 
         expect(shed.statusCode).to.equal(503);
@@ -74,9 +74,9 @@
     });
 
     it("refuses a request whose deadline has passed", async () => {
-        const answer = await send({ "oleandergap-timeout-ms": "0" });
+        const response = await send({ "oleandergap-timeout-ms": "0" });
 
-        expect(answer.headers["oleandergap-reason"]).to.equal("DeadlinePassed");
+        expect(response.headers["oleandergap-reason"]).to.equal("DeadlinePassed");
         expect(target.counters()).to.include({ started: 0, expired: 1 });
     });
 
@@ -97,11 +97,11 @@
         target.setFaults({ cutAnswerShare: 1 });
         const sent = send({ "stand-in-answer-padding": "100000" });
         await waitUntil(() => target.counters().started === 1);
-        await finishWork();
-        const answer = await sent;
+        await completeServiceTime();
+        const response = await sent;
 
-        expect(answer.statusCode).to.equal(200);
-        const read = await answer.body.text().then(() => "whole", () => "cut");
+        expect(response.statusCode).to.equal(200);
+        const read = await response.body.text().then(() => "whole", () => "cut");
         expect(read).to.equal("cut");
     });
 
@@ -110,7 +110,7 @@
         // happens if a device between client and target loses the state of an established connection.
         const first = send();
         await waitUntil(() => target.counters().started === 1);
-        await finishWork();
+        await completeServiceTime();
         await (await first).body.text();
         expect(target.silenceConnections()).to.equal(1);
         const silentResult = send().then(() => "answered", () => "gave up");
@@ -118,7 +118,7 @@
 
         const newRequest = request(`http://127.0.0.1:${target.port}/file`, { dispatcher: new Agent() });
         await waitUntil(() => target.counters().started === 2);
-        await finishWork();
+        await completeServiceTime();
         expect((await newRequest).statusCode).to.equal(200);
         expect(target.counters()).to.include({ received: 2 });
         await agent.destroy();
@@ -129,7 +129,7 @@
         target.setFaults({ crashPath: "/file", crashDownMs: 500 });
         const sent = send({ "idempotency-key": "k1" }).then(() => "answered", () => "lost");
         await waitUntil(() => target.counters().started === 1);
-        await finishWork();
+        await completeServiceTime();
 
         expect(await sent).to.equal("lost");
         expect(await send().then(() => "answered", () => "lost")).to.equal("lost");
@@ -137,7 +137,7 @@
         await clock.advance(500);
         const requestAfterRestart = send();
         await waitUntil(() => target.counters().started === 2);
-        await finishWork();
+        await completeServiceTime();
         expect((await requestAfterRestart).statusCode).to.equal(200);
         expect(target.counters().crashes).to.equal(1);
     });
@@ -149,7 +149,7 @@
         readonly leaving: unknown;
     }
 
-    const startAdmin = async (received: ReceivedAnnouncement[]): Promise<Server> => {
+    const startAdminServer = async (received: ReceivedAnnouncement[]): Promise<Server> => {
         const admin = createServer((request, response) => {
             void readJson(request).then((body) => {
                 const leaving: unknown = Reflect.get(body as object, "leaving");
@@ -164,8 +164,8 @@
     it("announces that it is leaving, finishes requests in flight, and only then withdraws", async () => {
         // Guards against a planned stop that cuts off a request in flight: the target closes, or withdraws from the
         // node, before a request that takes long has ended.
-        const heard: ReceivedAnnouncement[] = [];
-        const admin = await startAdmin(heard);
+        const received: ReceivedAnnouncement[] = [];
+        const admin = await startAdminServer(received);
         const clock = createManualClock();
         const target = await startTargetStandIn({
             id: "t1",
@@ -177,26 +177,26 @@
         }, { clock });
         const sent = request(`http://127.0.0.1:${target.port}/file`);
         await waitUntil(() => target.counters().started === 1);
-        let stopped = false;
-        const stopping = target.stop().then(() => {
-            stopped = true;
+        let isStopped = false;
+        const stopPromise = target.stop().then(() => {
+            isStopped = true;
         });
-        await waitUntil(() => heard.some(({ leaving }) => leaving === true));
+        await waitUntil(() => received.some(({ leaving }) => leaving === true));
         for (let step = 0; step < 15; step++) {
             await clock.advance(100);
             await waitOneMillisecond();
         }
-        expect(heard.filter(({ method }) => method === "DELETE")).to.deep.equal([]);
+        expect(received.filter(({ method }) => method === "DELETE")).to.deep.equal([]);
         expect(target.counters().inFlight).to.equal(1);
 
         await clock.advance(500);
         expect((await sent).statusCode).to.equal(200);
-        while (!stopped) {
+        while (!isStopped) {
             await clock.advance(50);
             await waitOneMillisecond();
         }
-        await stopping;
-        expect(heard.at(-1)?.method).to.equal("DELETE");
+        await stopPromise;
+        expect(received.at(-1)?.method).to.equal("DELETE");
         await closeAbruptly(admin);
     });
 });
