--- a/packages/oleandergap-demo/src/check/restorePlatform.ts
+++ b/packages/oleandergap-demo/src/check/restorePlatform.ts
@@ -26,7 +26,7 @@
     await checkChanges(context);
     const [summaries] = await Promise.all([sendToAllServices(context), restoreLastCopy(context)]);
     const requests = summaries.reduce((sum, { targets }) => sum + targets.length, 0);
-    const retries = summaries.reduce((sum, answer) => sum + answer.retries, 0);
+    const retries = summaries.reduce((sum, summary) => sum + summary.retries, 0);
     context.report(
         `platform restored from a copy that lacks the latest versions: all ${requests} requests meanwhile were answered, ` +
         `${retries} retries after refusals as not run`,
--- a/packages/oleandergap-standins/src/caller/checkAnswer.ts
+++ b/packages/oleandergap-standins/src/caller/checkAnswer.ts
@@ -5,7 +5,7 @@
 
 /** Result of the check: the decoded response, or the reason why it is wrong. */
 export type ResponseCheck =
-    | { readonly kind: "Own"; readonly echo: Echo }
+    | { readonly kind: "Valid"; readonly echo: Echo }
     | { readonly kind: "Wrong"; readonly detail: string };
 
 const NO_BODY = new Uint8Array();
@@ -45,7 +45,7 @@
     }
     const difference = compareFields(request, echo).find(({ expected, found }) => expected !== found);
     return difference === undefined ?
-        { kind: "Own", echo } :
+        { kind: "Valid", echo } :
         {
             kind: "Wrong",
             detail: `${difference.name}: expected ${difference.expected}, found ${difference.found ?? "nothing"}`,
--- a/packages/oleandergap-standins/src/target/announcer.ts
+++ b/packages/oleandergap-standins/src/target/announcer.ts
@@ -44,7 +44,7 @@
             return response.statusCode < FIRST_ERROR_STATUS;
         }
         catch {
-            // The node is down or restarting. The next announcement is sent to it again.
+            // The node is down or restarting. A later announcement will register the target.
             return false;
         }
     };
