--- a/packages/oleandergap-idempotency/src/__tests__/claimKeeper.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimKeeper.test.ts
@@ -26,49 +26,49 @@
     });
     afterEach(() => harness.stop());
 
-    // Symptom: a lodgement runs twice although it was claimed. Sequence: the platform writes the row, its answer is
-    // lost, the caller's proxy sends the key to another node. Cause: the first node guesses that it holds no claim,
-    // or the second that a row without answer counts for nothing.
-    it("reads a lost answer back and holds the claim alone", async () => {
-        first.writeFates.push({ kind: "AnswerLost" });
+    // Guards against a request that runs twice: the platform writes the row but its response is lost, and the caller's
+    // proxy sends the key to another node. It would run twice if the first node assumed that it holds no claim, or if
+    // the second node ignored the row because it contains no response.
+    it("reads the row back after a lost response and grants the claim to one node only", async () => {
+        first.writeOutcomes.push({ kind: "AnswerLost" });
         expectGranted(await first.claim(KEY));
         expect(expectFailure(await second.claim(KEY))).to.deep.equal(DUPLICATE);
     });
 
-    // Symptom: a key that no target ever saw is answered "may have run" for days. Sequence: the claim is given up at
-    // its deadline, released, and only then lands in the table. Cause: the release left no row to make the late
-    // insert's condition fail.
+    // Guards against a key that fails with "may have run" for days although no target received it: the claim misses its
+    // deadline and is released, and its insert takes effect only then. The release must leave a row that makes the
+    // condition of the late insert fail.
     (["RequestLost", "Unavailable"] as const).forEach((kind) => {
-        it(`keeps a claim that lands late from blocking its key (${kind})`, async () => {
+        it(`does not let a claim that takes effect late block its key (${kind})`, async () => {
             const later = Array.from({ length: 500 }, () => ({ kind }));
-            first.writeFates.push({ kind: "LandsLate", delayMs: 2 * TIMEOUT }, ...later);
+            first.writeOutcomes.push({ kind: "TakesEffectLate", delayMs: 2 * TIMEOUT }, ...later);
             const pending = first.startClaim(KEY);
             await harness.clock.advance(TIMEOUT);
             expect(expectFailure(await pending)).to.include({ verdict: "notRun", reason: "DeadlinePassed" });
-            first.writeFates.length = 0;
+            first.writeOutcomes.length = 0;
             await harness.clock.advance(10 * TIMEOUT);
             expectGranted(await second.claim(KEY));
         });
     });
 
-    // Symptom: as above, for a key that was released before. Sequence: the claim that is to replace the released row is
-    // given up and lands late. Cause: the release sees somebody else's released row and leaves it as it is.
-    it("keeps a late claim from replacing an earlier release", async () => {
+    // Guards against the same failure for a key that was released before: the claim that replaces the released row
+    // misses its deadline and takes effect late. Its release must overwrite the row released by the other attempt.
+    it("does not let a late claim replace an earlier release", async () => {
         expectGranted(await first.claim(KEY)).release();
         await harness.clock.advance(TIMEOUT);
         const later = Array.from({ length: 500 }, () => ({ kind: "RequestLost" }) as const);
-        first.writeFates.push(HEALTHY, { kind: "LandsLate", delayMs: 3 * TIMEOUT }, ...later);
+        first.writeOutcomes.push(HEALTHY, { kind: "TakesEffectLate", delayMs: 3 * TIMEOUT }, ...later);
         const pending = first.startClaim(KEY);
         await harness.clock.advance(TIMEOUT);
         expect(expectFailure(await pending)).to.include({ verdict: "notRun", reason: "DeadlinePassed" });
-        first.writeFates.length = 0;
+        first.writeOutcomes.length = 0;
         await harness.clock.advance(10 * TIMEOUT);
         expectGranted(await second.claim(KEY));
     });
 
-    // Symptom: a signing runs twice after a crash. Sequence: the holder is killed between claim and run, or between
-    // run and record; the caller repeats the key elsewhere. Cause: the successor takes an old claim for a dead one.
-    it("never gives a killed holder's key to anybody else", async () => {
+    // Guards against a request that runs twice after a crash: the holder is killed between claim and run, or between
+    // run and record, and the caller repeats the key at another node. An old claim must not count as expired.
+    it("does not grant the key of a killed holder to another process", async () => {
         expectGranted(await first.claim(KEY));
         first.clock.freeze();
         await harness.clock.advance(3 * DAY);
@@ -77,9 +77,9 @@
         expect(expectFailure(await restarted.claim(KEY))).to.deep.equal(DUPLICATE);
     });
 
-    // Symptom: a request is sent hours after its caller left. Sequence: the holder is frozen after its claim and
-    // resumes past every deadline. Cause: nothing asks for the time between the claim and the send.
-    it("does not let a holder start that was frozen past its deadline, and frees its key", async () => {
+    // Guards against a request that is sent hours after its caller disconnected: the holder is frozen after its claim
+    // and resumes after the deadline. The deadline must be checked again between the claim and the send.
+    it("does not let a holder start after its deadline when it was frozen, and releases its key", async () => {
         const claim = expectGranted(await first.claim(KEY));
         first.clock.freeze();
         await harness.clock.advance(DAY);
@@ -90,35 +90,35 @@
         expectGranted(await second.claim(KEY));
     });
 
-    // Symptom: both of two crossed sends run. Sequence: the same key arrives at nodes of two availability zones within
-    // the same millisecond. Cause: reading before inserting without a condition.
-    it("grants one of two crossed sends", async () => {
-        const both = [first.startClaim(KEY), second.startClaim(KEY), first.startClaim(KEY)];
+    // Guards against two concurrent requests that both run: the same key arrives at nodes of two availability zones
+    // within the same millisecond. Both would run if a node read the row and then inserted it without a condition.
+    it("grants only one of several concurrent claims of a key", async () => {
+        const claims = [first.startClaim(KEY), second.startClaim(KEY), first.startClaim(KEY)];
         await harness.clock.advance(50);
-        const results = await Promise.all(both);
+        const results = await Promise.all(claims);
         expect(results.filter(either.isRight)).to.have.length(1);
     });
 
-    // Symptom: during an outage callers wait until their deadlines, and the platform is flooded when it returns.
-    // Sequence: each claim asks the platform in vain. Cause: nobody remembers that it just refused.
-    it("refuses at once while the platform is down, and tells when to come back", async () => {
-        first.writeFates.push({ kind: "Unavailable" });
+    // Guards against callers that wait until their deadlines during an outage, and against a load peak when the
+    // platform recovers: both occur if each claim calls the platform although it has just refused another claim.
+    it("refuses claims immediately while the platform is down, with a retry-after time", async () => {
+        first.writeOutcomes.push({ kind: "Unavailable" });
         const pending = first.startClaim(KEY);
         await harness.clock.advance(5);
         const refusal = expectFailure(await pending);
         expect(refusal).to.include({ kind: "Refused", verdict: "notRun", reason: "ClaimUnavailable" });
-        const asked = first.keeper.stats().transactions;
+        const transactionsBefore = first.keeper.stats().transactions;
         expect(expectFailure(await first.startClaim("lodgement-0002"))).to.include({ reason: "ClaimUnavailable" });
-        expect(first.keeper.stats().transactions).to.equal(asked);
+        expect(first.keeper.stats().transactions).to.equal(transactionsBefore);
         await harness.clock.advance(10_000);
         expectGranted(await first.claim(KEY));
     });
 
-    // Symptom: a repeat after a crash of the answering node gets no answer. Sequence: run, answer, platform outage,
-    // repeat elsewhere. Cause: the outcome was tried to be recorded once only.
-    it("records an outcome after an outage, and replays it on any node", async () => {
+    // Guards against a repeated request without a response after the node that ran it has crashed: the request ran, the
+    // platform was down, and the caller repeats the key at another node. Recording the outcome must be retried.
+    it("records an outcome after an outage and replays it at any node", async () => {
         const claim = expectGranted(await first.claim(KEY));
-        first.writeFates.push(...Array.from({ length: 5 }, () => ({ kind: "Unavailable" }) as const));
+        first.writeOutcomes.push(...Array.from({ length: 5 }, () => ({ kind: "Unavailable" }) as const));
         claim.complete({
             status: 201,
             headers: [["Content-Type", "text/plain"], ["Set-Cookie", "secret"]],
@@ -131,19 +131,19 @@
         }));
     });
 
-    it("tells that a request ran whose answer was too large to keep", async () => {
+    it("reports that the request already ran when its response was too large to store", async () => {
         expectGranted(await first.claim(KEY)).complete({ status: 200, headers: [], body: Buffer.alloc(17 * 1024) });
         expect(await first.claim(KEY)).to.deep.equal(either.right({ kind: "AlreadyRan", status: 200 }));
         expect(await second.claim(KEY)).to.deep.equal(either.right({ kind: "AlreadyRan", status: 200 }));
     });
 
-    it("refuses another request under a used key", async () => {
+    it("refuses another request with a used key", async () => {
         expectGranted(await first.claim(KEY));
         expect(expectFailure(await first.claim(KEY, "other"))).to.include({ kind: "BadRequest" });
         expect(expectFailure(await second.claim(KEY, "other"))).to.include({ kind: "BadRequest" });
     });
 
-    it("frees the key of a caller that hung up before the claim was decided", async () => {
+    it("releases the key when the caller disconnects before the claim is decided", async () => {
         const caller = new AbortController();
         const pending = first.startClaim(KEY, caller.signal);
         caller.abort();
@@ -151,9 +151,9 @@
         expectGranted(await first.claim(KEY));
     });
 
-    // Symptom: one repeated key makes 63 neighbours fail. Sequence: it shares a transaction with them, and its
-    // condition fails. Cause: a transaction fails whole.
-    it("commits a batch without the key that is taken", async () => {
+    // Guards against one repeated key that makes 63 other claims fail: they share a transaction, which fails as a whole
+    // when the condition of one key fails.
+    it("commits the other claims of a batch when one key is already claimed", async () => {
         expectGranted(await second.claim("lodgement-0007"));
         const before = first.keeper.stats().transactions;
         const keys = Array.from({ length: 64 }, (_, index) => `lodgement-${String(index).padStart(4, "0")}`);
@@ -164,17 +164,17 @@
         expect(first.keeper.stats().transactions - before).to.equal(2);
     });
 
-    // Symptom: a day-old repeat runs again. Sequence: the row is deleted after its retention, then the key comes back.
-    // Cause: an absent row looks like a key that was never used.
-    it("does not run a time-stamped key that is older than its row may be, nor one from the future", async () => {
-        const stamp = (time: number): string => {
+    // Guards against a request that runs again after a day: its row is deleted after the retention time, and a repeated
+    // request then finds no row, as for a key that was never used.
+    it("refuses a key with a timestamp older than the retention time or in the future", async () => {
+        const createTimedKey = (time: number): string => {
             const hex = time.toString(16).padStart(12, "0");
             return `${hex.slice(0, 8)}-${hex.slice(8)}-7000-8000-000000000001`;
         };
         await harness.clock.advance(2 * DAY);
         const now = harness.clock.now();
-        expect(expectFailure(await first.claim(stamp(now - DAY)))).to.deep.equal(DUPLICATE);
-        expect(expectFailure(await first.claim(stamp(now + 60_000)))).to.include({ kind: "BadRequest" });
-        expectGranted(await first.claim(stamp(now)));
+        expect(expectFailure(await first.claim(createTimedKey(now - DAY)))).to.deep.equal(DUPLICATE);
+        expect(expectFailure(await first.claim(createTimedKey(now + 60_000)))).to.include({ kind: "BadRequest" });
+        expectGranted(await first.claim(createTimedKey(now)));
     });
 });
--- a/packages/oleandergap-idempotency/src/__tests__/claimKey.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimKey.test.ts
@@ -4,11 +4,11 @@
 import { parseIdempotencyKey, readKeyTime } from "../index.js";
 
 describe("parseIdempotencyKey", () => {
-    it("takes the bare and the quoted form for the same key", () => {
+    it("parses the unquoted and the quoted form to the same key", () => {
         expect(parseIdempotencyKey("\"lodgement-1\"")).to.deep.equal(parseIdempotencyKey("lodgement-1"));
     });
 
-    it("never lets a key reach into another row's name", () => {
+    it("accepts no key that could form the row key of another claim", () => {
         fc.assert(fc.property(fc.string({ unit: "binary" }), (text) => {
             const key = parseIdempotencyKey(text);
             expect(either.isLeft(key) || /^[^/\s"]{8,128}$/.test(key.right)).to.equal(true);
@@ -20,7 +20,7 @@
 });
 
 describe("readKeyTime", () => {
-    it("reads the time of a UUIDv7 only", () => {
+    it("returns the time of a UUIDv7 key and undefined for other keys", () => {
         fc.assert(fc.property(fc.uuid({ version: 7 }), (key) => {
             expect(readKeyTime(key)).to.equal(Number.parseInt(key.replaceAll("-", "").slice(0, 12), 16));
         }));
--- a/packages/oleandergap-idempotency/src/__tests__/claimSweeper.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimSweeper.test.ts
@@ -3,17 +3,17 @@
 import { claimOptionsSchema, createClaimSweeper, formatClaimRowKey, type ClaimRow } from "../index.js";
 import { createMemoryTable } from "../measure/memoryTable.js";
 import { SIMULATED_SERVICE } from "../measure/simulatedNode.js";
-import { quietLogger } from "./support/quietLogger.js";
+import { silentLogger } from "./support/quietLogger.js";
 
 const HOUR = 3_600_000;
 const base = { attemptId: "a", nodeId: "node-1", bootId: "0", fingerprint: "same", claimedAt: 0 };
 const answer = { status: 200, headers: [] };
 
 describe("createClaimSweeper", () => {
-    // Symptom: a key runs again although its holder only slept. Sequence: the holder is frozen after its claim, the
-    // row is deleted as old, a repeat claims the key anew, the holder resumes and sends. Cause: the age of a row says
-    // nothing of its holder's end.
-    it("deletes settled rows after their retention, open ones far later", async () => {
+    // Guards against a key that runs twice: the holder is frozen after its claim, the row is deleted because of its
+    // age, a repeated request claims the key again, and the holder resumes and sends its request. The age of a row does
+    // not show that its holder has ended.
+    it("deletes settled rows after their retention time and rows without an outcome much later", async () => {
         const clock = createManualClock(0);
         const table = createMemoryTable(clock);
         const tableService = table.connect(clock, () => ({ kind: "Answered", delayMs: 0 }));
@@ -36,7 +36,7 @@
             tableService,
             clock,
             random: createSeededRandom(1),
-            logger: quietLogger,
+            logger: silentLogger,
             options: claimOptionsSchema.parse({ sweepPageSize: 3 }),
             services: () => [SIMULATED_SERVICE],
         });
--- a/packages/oleandergap-idempotency/src/__tests__/hangingPlatform.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/hangingPlatform.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import * as either from "fp-ts/lib/Either.js";
-import type { CallFate } from "../measure/memoryTable.js";
+import type { CallOutcome } from "../measure/memoryTable.js";
 import {
     createKeeperHarness,
     expectFailure,
@@ -10,14 +10,16 @@
     type KeeperNode,
 } from "./support/keeperHarness.js";
 
-/** Default of `answerTimeoutMs`. */
-const ANSWER_TIMEOUT = 500;
+/** Default value of `answerTimeoutMs`. */
+const RESPONSE_TIMEOUT = 500;
+/** Time after which a hanging call fails, in milliseconds. */
 const CALL_TIMEOUT = 2000;
 const UNAVAILABLE = { kind: "Refused", verdict: "notRun", reason: "ClaimUnavailable" };
 
-const repeatFate = (fate: CallFate): CallFate[] => Array.from({ length: 500 }, () => fate);
-const hangs = (landsMs?: number): CallFate[] => repeatFate({ kind: "Hangs", givenUpMs: CALL_TIMEOUT, landsMs });
-const keyOf = (index: number): string => `lodgement-${String(index).padStart(4, "0")}`;
+const repeatOutcome = (outcome: CallOutcome): CallOutcome[] => Array.from({ length: 500 }, () => outcome);
+const createHangingCalls = (takesEffectAfterMs?: number): CallOutcome[] =>
+    repeatOutcome({ kind: "Hangs", failsAfterMs: CALL_TIMEOUT, takesEffectAfterMs });
+const formatKey = (index: number): string => `lodgement-${String(index).padStart(4, "0")}`;
 
 describe("createClaimKeeper while the platform hangs", () => {
     let harness: KeeperHarness;
@@ -29,101 +31,102 @@
     });
     afterEach(() => harness.stop());
 
-    /** Makes the platform hang and lets a first claim find out; gives what it was told. */
-    const meetSilence = async (): Promise<ReturnType<typeof expectFailure>> => {
-        const pending = node.startClaim(keyOf(0));
-        await harness.clock.advance(ANSWER_TIMEOUT);
+    /** Starts a first claim while the platform hangs and returns its failure. */
+    const claimDuringHang = async (): Promise<ReturnType<typeof expectFailure>> => {
+        const pending = node.startClaim(formatKey(0));
+        await harness.clock.advance(RESPONSE_TIMEOUT);
         return expectFailure(await pending);
     };
 
-    // Symptom: during an outage every keyed request waits out its whole deadline for a refusal, and many callers are
-    // told "may have run" although nothing ran. Sequence: the platform takes the write and answers nothing; gate and
-    // gateway reach the deadline together. Cause: only a refusal counted as an outage, silence did not.
-    it("refuses the first claim long before its deadline, and the next ones at once without asking", async () => {
-        node.writeFates.push(...hangs());
-        expect(await meetSilence()).to.include(UNAVAILABLE);
-        const asked = node.keeper.stats().transactions;
-        expect(expectFailure(await node.startClaim(keyOf(1)))).to.include(UNAVAILABLE);
-        expect(node.keeper.stats().transactions).to.equal(asked);
+    // Guards against requests that wait until their deadline during an outage, and of which many fail with "may have
+    // run" although nothing ran: the platform accepts the write and never responds, and gate and gateway reach the
+    // deadline together. A missing response must count as an outage, not only a refusal.
+    it("refuses the first claim long before its deadline and the next ones immediately without a call", async () => {
+        node.writeOutcomes.push(...createHangingCalls());
+        expect(await claimDuringHang()).to.include(UNAVAILABLE);
+        const transactionsBefore = node.keeper.stats().transactions;
+        expect(expectFailure(await node.startClaim(formatKey(1)))).to.include(UNAVAILABLE);
+        expect(node.keeper.stats().transactions).to.equal(transactionsBefore);
     });
 
-    // Symptom: callers that come back when told wait in vain, all of them, once per pause. Sequence: the pause ends,
-    // every waiting claim asks a platform that still hangs. Cause: the end of a pause was taken for the end of the
+    // Guards against callers that retry after the retry-after time and then all wait for a timeout again: at the end of
+    // each open time, all claims would call a platform that still hangs. The end of the open time is not the end of the
     // outage.
-    it("lets one claim ask when the time that it told is over, and refuses the others at once", async () => {
-        node.writeFates.push(...hangs());
-        const refusal = await meetSilence();
+    it("lets one claim through as a probe after the retry-after time and refuses the others immediately", async () => {
+        node.writeOutcomes.push(...createHangingCalls());
+        const refusal = await claimDuringHang();
         await harness.clock.advance("retryAfterMs" in refusal ? refusal.retryAfterMs : 0);
-        const probe = node.startClaim(keyOf(1));
-        const other = expectFailure(await node.startClaim(keyOf(2)));
-        expect(other).to.deep.equal({ ...UNAVAILABLE, retryAfterMs: ANSWER_TIMEOUT });
-        await harness.clock.advance(ANSWER_TIMEOUT);
+        const probe = node.startClaim(formatKey(1));
+        const other = expectFailure(await node.startClaim(formatKey(2)));
+        expect(other).to.deep.equal({ ...UNAVAILABLE, retryAfterMs: RESPONSE_TIMEOUT });
+        await harness.clock.advance(RESPONSE_TIMEOUT);
         expect(expectFailure(await probe)).to.include(UNAVAILABLE);
     });
 
-    // Symptom: keyed requests stay refused after an outage. Sequence: the caller whose claim asks hangs up. Cause:
-    // nobody else may ask until that claim tells how it ended.
-    it("lets another claim ask when the one that asked was given up, and accepts again once it is answered", async () => {
-        node.writeFates.push(...hangs());
-        const refusal = await meetSilence();
+    // Guards against requests that are still refused after an outage: the caller of the probe disconnects, so the probe
+    // never reports a result, and no other claim may call the platform until it does.
+    it("lets another claim through when the caller of the probe disconnects, and accepts claims after it", async () => {
+        node.writeOutcomes.push(...createHangingCalls());
+        const refusal = await claimDuringHang();
         await harness.clock.advance("retryAfterMs" in refusal ? refusal.retryAfterMs : 0);
         const caller = new AbortController();
-        const probe = node.startClaim(keyOf(1), caller.signal);
+        const probe = node.startClaim(formatKey(1), caller.signal);
         caller.abort();
         expect(expectFailure(await probe)).to.include({ verdict: "notRun", reason: "Cancelled" });
-        node.writeFates.length = 0;
-        await harness.clock.advance(ANSWER_TIMEOUT);
-        expectGranted(await node.claim(keyOf(2)));
-        expectGranted(await node.claim(keyOf(3)));
+        node.writeOutcomes.length = 0;
+        await harness.clock.advance(RESPONSE_TIMEOUT);
+        expectGranted(await node.claim(formatKey(2)));
+        expectGranted(await node.claim(formatKey(3)));
     });
 
-    // Symptom: the first 500 ms of an outage are followed by a pause of seconds. Sequence: many claims are under way
-    // when the platform falls silent; each fails for itself. Cause: each was counted as one more failure in a row.
-    it("counts the claims that were under way together as one failure", async () => {
-        node.writeFates.push(...hangs());
+    // Guards against a backoff of seconds after the first 500 ms of an outage: many claims are in flight when the
+    // platform stops responding, and each of them would count as one more consecutive failure.
+    it("counts claims that were in flight together as one failure", async () => {
+        node.writeOutcomes.push(...createHangingCalls());
         const pending: Promise<unknown>[] = [];
         for (let index = 0; index < 40; index++) {
-            pending.push(node.startClaim(keyOf(index)));
+            pending.push(node.startClaim(formatKey(index)));
             await harness.clock.advance(10);
         }
-        await harness.clock.advance(ANSWER_TIMEOUT);
+        await harness.clock.advance(RESPONSE_TIMEOUT);
         await Promise.all(pending);
-        const probe = node.startClaim(keyOf(100));
-        await harness.clock.advance(ANSWER_TIMEOUT);
+        const probe = node.startClaim(formatKey(100));
+        await harness.clock.advance(RESPONSE_TIMEOUT);
         const refusal = expectFailure(await probe);
-        // Two failures in a row: 20 ms and a jitter below 40 ms.
+        // After two consecutive failures: 20 ms plus a jitter below 40 ms.
         expect("retryAfterMs" in refusal && refusal.retryAfterMs).to.be.within(20, 60);
     });
 
-    // Symptom: a request runs although its caller was told that it did not, or its key stays blocked. Sequence: the
-    // claim is refused for silence, then its write lands. Cause: the late row is taken for a claim that somebody
-    // holds.
-    it("never grants a claim that it refused, and frees its key when the write lands late", async () => {
-        node.writeFates.push(...hangs(3 * CALL_TIMEOUT));
-        expect(await meetSilence()).to.include(UNAVAILABLE);
-        node.writeFates.length = 0;
+    // Guards against a request that runs although its caller received notRun, or whose key stays blocked: the claim is
+    // refused because the platform does not respond, and its write takes effect later. The late row must not count as a
+    // claim with a holder.
+    it("never grants a refused claim, and releases its key when the write takes effect late", async () => {
+        node.writeOutcomes.push(...createHangingCalls(3 * CALL_TIMEOUT));
+        expect(await claimDuringHang()).to.include(UNAVAILABLE);
+        node.writeOutcomes.length = 0;
         await harness.clock.advance(20 * CALL_TIMEOUT);
         expect(node.keeper.stats().granted).to.equal(0);
-        expectGranted(await harness.startNode("node-2").claim(keyOf(0)));
+        expectGranted(await harness.startNode("node-2").claim(formatKey(0)));
     });
 
-    it("refuses a repeat at once whose former attempt is not settled yet", async () => {
-        node.writeFates.push(...hangs());
-        await meetSilence();
-        expect(expectFailure(await node.startClaim(keyOf(0)))).to.include(UNAVAILABLE);
+    it("refuses a repeated claim immediately while the earlier attempt is not settled", async () => {
+        node.writeOutcomes.push(...createHangingCalls());
+        await claimDuringHang();
+        expect(expectFailure(await node.startClaim(formatKey(0)))).to.include(UNAVAILABLE);
     });
 
-    // Symptom: a platform that answers in 300 ms is treated as down. Sequence: claims wait their turn behind others, or
-    // need two writes, and take more than 500 ms in all. Cause: the whole claim was timed instead of the silence.
-    it("goes on using a platform that is slow but answers", async () => {
-        expectGranted(await node.claim(keyOf(0))).release();
+    // Guards against a platform that responds in 300 ms but counts as down: claims that wait in the queue behind others
+    // or need two writes take more than 500 ms in total. The timeout must apply to the time without any response, not
+    // to the whole claim.
+    it("continues to use a platform that is slow but responds", async () => {
+        expectGranted(await node.claim(formatKey(0))).release();
         await harness.clock.advance(TIMEOUT);
-        node.writeFates.push(...repeatFate({ kind: "Answered", delayMs: 300 }));
+        node.writeOutcomes.push(...repeatOutcome({ kind: "Answered", delayMs: 300 }));
         const other = harness.startNode("node-2");
-        other.writeFates.push(...repeatFate({ kind: "Answered", delayMs: 300 }));
-        const pending = [other.startClaim(keyOf(0))];
+        other.writeOutcomes.push(...repeatOutcome({ kind: "Answered", delayMs: 300 }));
+        const pending = [other.startClaim(formatKey(0))];
         for (let index = 1; index <= 100; index++) {
-            pending.push(node.startClaim(keyOf(index)));
+            pending.push(node.startClaim(formatKey(index)));
             await harness.clock.advance(10);
         }
         await harness.clock.advance(TIMEOUT);
--- a/packages/oleandergap-idempotency/src/__tests__/partitionOwnership.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/partitionOwnership.test.ts
@@ -1,15 +1,16 @@
 import { expect } from "chai";
 import {
-    FIRST,
+    FIRST_RANKED,
     LEASE,
-    SECOND,
+    SECOND_RANKED,
     createOwnershipHarness,
     expectAccepted,
     type OwnershipHarness,
     type OwnerNode,
 } from "./support/ownershipHarness.js";
 
-const ANSWER = { status: 200, headers: [], body: Buffer.from("lodged") };
+const RESPONSE = { status: 200, headers: [], body: Buffer.from("lodged") };
+/** Time that is enough to move a partition, in milliseconds. */
 const MOVE_TIME = 30_000;
 const DOWN = { kind: "Unavailable" } as const;
 
@@ -20,137 +21,138 @@
 
     beforeEach(async () => {
         harness = createOwnershipHarness();
-        first = harness.start(FIRST);
-        second = harness.start(SECOND);
+        first = harness.start(FIRST_RANKED);
+        second = harness.start(SECOND_RANKED);
         await harness.clock.advance(MOVE_TIME);
     });
     afterEach(() => harness.stop());
 
-    const recordOf = (key: string): unknown => harness.table.rows().find((row) => row.key.endsWith(key))?.value;
+    const findRecord = (key: string): unknown => harness.table.rows().find((row) => row.key.endsWith(key))?.value;
 
-    it("lets one node accept a key, and tells others to go there", () => {
-        const key = harness.mint();
+    it("lets only the owner accept a key, and refuses it at other nodes and when it is repeated", () => {
+        const key = harness.generateKey();
         expect(second.decide(key)).to.include({ kind: "Decided" });
         expectAccepted(first.decide(key));
         expect(first.decide(key)).to.include({ kind: "Decided" });
     });
 
-    // Symptom: no lodgement is accepted during an outage, or its outcome is lost after it. Sequence: outage, requests,
-    // return. Cause: every claim waits for the platform, or the record is tried once.
-    it("accepts through an outage until its lease ends, and records afterwards", async () => {
-        first.weather = DOWN;
-        const early = harness.mint();
-        expectAccepted(first.decide(early)).complete(ANSWER);
+    // Guards against requests that are not accepted during an outage because each claim waits for the platform, and
+    // against outcomes that are lost because recording them is tried only once.
+    it("accepts keys during an outage until its lease ends, and records their outcomes afterwards", async () => {
+        first.defaultOutcome = DOWN;
+        const early = harness.generateKey();
+        expectAccepted(first.decide(early)).complete(RESPONSE);
         await harness.clock.advance(LEASE / 2);
-        expectAccepted(first.decide(harness.mint())).complete(ANSWER);
+        expectAccepted(first.decide(harness.generateKey())).complete(RESPONSE);
         await harness.clock.advance(LEASE);
-        expect(first.decide(harness.mint())).to.include({ kind: "Decided" });
-        expect(recordOf(early)).to.equal(undefined);
-        first.weather = { kind: "Answered", delayMs: 1 };
+        expect(first.decide(harness.generateKey())).to.include({ kind: "Decided" });
+        expect(findRecord(early)).to.equal(undefined);
+        first.defaultOutcome = { kind: "Answered", delayMs: 1 };
         await harness.clock.advance(MOVE_TIME);
-        expect(recordOf(early)).to.include({ state: "finished" });
-        expectAccepted(first.decide(harness.mint()));
+        expect(findRecord(early)).to.include({ state: "finished" });
+        expectAccepted(first.decide(harness.generateKey()));
     });
 
-    // Symptom: a signing runs twice, days apart. Sequence: the owner accepts a key, is frozen before it sends, another
-    // node takes over and receives the repeat, the owner resumes and sends. Cause: a lease lapsed in between, and the
-    // successor takes a key that it does not know for a new one.
-    it("never lets a successor run a key that a frozen owner may hold", async () => {
-        const key = harness.mint();
+    // Guards against a request that runs twice: the owner accepts a key and is frozen before it sends, another node
+    // takes over after the lease ended and receives the repeated request, and the owner resumes and sends. The new
+    // owner must not treat a key that is not in its memory as a new one.
+    it("never lets a new owner run a key that a frozen owner may hold", async () => {
+        const key = harness.generateKey();
         const claim = expectAccepted(first.decide(key));
         first.clock.freeze();
-        harness.members = [SECOND];
-        harness.alive = [SECOND];
+        harness.members = [SECOND_RANKED];
+        harness.alive = [SECOND_RANKED];
         await harness.clock.advance(MOVE_TIME);
         expect(second.decide(key)).to.deep.equal({ kind: "LookUp" });
         await harness.clock.advance(LEASE);
-        expectAccepted(second.decide(harness.mint()));
+        expectAccepted(second.decide(harness.generateKey()));
         expect(second.decide(key)).to.deep.equal({ kind: "LookUp" });
         first.clock.resume();
-        claim.complete(ANSWER);
-        expect(first.decide(harness.mint()).kind).to.equal("Decided");
+        claim.complete(RESPONSE);
+        expect(first.decide(harness.generateKey()).kind).to.equal("Decided");
         await harness.clock.advance(MOVE_TIME);
-        const fresh = harness.mint();
+        const fresh = harness.generateKey();
         expectAccepted(second.decide(fresh));
-        expect(first.decide(fresh).kind, "the former owner, after its next renewal").to.equal("Decided");
+        expect(first.decide(fresh).kind, "decision of the former owner after its next renewal").to.equal("Decided");
     });
 
-    // Symptom: a key runs at two owners. Sequence: the partition moves while the key runs; the new owner looks for its
-    // record and finds none. Cause: the old owner handed over before everything was recorded.
-    it("hands a partition over only when every key is recorded", async () => {
-        const key = harness.mint();
+    // Guards against a key that runs at two owners: the partition is handed over while the request runs, and the new
+    // owner finds no record of it. A handover must wait until all outcomes are recorded.
+    it("hands a partition over only when all its keys are recorded", async () => {
+        const key = harness.generateKey();
         const claim = expectAccepted(first.decide(key));
-        harness.members = [SECOND];
+        harness.members = [SECOND_RANKED];
         await harness.clock.advance(MOVE_TIME);
         expect(second.decide(key).kind).to.equal("Decided");
-        claim.complete(ANSWER);
+        claim.complete(RESPONSE);
         await harness.clock.advance(MOVE_TIME);
-        expect(recordOf(key)).to.include({ state: "finished" });
+        expect(findRecord(key)).to.include({ state: "finished" });
         expect(second.decide(key)).to.deep.equal({ kind: "ClaimDurably" });
     });
 
-    // Symptom: two owners accept the same key. Sequence: the hand-over's answer is lost and it lands late; meanwhile
-    // the members change back and the owner goes on. Cause: a write of unknown fate is taken for one that failed.
-    it("accepts nothing after a hand-over of unknown fate until the table tells", async () => {
-        harness.members = [SECOND];
-        first.writeFates.push({ kind: "LandsLate", delayMs: 500 }, DOWN, DOWN, DOWN);
+    // Guards against two owners that accept the same key: the handover's response is lost and its write takes effect
+    // late, while the members change back and the owner continues. A write with an unknown outcome must not count as
+    // failed.
+    it("accepts no keys after a handover with an unknown outcome until the row has been read", async () => {
+        harness.members = [SECOND_RANKED];
+        first.writeOutcomes.push({ kind: "TakesEffectLate", delayMs: 500 }, DOWN, DOWN, DOWN);
         await harness.clock.advance(2100);
-        harness.members = [FIRST, SECOND];
-        expect(first.decide(harness.mint()).kind).to.equal("Decided");
+        harness.members = [FIRST_RANKED, SECOND_RANKED];
+        expect(first.decide(harness.generateKey()).kind).to.equal("Decided");
         await harness.clock.advance(MOVE_TIME);
         expect(first.ownership.stats().held + second.ownership.stats().held).to.equal(1);
     });
 
-    // Symptom: two owners accept the same key after a long outage. Sequence: a renewal is lost; the owner believes in
-    // it; the successor reads the older ceiling. Cause: a ceiling counts before it is surely written.
-    it("does not trust a renewal that was not written", async () => {
-        first.writeFates.push(...Array.from({ length: 200 }, () => ({ kind: "RequestLost" }) as const));
+    // Guards against two owners that accept the same key after a long outage: a renewal is lost, the owner uses its new
+    // ceiling although it was not written, and the next owner reads the old ceiling.
+    it("does not use the ceiling of a renewal that was not written", async () => {
+        first.writeOutcomes.push(...Array.from({ length: 200 }, () => ({ kind: "RequestLost" }) as const));
         await harness.clock.advance(LEASE + 1000);
-        expect(first.decide(harness.mint()).kind).to.equal("Decided");
+        expect(first.decide(harness.generateKey()).kind).to.equal("Decided");
     });
 
-    // Symptom: a partition that nobody accepts keys for. Sequence: a take lands after its node no longer wants the
-    // partition. Cause: a take of unknown fate was forgotten.
-    it("gives up a partition whose take landed late", async () => {
-        harness.members = [SECOND];
-        second.writeFates.push({ kind: "LandsLate", delayMs: 1500 });
+    // Guards against a partition whose keys no node accepts: the write that takes it takes effect only when its node
+    // should no longer own it, and the node has discarded that write although its outcome was unknown.
+    it("hands over a partition when the write that took it takes effect late", async () => {
+        harness.members = [SECOND_RANKED];
+        second.writeOutcomes.push({ kind: "TakesEffectLate", delayMs: 1500 });
         await harness.clock.advance(2100);
-        harness.members = [FIRST, SECOND];
+        harness.members = [FIRST_RANKED, SECOND_RANKED];
         await harness.clock.advance(MOVE_TIME);
         expect(first.ownership.stats().held).to.equal(1);
         expect(second.ownership.stats().held).to.equal(0);
     });
 
-    // Symptom: after a crash, keys are refused for ever although all nodes are alive. Sequence: a process dies, its
-    // node restarts, another node ranks first for its partition. Cause: the dead process passes for alive.
-    it("frees what a former process of its node held", async () => {
-        harness.members = [SECOND];
+    // Guards against keys that are refused forever after a crash although all nodes are alive: a process is killed, its
+    // node restarts, another node ranks first for its partition, and the killed process counts as alive.
+    it("releases the partitions of an earlier process of its node", async () => {
+        harness.members = [SECOND_RANKED];
         await harness.clock.advance(MOVE_TIME);
         second.clock.freeze();
-        harness.members = [FIRST, SECOND];
-        harness.start(SECOND);
+        harness.members = [FIRST_RANKED, SECOND_RANKED];
+        harness.start(SECOND_RANKED);
         await harness.clock.advance(MOVE_TIME);
         expect(first.ownership.stats().held).to.equal(1);
         await harness.clock.advance(LEASE);
-        expectAccepted(first.decide(harness.mint()));
+        expectAccepted(first.decide(harness.generateKey()));
     });
 
-    it("hands everything over when it leaves", async () => {
-        const key = harness.mint();
-        expectAccepted(first.decide(key)).complete(ANSWER);
-        harness.members = [SECOND];
+    it("hands over all partitions when it leaves", async () => {
+        const key = harness.generateKey();
+        expectAccepted(first.decide(key)).complete(RESPONSE);
+        harness.members = [SECOND_RANKED];
         const left = first.ownership.leave(new AbortController().signal);
         await harness.clock.advance(MOVE_TIME);
         await left;
         expect(first.ownership.stats().held).to.equal(0);
         expect(second.ownership.stats().held).to.equal(1);
         await harness.clock.advance(LEASE);
-        expectAccepted(second.decide(harness.mint()));
+        expectAccepted(second.decide(harness.generateKey()));
     });
 
-    it("does not hold up a stopping process while the platform hangs", async () => {
+    it("does not delay the shutdown of a process while the platform hangs", async () => {
         const limit = new AbortController();
-        first.weather = { kind: "Hangs", givenUpMs: LEASE };
+        first.defaultOutcome = { kind: "Hangs", failsAfterMs: LEASE };
         let hasLeft = false;
         void first.ownership.leave(limit.signal).then(() => {
             hasLeft = true;
--- a/packages/oleandergap-idempotency/src/__tests__/support/keeperHarness.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/keeperHarness.ts
@@ -1,27 +1,28 @@
-/** Keepers of several nodes that share one table, with a clock moved by hand. */
+/** Test harness for the claim keepers of several nodes that share one table, with a manual clock. */
 import { setMaxListeners } from "node:events";
 import * as either from "fp-ts/lib/Either.js";
 import type { RequestFailure } from "oleandergap-types";
 import { createManualClock, createSeededRandom, type ManualClock } from "oleandergap-utils";
 import { claimOptionsSchema, createClaimKeeper, type Claim, type ClaimKeeper, type ClaimResult } from "../../index.js";
 import { createFreezableClock, type FreezableClock } from "../../measure/freezableClock.js";
-import { createMemoryTable, type CallFate, type MemoryTable } from "../../measure/memoryTable.js";
+import { createMemoryTable, type CallOutcome, type MemoryTable } from "../../measure/memoryTable.js";
 import { SIMULATED_SERVICE } from "../../measure/simulatedNode.js";
-import { quietLogger } from "./quietLogger.js";
+import { silentLogger } from "./quietLogger.js";
 
-export const HEALTHY: CallFate = { kind: "Answered", delayMs: 1 };
+export const HEALTHY: CallOutcome = { kind: "Answered", delayMs: 1 };
+/** Timeout of the claims, in milliseconds. */
 export const TIMEOUT = 1000;
-/** Enough for a release and a claim that follows it. */
-const TIME_FOR_A_CLAIM = 50;
+/** Time that is enough for a release and a subsequent claim, in milliseconds. */
+const CLAIM_TIME = 50;
 
 export interface KeeperNode {
     readonly keeper: ClaimKeeper;
     readonly clock: FreezableClock;
-    /** Fates of the next writes; then the platform is healthy. */
-    readonly writeFates: CallFate[];
-    /** Claims and moves time until the answer is there. */
+    /** Outcomes of the next writes; after them, all writes succeed. */
+    readonly writeOutcomes: CallOutcome[];
+    /** Claims a key and advances the clock until the result is available. */
     readonly claim: (key: string, fingerprint?: string) => Promise<ClaimResult>;
-    /** Claims without waiting. */
+    /** Starts a claim without advancing the clock. */
     readonly startClaim: (key: string, signal?: AbortSignal) => Promise<ClaimResult>;
 }
 
@@ -37,20 +38,20 @@
     const table = createMemoryTable(clock);
     const controller = new AbortController();
     setMaxListeners(0, controller.signal);
-    let boots = 0;
+    let startCount = 0;
 
     const startNode = (nodeId: string): KeeperNode => {
         const nodeClock = createFreezableClock(clock);
-        const writeFates: CallFate[] = [];
-        const chooseFate = (call: "read" | "write"): CallFate =>
-            call === "write" ? writeFates.shift() ?? HEALTHY : HEALTHY;
+        const writeOutcomes: CallOutcome[] = [];
+        const chooseOutcome = (call: "read" | "write"): CallOutcome =>
+            call === "write" ? writeOutcomes.shift() ?? HEALTHY : HEALTHY;
         const keeper = createClaimKeeper({
-            tableService: table.connect(nodeClock, chooseFate),
+            tableService: table.connect(nodeClock, chooseOutcome),
             clock: nodeClock,
             random: createSeededRandom(1),
             nodeId,
-            bootId: `${boots++}`,
-            logger: quietLogger,
+            bootId: `${startCount++}`,
+            logger: silentLogger,
             options: claimOptionsSchema.parse({}),
             signal: controller.signal,
         });
@@ -59,11 +60,11 @@
         return {
             keeper,
             clock: nodeClock,
-            writeFates,
+            writeOutcomes,
             startClaim: (key, signal = controller.signal) => start(key, "same", signal),
             claim: async (key, fingerprint = "same") => {
                 const pending = start(key, fingerprint, controller.signal);
-                await clock.advance(TIME_FOR_A_CLAIM);
+                await clock.advance(CLAIM_TIME);
                 return pending;
             },
         };
--- a/packages/oleandergap-idempotency/src/__tests__/support/ownershipHarness.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/ownershipHarness.ts
@@ -1,4 +1,4 @@
-/** Owners of one partition that share a table, with membership and time moved by hand. */
+/** Test harness for owners of one partition that share a table, with a manual membership and a manual clock. */
 import { setMaxListeners } from "node:events";
 import { createManualClock, createSeededRandom, type ManualClock } from "oleandergap-utils";
 import {
@@ -12,38 +12,40 @@
     type PartitionOwnership,
 } from "../../index.js";
 import { createFreezableClock, type FreezableClock } from "../../measure/freezableClock.js";
-import { createMemoryTable, type CallFate, type MemoryTable } from "../../measure/memoryTable.js";
-import { mintKey } from "../../measure/mintKey.js";
+import { createMemoryTable, type CallOutcome, type MemoryTable } from "../../measure/memoryTable.js";
+import { generateKey } from "../../measure/mintKey.js";
 import { SIMULATED_SERVICE } from "../../measure/simulatedNode.js";
 import { HEALTHY } from "./keeperHarness.js";
-import { quietLogger } from "./quietLogger.js";
+import { silentLogger } from "./quietLogger.js";
 
+/** Duration of a lease, in milliseconds. */
 export const LEASE = 60_000;
 
 export interface OwnerNode {
     readonly nodeId: string;
     readonly clock: FreezableClock;
     readonly ownership: PartitionOwnership;
-    /** Fates of the next writes; then `weather` decides. */
-    readonly writeFates: CallFate[];
-    weather: CallFate;
+    /** Outcomes of the next writes; after them, `defaultOutcome` applies. */
+    readonly writeOutcomes: CallOutcome[];
+    /** Outcome of reads, and of writes without an outcome in `writeOutcomes`. */
+    defaultOutcome: CallOutcome;
     readonly decide: (key: string) => KeyDecision;
 }
 
 export interface OwnershipHarness {
     readonly clock: ManualClock;
     readonly table: MemoryTable;
-    /** Nodes that may own keys in every node's view; the first by rank of those should own the partition. */
+    /** Nodes that may own keys, in the view of all nodes; the one that ranks first should own the partition. */
     members: readonly string[];
-    /** Nodes that the membership has not given up. */
+    /** Nodes that the membership has not removed. */
     alive: readonly string[];
     readonly start: (nodeId: string) => OwnerNode;
-    readonly mint: () => string;
+    readonly generateKey: () => string;
     readonly stop: () => void;
 }
 
-/** Two node names, the one that ranks first for the only partition in front. */
-export const [FIRST = "", SECOND = ""] = rankOwners(
+/** Names of two nodes, in the order in which they rank as owners of the only partition. */
+export const [FIRST_RANKED = "", SECOND_RANKED = ""] = rankOwners(
     { service: SIMULATED_SERVICE, partition: 0 },
     ["node-1", "node-2"],
 );
@@ -54,20 +56,20 @@
     const table = createMemoryTable(clock);
     const controller = new AbortController();
     setMaxListeners(0, controller.signal);
-    let boots = 0;
+    let startCount = 0;
 
     const start = (nodeId: string): OwnerNode => {
         const nodeClock = createFreezableClock(clock);
-        const writeFates: CallFate[] = [];
+        const writeOutcomes: CallOutcome[] = [];
         const tableService = table.connect(nodeClock, (call) =>
-            (call === "write" ? writeFates.shift() : undefined) ?? node.weather);
+            (call === "write" ? writeOutcomes.shift() : undefined) ?? node.defaultOutcome);
         const ownership = createPartitionOwnership({
             tableService,
             clock: nodeClock,
             random,
             nodeId,
-            bootId: `${boots++}`,
-            logger: quietLogger,
+            bootId: `${startCount++}`,
+            logger: silentLogger,
             claimOptions: claimOptionsSchema.parse({ keyClockToleranceMs: 1000 }),
             options: ownershipOptionsSchema.parse({ enabled: true, partitions: 1, leaseMs: LEASE }),
             signal: controller.signal,
@@ -79,7 +81,8 @@
             { ...SIMULATED_SERVICE, key, fingerprint: "same", deadline: clock.monotonic() + LEASE },
             readKeyTime(key) ?? 0,
         );
-        const node: OwnerNode = { nodeId, clock: nodeClock, ownership, writeFates, weather: HEALTHY, decide };
+        const node: OwnerNode =
+            { nodeId, clock: nodeClock, ownership, writeOutcomes, defaultOutcome: HEALTHY, decide };
         void ownership.start(controller.signal);
         return node;
     };
@@ -87,10 +90,10 @@
     const harness: OwnershipHarness = {
         clock,
         table,
-        members: [FIRST, SECOND],
-        alive: [FIRST, SECOND],
+        members: [FIRST_RANKED, SECOND_RANKED],
+        alive: [FIRST_RANKED, SECOND_RANKED],
         start,
-        mint: () => mintKey(clock.now(), random),
+        generateKey: () => generateKey(clock.now(), random),
         stop: () => controller.abort(),
     };
     return harness;
--- a/packages/oleandergap-idempotency/src/__tests__/support/quietLogger.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/quietLogger.ts
@@ -1,6 +1,6 @@
-/** A logger for tests that drops every line. */
+/** Logger for tests that discards all lines. */
 import type { Logger } from "oleandergap-logger";
 
-const drop = (): void => undefined;
+const doNothing = (): void => undefined;
 
-export const quietLogger: Logger = { debug: drop, info: drop, warn: drop, error: drop };
+export const silentLogger: Logger = { debug: doNothing, info: doNothing, warn: doNothing, error: doNothing };
--- a/packages/oleandergap-idempotency/src/__tests__/takeover.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/takeover.test.ts
@@ -7,9 +7,9 @@
 import { formatLeaseKey, type LeaseRow, type PartitionRow } from "../ownership/ownershipRows.js";
 
 describe("createTakeover", () => {
-    // Symptom: two owners accept the same key. Sequence: the successor reads the lease row, the holder renews it, the
-    // successor fences it with the ceiling that it read. Cause: the fence did not demand the version that was read.
-    it("does not fence a lease that was renewed since it was read", async () => {
+    // Guards against two owners that accept the same key: the new owner reads the lease row, the holder renews it, and
+    // the new owner fences it with the old ceiling. Fencing must be conditional on the version that was read.
+    it("does not fence a lease that was renewed after it was read", async () => {
         const clock = createManualClock();
         const table = createMemoryTable(clock);
         const signal = new AbortController().signal;
--- a/packages/oleandergap-idempotency/src/claim/acquireClaim.ts
+++ b/packages/oleandergap-idempotency/src/claim/acquireClaim.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt to claim a key: a conditional insert that is repeated under the same attempt id until the row tells who
- * holds the key. A lost answer is read back and never guessed.
+ * One attempt to claim a key: a conditional insert that is retried with the same attempt id until the row shows which
+ * attempt holds the key. When a response is lost, the row is read back; the outcome is never guessed.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
@@ -15,20 +15,20 @@
 } from "oleandergap-types";
 import { drawBackoff, type Random } from "oleandergap-utils";
 import type { ClaimOptions } from "../options.js";
-import { restoreAnswer, type ReplayedAnswer } from "./answer.js";
+import { restoreResponse, type ReplayedResponse } from "./answer.js";
 import type { BatchReader } from "./batchReader.js";
 import type { BatchWriter } from "./batchWriter.js";
 import { claimRowSchema, type ClaimedRow, type ClaimRow } from "./claimRow.js";
-import { refuseOtherRequest, refuseUnavailable, tellDuplicate } from "./failures.js";
-import type { PlatformPause } from "./platformPause.js";
+import { createKeyReuseFailure, createUnavailableFailure, createDuplicateFailure } from "./failures.js";
+import type { PlatformCircuitBreaker } from "./platformPause.js";
 
 export type KnownOutcome =
-    /** The first answer, to be sent to the repeat. */
-    | { readonly kind: "Replay"; readonly answer: ReplayedAnswer }
-    /** The request ran and was answered, and the answer was too large to keep. */
+    /** The response to the first request, to be sent to the repeated request. */
+    | { readonly kind: "Replay"; readonly answer: ReplayedResponse }
+    /** The request ran and the target responded, but the body of the response was not stored. */
     | { readonly kind: "AlreadyRan"; readonly status: number };
 
-export type Acquired =
+export type AcquireResult =
     | { readonly kind: "Held" }
     | KnownOutcome
     | { readonly kind: "Failed"; readonly failure: RequestFailure };
@@ -36,142 +36,151 @@
 export interface AcquireDependencies {
     readonly reader: BatchReader;
     readonly writer: BatchWriter;
-    readonly pause: PlatformPause;
+    readonly circuitBreaker: PlatformCircuitBreaker;
     readonly clock: Clock;
     readonly random: Random;
     readonly signal: AbortSignal;
     readonly options: Pick<ClaimOptions, "retryPauseMs" | "maxRetryPauseMs" | "duplicateRetryAfterMs">;
 }
 
-/** What is known of one attempt while it is under way. */
+/** State of one claim attempt in flight. */
 export interface ClaimAttempt {
     readonly rowKey: string;
     readonly row: ClaimedRow;
-    /** Monotonic time. */
+    /** Monotonic time at which the attempt started. */
     readonly startedAt: Milliseconds;
-    /** Monotonic time of the last answer that it got, of its start before the first. */
-    heardAt: Milliseconds;
-    /** A write was sent whose fate is unknown: the row may exist, now or later. */
-    mayExist: boolean;
-    /** Nobody waits any more: stop at the next step. */
+    /** Monotonic time of the last response to this attempt; the start time before the first response. */
+    lastResponseAt: Milliseconds;
+    /** True when a write with an unknown outcome was sent: the row may exist now or appear later. */
+    mayRowExist: boolean;
+    /** True when no caller waits for the result; the attempt stops at its next step. */
     abandoned: boolean;
 }
 
-type Reading =
-    | { readonly kind: "Final"; readonly result: Acquired }
+type RowDecision =
+    | { readonly kind: "Final"; readonly result: AcquireResult }
     | { readonly kind: "Insert"; readonly condition: RowCondition };
 
-const final = (result: Acquired): Reading => ({ kind: "Final", result });
+const createFinalDecision = (result: AcquireResult): RowDecision => ({ kind: "Final", result });
 
-const fail = (failure: RequestFailure): Acquired => ({ kind: "Failed", failure });
+const createFailedResult = (failure: RequestFailure): AcquireResult => ({ kind: "Failed", failure });
 
-/** What a repeat of a key is told when its outcome is known. */
-export const describeFinished = (row: Extract<ClaimRow, { state: "finished" }>): KnownOutcome => {
-    const answer = restoreAnswer(row.answer);
-    return answer === undefined ?
+/** Returns the outcome for a repeated request from the row of a finished one. */
+export const createKnownOutcome = (row: Extract<ClaimRow, { state: "finished" }>): KnownOutcome => {
+    const response = restoreResponse(row.answer);
+    return response === undefined ?
         { kind: "AlreadyRan", status: row.answer.status } :
-        { kind: "Replay", answer };
+        { kind: "Replay", answer: response };
 };
 
-const judgeOther = (
+const evaluateOtherClaim = (
     found: ClaimRow,
     version: RowVersion,
     fingerprint: string,
     retryAfterMs: Milliseconds,
-): Reading => {
+): RowDecision => {
     if (found.state === "released") {
         return { kind: "Insert", condition: { kind: "VersionIs", version } };
     }
     if (found.fingerprint !== fingerprint) {
-        return final(fail(refuseOtherRequest()));
+        return createFinalDecision(createFailedResult(createKeyReuseFailure()));
     }
-    return final(found.state === "finished" ? describeFinished(found) : fail(tellDuplicate(retryAfterMs)));
+    return createFinalDecision(
+        found.state === "finished" ?
+            createKnownOutcome(found) :
+            createFailedResult(createDuplicateFailure(retryAfterMs)),
+    );
 };
 
-const judgeRow = (found: TableRow | undefined, own: ClaimedRow, retryAfterMs: Milliseconds): Reading => {
+const evaluateRow = (found: TableRow | undefined, own: ClaimedRow, retryAfterMs: Milliseconds): RowDecision => {
     if (found === undefined) {
         return { kind: "Insert", condition: { kind: "Absent" } };
     }
     const parsed = claimRowSchema.safeParse(found.value);
     if (!parsed.success) {
-        // Written by a newer release, perhaps: it proves that the key was claimed, so it must not run again.
-        return final(fail(tellDuplicate(retryAfterMs)));
+        // A newer release may have written the row. The row proves that the key was claimed, so it must not run again.
+        return createFinalDecision(createFailedResult(createDuplicateFailure(retryAfterMs)));
     }
     return parsed.data.attemptId === own.attemptId ?
-        final({ kind: "Held" }) :
-        judgeOther(parsed.data, found.version, own.fingerprint, retryAfterMs);
+        createFinalDecision({ kind: "Held" }) :
+        evaluateOtherClaim(parsed.data, found.version, own.fingerprint, retryAfterMs);
 };
 
-const readRetryAfter = (error: PlatformError, pause: PlatformPause): Milliseconds =>
-    error.kind === "OverBudget" ? error.retryAfterMs : pause.remaining();
+const getRetryAfter = (error: PlatformError, circuitBreaker: PlatformCircuitBreaker): Milliseconds =>
+    error.kind === "OverBudget" ? error.retryAfterMs : circuitBreaker.remainingOpenTime();
 
-/** What a repeat is told of a key that it must not claim. */
-export const judgeForeignRow = (
+/** Returns the result for a repeated request from the row of its key, without claiming the key. */
+export const evaluateWithoutClaiming = (
     value: unknown,
     fingerprint: string,
     retryAfterMs: Milliseconds,
 ): Either<RequestFailure, KnownOutcome> => {
     const parsed = claimRowSchema.safeParse(value);
     if (!parsed.success || parsed.data.state === "released") {
-        return either.left(tellDuplicate(retryAfterMs));
+        return either.left(createDuplicateFailure(retryAfterMs));
     }
     if (parsed.data.fingerprint !== fingerprint) {
-        return either.left(refuseOtherRequest());
+        return either.left(createKeyReuseFailure());
     }
     return parsed.data.state === "finished" ?
-        either.right(describeFinished(parsed.data)) :
-        either.left(tellDuplicate(retryAfterMs));
+        either.right(createKnownOutcome(parsed.data)) :
+        either.left(createDuplicateFailure(retryAfterMs));
 };
 
-export const acquireClaim = async (attempt: ClaimAttempt, dependencies: AcquireDependencies): Promise<Acquired> => {
-    const { reader, writer, pause, clock, random, signal, options } = dependencies;
+export const acquireClaim = async (
+    attempt: ClaimAttempt,
+    dependencies: AcquireDependencies,
+): Promise<AcquireResult> => {
+    const { reader, writer, circuitBreaker, clock, random, signal, options } = dependencies;
     const { rowKey, row } = attempt;
 
-    const noteAnswer = (): void => {
-        attempt.heardAt = clock.monotonic();
-        pause.reportSuccess();
+    const recordResponse = (): void => {
+        attempt.lastResponseAt = clock.monotonic();
+        circuitBreaker.reportSuccess();
     };
 
-    const stopped = (): boolean => attempt.abandoned || signal.aborted;
+    const isStopped = (): boolean => attempt.abandoned || signal.aborted;
 
-    const readBack = async (): Promise<Reading> => {
-        for (let failures = 0; !stopped(); failures++) {
+    const readBack = async (): Promise<RowDecision> => {
+        for (let failures = 0; !isStopped(); failures++) {
             const outcome = await reader.read(rowKey);
             if (either.isRight(outcome)) {
-                noteAnswer();
-                return judgeRow(outcome.right, row, options.duplicateRetryAfterMs);
+                recordResponse();
+                return evaluateRow(outcome.right, row, options.duplicateRetryAfterMs);
             }
-            if (!attempt.mayExist) {
-                pause.reportFailure(attempt.startedAt);
-                return final(fail(refuseUnavailable(readRetryAfter(outcome.left, pause))));
+            if (!attempt.mayRowExist) {
+                circuitBreaker.reportFailure(attempt.startedAt);
+                return createFinalDecision(
+                    createFailedResult(createUnavailableFailure(getRetryAfter(outcome.left, circuitBreaker))),
+                );
             }
             const backoff = drawBackoff(random, failures, options.retryPauseMs, options.maxRetryPauseMs);
             await clock.sleep(options.retryPauseMs + backoff, signal);
         }
-        return final(fail(refuseUnavailable(options.duplicateRetryAfterMs)));
+        return createFinalDecision(createFailedResult(createUnavailableFailure(options.duplicateRetryAfterMs)));
     };
 
     let condition: RowCondition = { kind: "Absent" };
-    while (!stopped()) {
+    while (!isStopped()) {
         const outcome = await writer.submit({ key: rowKey, condition, value: row });
         if (outcome.kind !== "Failed") {
-            noteAnswer();
+            recordResponse();
         }
         if (outcome.kind === "Written") {
             return { kind: "Held" };
         }
         if (outcome.kind === "Failed" && outcome.error.kind === "OutcomeUnknown") {
-            attempt.mayExist = true;
+            attempt.mayRowExist = true;
         }
-        else if (outcome.kind === "Failed" && !attempt.mayExist) {
-            pause.reportFailure(attempt.startedAt);
-            return fail(refuseUnavailable(readRetryAfter(outcome.error, pause)));
+        else if (outcome.kind === "Failed" && !attempt.mayRowExist) {
+            circuitBreaker.reportFailure(attempt.startedAt);
+            return createFailedResult(createUnavailableFailure(getRetryAfter(outcome.error, circuitBreaker)));
         }
-        const reading = await readBack();
-        if (reading.kind === "Final") {
-            return reading.result;
+        const decision = await readBack();
+        if (decision.kind === "Final") {
+            return decision.result;
         }
-        condition = reading.condition;
+        condition = decision.condition;
     }
-    return fail(refuseUnavailable(options.duplicateRetryAfterMs));
+    return createFailedResult(createUnavailableFailure(options.duplicateRetryAfterMs));
 };
--- a/packages/oleandergap-idempotency/src/claim/answer.ts
+++ b/packages/oleandergap-idempotency/src/claim/answer.ts
@@ -1,42 +1,45 @@
-/** Answers of targets: what of them is kept so that a repeat of the key receives the first answer. */
+/** Conversion of target responses to and from the form that is stored for repeated requests with the same key. */
 import type { ClaimOptions } from "../options.js";
-import type { StoredAnswer } from "./claimRow.js";
+import type { StoredResponse } from "./claimRow.js";
 
-/** A target's answer as the gate saw it. */
-export interface AnswerSummary {
+/** A target's response as received by the gate. */
+export interface TargetResponse {
     readonly status: number;
     readonly headers: readonly (readonly [name: string, value: string])[];
-    /** The whole body; undefined when it was streamed on without being collected. */
+    /** The complete body; undefined when it was streamed to the caller without being buffered. */
     readonly body?: Uint8Array | undefined;
 }
 
-/** The first answer, to be sent again. */
-export interface ReplayedAnswer {
+/** The response to the first request, to be sent to a repeated request. */
+export interface ReplayedResponse {
     readonly status: number;
     readonly headers: readonly (readonly [name: string, value: string])[];
     readonly body: Uint8Array;
 }
 
-/** Keeps the headers of the allow list only: cookies or credentials must not reach whoever else repeats the key. */
-export const storeAnswer = (
-    answer: AnswerSummary,
+/**
+ * Converts a response to its stored form. Only headers of the allow list are stored, because cookies or credentials
+ * must not reach another caller that repeats the key.
+ */
+export const createStoredResponse = (
+    response: TargetResponse,
     options: Pick<ClaimOptions, "maxAnswerBytes" | "replayedHeaders">,
-): StoredAnswer => {
-    const headers = answer.headers
+): StoredResponse => {
+    const headers = response.headers
         .map(([name, value]): [string, string] => [name.toLowerCase(), value])
         .filter(([name]) => options.replayedHeaders.includes(name));
-    const keepsBody = answer.body !== undefined && answer.body.byteLength <= options.maxAnswerBytes;
+    const isBodyKept = response.body !== undefined && response.body.byteLength <= options.maxAnswerBytes;
     return {
-        status: answer.status,
+        status: response.status,
         headers,
-        ...(keepsBody && answer.body !== undefined ?
-            { bodyBase64: Buffer.from(answer.body).toString("base64") } :
+        ...(isBodyKept && response.body !== undefined ?
+            { bodyBase64: Buffer.from(response.body).toString("base64") } :
             {}),
     };
 };
 
-/** Undefined when the body was too large to keep. */
-export const restoreAnswer = (stored: StoredAnswer): ReplayedAnswer | undefined =>
+/** Returns the stored response, or undefined when its body was not stored. */
+export const restoreResponse = (stored: StoredResponse): ReplayedResponse | undefined =>
     stored.bodyBase64 === undefined ?
         undefined :
         { status: stored.status, headers: stored.headers, body: Buffer.from(stored.bodyBase64, "base64") };
--- a/packages/oleandergap-idempotency/src/claim/batchReader.ts
+++ b/packages/oleandergap-idempotency/src/claim/batchReader.ts
@@ -1,15 +1,18 @@
-/** Row reads that arrive together share one call; the platform takes about two thousand a second in all. */
+/**
+ * Batches row reads: reads that arrive within a short window share one call, because the platform accepts only about
+ * two thousand reads per second in total.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, PlatformError, TableRow, TableService } from "oleandergap-types";
 import type { ClaimOptions } from "../options.js";
 
-/** Undefined when the row does not exist. */
+/** Result of one read; its value is undefined when the row does not exist. */
 export type ReadOutcome = Either<PlatformError, TableRow | undefined>;
 
 export interface BatchReader {
     readonly read: (key: string) => Promise<ReadOutcome>;
-    /** Calls sent so far. */
+    /** Returns the number of calls sent so far. */
     readonly calls: () => number;
 }
 
@@ -50,10 +53,10 @@
     };
 
     const flush = (): void => {
-        const taken = pending;
+        const batchedReads = pending;
         pending = [];
-        for (let start = 0; start < taken.length; start += options.maxBatchSize) {
-            void readBatch(taken.slice(start, start + options.maxBatchSize));
+        for (let start = 0; start < batchedReads.length; start += options.maxBatchSize) {
+            void readBatch(batchedReads.slice(start, start + options.maxBatchSize));
         }
     };
 
--- a/packages/oleandergap-idempotency/src/claim/batchWriter.ts
+++ b/packages/oleandergap-idempotency/src/claim/batchWriter.ts
@@ -1,9 +1,10 @@
 /**
- * Group commit: row writes that arrive within a few milliseconds share one transaction, because the platform takes
- * only several hundred transactions a second from the whole fleet.
+ * Group commit: row writes that arrive within a few milliseconds share one transaction, because the platform accepts
+ * only several hundred transactions per second from the whole fleet.
  *
- * A transaction fails whole when one condition fails, so a repeated key would take its neighbours down with it. The
- * platform names the keys that failed; the others go out again at once in the next transaction.
+ * A transaction fails as a whole when one of its conditions fails, so one repeated key would make the other writes of
+ * its batch fail as well. The platform returns the keys whose condition failed; the other writes are sent again
+ * immediately in the next transaction.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
@@ -14,19 +15,19 @@
     readonly key: string;
     readonly condition: RowCondition;
     readonly value: unknown;
-    /** Further conditions on other rows that must hold for this write. */
+    /** Conditions on other rows that must also be met for this write. */
     readonly checks?: readonly Extract<TableOperation, { kind: "Check" }>[];
 }
 
 export type WriteOutcome =
     | { readonly kind: "Written" }
-    /** Nothing was written: the row was not as the condition demands, or a check failed. */
+    /** Nothing was written: the condition on the row or one of the checks was not met. */
     | { readonly kind: "ConditionFailed" }
     | { readonly kind: "Failed"; readonly error: PlatformError };
 
 export interface BatchWriter {
     readonly submit: (write: RowWrite) => Promise<WriteOutcome>;
-    /** Transactions sent so far. */
+    /** Returns the number of transactions sent so far. */
     readonly transactions: () => number;
 }
 
@@ -34,8 +35,8 @@
     readonly tableService: TableService;
     readonly clock: Clock;
     readonly signal: AbortSignal;
-    /** The platform answered a transaction, committed or not. */
-    readonly onAnswered?: () => void;
+    /** Called when the platform responds to a transaction, whether it was committed or not. */
+    readonly onResponse?: () => void;
     readonly options: Pick<ClaimOptions, "batchWindowMs" | "maxBatchSize" | "maxTransactionsInFlight">;
 }
 
@@ -56,57 +57,57 @@
     return [...checks.values(), ...puts];
 };
 
-const touches = (write: RowWrite, keys: ReadonlySet<string>): boolean =>
+const involvesAnyKey = (write: RowWrite, keys: ReadonlySet<string>): boolean =>
     keys.has(write.key) || (write.checks ?? []).some((check) => keys.has(check.key));
 
-const contradicts = (write: RowWrite, batch: readonly PendingWrite[]): boolean =>
+const isKeyInBatch = (write: RowWrite, batch: readonly PendingWrite[]): boolean =>
     batch.some((other) => other.write.key === write.key);
 
-/** Takes the first writes off `queue`, at most `limit`; a key stands in a batch once only. */
+/** Removes the next batch of at most `limit` writes from `queue`. A batch contains each key at most once. */
 const takeBatch = (queue: PendingWrite[], limit: number): readonly PendingWrite[] => {
     const batch: PendingWrite[] = [];
-    const left: PendingWrite[] = [];
+    const remaining: PendingWrite[] = [];
     for (const pending of queue.splice(0)) {
-        const fits = batch.length < limit && !contradicts(pending.write, batch);
-        (fits ? batch : left).push(pending);
+        const isIncluded = batch.length < limit && !isKeyInBatch(pending.write, batch);
+        (isIncluded ? batch : remaining).push(pending);
     }
-    queue.push(...left);
+    queue.push(...remaining);
     return batch;
 };
 
 export const createBatchWriter = (dependencies: BatchWriterDependencies): BatchWriter => {
-    const { tableService, clock, signal, onAnswered, options } = dependencies;
+    const { tableService, clock, signal, onResponse, options } = dependencies;
     const queue: PendingWrite[] = [];
     let inFlight = 0;
     let transactions = 0;
-    let windowOpen = false;
+    let isWindowOpen = false;
 
     const transact = async (batch: readonly PendingWrite[]): Promise<Either<PlatformError, TransactionResult>> => {
         try {
             return await tableService.transact(toOperations(batch), signal)();
         }
         catch (error) {
-            // An adapter that throws has broken its contract; whether it wrote is unknown.
+            // An adapter must not throw; if it does, it is unknown whether the transaction was committed.
             return either.left({ kind: "OutcomeUnknown", detail: String(error) });
         }
     };
 
-    const answer = (batch: readonly PendingWrite[], result: Either<PlatformError, TransactionResult>): void => {
+    const resolveBatch = (batch: readonly PendingWrite[], result: Either<PlatformError, TransactionResult>): void => {
         if (either.isLeft(result)) {
             batch.forEach(({ resolve }) => resolve({ kind: "Failed", error: result.left }));
             return;
         }
-        onAnswered?.();
+        onResponse?.();
         if (result.right.kind === "Committed") {
             batch.forEach(({ resolve }) => resolve({ kind: "Written" }));
             return;
         }
         const failedKeys = new Set(result.right.keys);
-        const failed = batch.filter(({ write }) => touches(write, failedKeys));
-        // A platform that names no key of the batch would otherwise be asked the same again without end.
-        const told = failed.length === 0 ? batch : failed;
-        told.forEach(({ resolve }) => resolve({ kind: "ConditionFailed" }));
-        queue.unshift(...batch.filter((pending) => !told.includes(pending)));
+        const failed = batch.filter(({ write }) => involvesAnyKey(write, failedKeys));
+        // If the platform returns no key of the batch, the same transaction would otherwise be sent again endlessly.
+        const rejected = failed.length === 0 ? batch : failed;
+        rejected.forEach(({ resolve }) => resolve({ kind: "ConditionFailed" }));
+        queue.unshift(...batch.filter((pending) => !rejected.includes(pending)));
     };
 
     const flush = async (): Promise<void> => {
@@ -116,17 +117,17 @@
             transactions += 1;
             const result = await transact(batch);
             inFlight -= 1;
-            answer(batch, result);
+            resolveBatch(batch, result);
         }
     };
 
     const openWindow = (): void => {
-        if (windowOpen) {
+        if (isWindowOpen) {
             return;
         }
-        windowOpen = true;
+        isWindowOpen = true;
         clock.after(options.batchWindowMs, () => {
-            windowOpen = false;
+            isWindowOpen = false;
             void flush();
         });
     };
--- a/packages/oleandergap-idempotency/src/claim/claimKeeper.ts
+++ b/packages/oleandergap-idempotency/src/claim/claimKeeper.ts
@@ -1,33 +1,47 @@
 /**
- * The durable claim: a non-idempotent request with an idempotency key runs only under a row of the platform's table
- * that this process inserted itself. Nobody ever takes a claim over, so there is no lease that could lapse while its
- * holder is paused: a holder that is killed leaves the key answered with "may have run", and a holder that is frozen
- * still owns it when it resumes.
+ * Durable claims: a non-idempotent request with an idempotency key runs only after this process has inserted a row for
+ * the key into the platform's table. No other process ever takes a claim over, so there is no lease that could expire
+ * while its holder is frozen. If a holder is killed, repeats of the key fail with "may have run"; if a holder is
+ * frozen, it still holds the claim when it resumes.
  */
 import { setMaxListeners } from "node:events";
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
-import type { Clock, Milliseconds, NodeId, PartnerName, RequestFailure, ServiceName, TableService } from "oleandergap-types";
+import type {
+    Clock,
+    Milliseconds,
+    NodeId,
+    PartnerName,
+    RequestFailure,
+    ServiceName,
+    TableService,
+} from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
 import type { Random } from "oleandergap-utils";
 import type { ClaimOptions } from "../options.js";
-import { acquireClaim, judgeForeignRow, type Acquired, type ClaimAttempt, type KnownOutcome } from "./acquireClaim.js";
+import {
+    acquireClaim,
+    evaluateWithoutClaiming,
+    type AcquireResult,
+    type ClaimAttempt,
+    type KnownOutcome,
+} from "./acquireClaim.js";
 import { createBatchReader } from "./batchReader.js";
 import { createBatchWriter } from "./batchWriter.js";
 import { formatClaimRowKey, parseIdempotencyKey } from "./claimKey.js";
-import { judgeKeyTime } from "./keyTime.js";
+import { checkKeyTime } from "./keyTime.js";
 import type { ClaimedRow } from "./claimRow.js";
-import { refuseUnavailable } from "./failures.js";
-import { createLocalClaims, judgeLocalClaim, type Claim } from "./localClaims.js";
-import { createPlatformPause } from "./platformPause.js";
+import { createUnavailableFailure } from "./failures.js";
+import { createLocalClaims, evaluateLocalClaim, type Claim } from "./localClaims.js";
+import { createPlatformCircuitBreaker } from "./platformPause.js";
 import { createSettler } from "./settler.js";
-import { waitForAnswer, type AnswerWait } from "./waitForAnswer.js";
+import { waitForResponse, type ResponseWait } from "./waitForAnswer.js";
 import { waitUntil } from "./waitUntil.js";
 
 export interface ClaimRequest {
     readonly partner: PartnerName;
     readonly service: ServiceName;
-    /** The header's value as received. */
+    /** Value of the `idempotency-key` header as received. */
     readonly key: string;
     /** See `computeFingerprint`. */
     readonly fingerprint: string;
@@ -44,7 +58,9 @@
     readonly refused: number;
     readonly duplicates: number;
     readonly replayed: number;
-    /** Claims that nobody waited for any more when they were decided; released in the background. */
+    /**
+     * Number of claims that were decided after their caller had stopped waiting; they are released in the background.
+     */
     readonly abandoned: number;
     readonly pendingOutcomes: number;
     readonly transactions: number;
@@ -52,10 +68,11 @@
 }
 
 export interface ClaimKeeper {
+    /** Claims the key of a request. `signal` aborts when the caller disconnects. */
     readonly claim: (request: ClaimRequest, signal: AbortSignal) => Promise<ClaimResult>;
-    /** What the table tells of the key, without claiming it: a known outcome, or that it may have run. */
+    /** Reads the key's row without claiming the key: returns a known outcome, or the failure that it may have run. */
     readonly lookUp: (request: ClaimRequest, signal: AbortSignal) => Promise<ClaimResult>;
-    /** Resolves when every outcome is recorded, or when `signal` aborts. */
+    /** Resolves when all outcomes are recorded, or when `signal` aborts. */
     readonly drain: (signal: AbortSignal) => Promise<void>;
     readonly stats: () => ClaimStats;
 }
@@ -65,40 +82,43 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly nodeId: NodeId;
-    /** Differs with each start of the process; attempt ids are unique because of it. */
+    /** Id that is unique to each start of the process; it makes the attempt ids unique. */
     readonly bootId: string;
     readonly logger: Logger;
     readonly options: ClaimOptions;
-    /** Ends all background work. */
+    /** Stops all background work when it aborts. */
     readonly signal: AbortSignal;
 }
 
-const nameCounter = (result: ClaimResult): "granted" | "refused" | "duplicates" | "replayed" => {
+const chooseCounter = (result: ClaimResult): "granted" | "refused" | "duplicates" | "replayed" => {
     if (either.isRight(result)) {
         return result.right.kind === "Granted" ? "granted" : "replayed";
     }
     return result.left.kind === "DuplicateKey" ? "duplicates" : "refused";
 };
 
-/** The row may stand in the table, or come to stand there, although nobody will run the request. */
-const blocksKey = (attempt: ClaimAttempt, acquired: Acquired): boolean =>
-    acquired.kind === "Held" || (acquired.kind === "Failed" && attempt.mayExist);
+/** Returns whether the claim's row may exist now or appear later although its request will not run. */
+const mayBlockKey = (attempt: ClaimAttempt, acquired: AcquireResult): boolean =>
+    acquired.kind === "Held" || (acquired.kind === "Failed" && attempt.mayRowExist);
 
-/** Every waiting retry listens to the signal; Node.js would warn of a leak from the eleventh on. */
-const createLifetime = (signal: AbortSignal): AbortSignal => {
-    const lifetime = AbortSignal.any([signal]);
-    setMaxListeners(0, lifetime);
-    return lifetime;
+/**
+ * Returns a signal without a limit on listeners. Each waiting retry adds a listener, and Node.js would warn of a leak
+ * from the eleventh listener on.
+ */
+const createLifetimeSignal = (signal: AbortSignal): AbortSignal => {
+    const lifetimeSignal = AbortSignal.any([signal]);
+    setMaxListeners(0, lifetimeSignal);
+    return lifetimeSignal;
 };
 
-export const createClaimKeeper = (given: ClaimKeeperDependencies): ClaimKeeper => {
-    const dependencies = { ...given, signal: createLifetime(given.signal) };
+export const createClaimKeeper = (baseDependencies: ClaimKeeperDependencies): ClaimKeeper => {
+    const dependencies = { ...baseDependencies, signal: createLifetimeSignal(baseDependencies.signal) };
     const { clock, nodeId, bootId, options } = dependencies;
     const reader = createBatchReader(dependencies);
-    const pause = createPlatformPause(dependencies);
-    const writer = createBatchWriter({ ...dependencies, onAnswered: pause.reportSuccess });
-    const settler = createSettler({ ...dependencies, reader, writer, pause });
-    const local = createLocalClaims({ ...dependencies, settler });
+    const circuitBreaker = createPlatformCircuitBreaker(dependencies);
+    const writer = createBatchWriter({ ...dependencies, onResponse: circuitBreaker.reportSuccess });
+    const settler = createSettler({ ...dependencies, reader, writer, circuitBreaker });
+    const claims = createLocalClaims({ ...dependencies, settler });
     const counts = { granted: 0, refused: 0, duplicates: 0, replayed: 0, abandoned: 0 };
     let attempts = 0;
 
@@ -108,17 +128,21 @@
         return { attemptId, nodeId, bootId, fingerprint, claimedAt: clock.now(), state: "claimed" };
     };
 
-    const refuseWhileDown = (): ClaimResult =>
-        either.left(refuseUnavailable(Math.max(options.retryPauseMs, pause.remaining())));
+    const createUnavailableResult = (): ClaimResult =>
+        either.left(createUnavailableFailure(Math.max(options.retryPauseMs, circuitBreaker.remainingOpenTime())));
 
-    /** The silence counts from the last answer to anybody: a claim that waits its turn behind others is no outage. */
+    /**
+     * The response deadline counts from the platform's last response to any claim, because a claim that waits in the
+     * queue behind others is no sign of an outage.
+     */
     const createWait = (
         { deadline }: ClaimRequest,
         signal: AbortSignal,
-        heardAt: () => Milliseconds,
-    ): AnswerWait => ({
+        lastResponseAt: () => Milliseconds,
+    ): ResponseWait => ({
         deadline,
-        silentAt: () => Math.max(heardAt(), pause.answeredAt()) + options.answerTimeoutMs,
+        getResponseDeadline: () =>
+            Math.max(lastResponseAt(), circuitBreaker.lastResponseAt()) + options.answerTimeoutMs,
         clock,
         signal,
     });
@@ -127,89 +151,89 @@
         const row = createRow(request.fingerprint);
         const startedAt = clock.monotonic();
         const attempt: ClaimAttempt =
-            { rowKey, row, startedAt, heardAt: startedAt, mayExist: false, abandoned: false };
-        const entry = local.open(rowKey, request.fingerprint);
-        const work = acquireClaim(attempt, { ...dependencies, reader, writer, pause });
-        const waited = await waitForAnswer(work, createWait(request, signal, () => attempt.heardAt));
-        if (waited.kind !== "Finished") {
+            { rowKey, row, startedAt, lastResponseAt: startedAt, mayRowExist: false, abandoned: false };
+        const entry = claims.open(rowKey, request.fingerprint);
+        const work = acquireClaim(attempt, { ...dependencies, reader, writer, circuitBreaker });
+        const waitResult = await waitForResponse(work, createWait(request, signal, () => attempt.lastResponseAt));
+        if (waitResult.kind !== "Finished") {
             attempt.abandoned = true;
             counts.abandoned += 1;
-            const mustRelease = work.then((acquired) => blocksKey(attempt, acquired));
-            local.settle(rowKey, entry, { ...row, state: "released" }, mustRelease);
-            if (waited.kind === "Silent") {
-                pause.reportFailure(startedAt);
-                return refuseWhileDown();
+            const mustRelease = work.then((acquired) => mayBlockKey(attempt, acquired));
+            claims.settle(rowKey, entry, { ...row, state: "released" }, mustRelease);
+            if (waitResult.kind === "Silent") {
+                circuitBreaker.reportFailure(startedAt);
+                return createUnavailableResult();
             }
-            return either.left(waited.failure);
+            return either.left(waitResult.failure);
         }
-        const acquired = waited.value;
+        const acquired = waitResult.value;
         if (acquired.kind === "Held") {
-            return either.right({ kind: "Granted", claim: local.createClaim(rowKey, entry, row, request.deadline) });
+            return either.right({ kind: "Granted", claim: claims.createClaim(rowKey, entry, row, request.deadline) });
         }
-        local.forget(rowKey);
+        claims.remove(rowKey);
         return acquired.kind === "Failed" ? either.left(acquired.failure) : either.right(acquired);
     };
 
-    /** What this process knows of the key; undefined when the platform has to be asked. */
-    const consultLocal = async (
+    /** Decides from the claims in memory; resolves to undefined when the key must be claimed in the table. */
+    const checkLocal = async (
         rowKey: string,
         request: ClaimRequest,
         signal: AbortSignal,
     ): Promise<ClaimResult | undefined> => {
-        for (let entry = local.get(rowKey); entry !== undefined; entry = local.get(rowKey)) {
-            const judged = judgeLocalClaim(entry, request.fingerprint, options.duplicateRetryAfterMs);
-            if (judged !== undefined) {
-                return judged;
+        for (let entry = claims.get(rowKey); entry !== undefined; entry = claims.get(rowKey)) {
+            const decided = evaluateLocalClaim(entry, request.fingerprint, options.duplicateRetryAfterMs);
+            if (decided !== undefined) {
+                return decided;
             }
-            if (pause.remaining() > 0) {
-                return refuseWhileDown();
+            if (circuitBreaker.remainingOpenTime() > 0) {
+                return createUnavailableResult();
             }
             const startedAt = clock.monotonic();
             const wait = createWait(request, signal, () => startedAt);
-            const waited = await waitForAnswer(entry.settled ?? Promise.resolve(), wait);
-            if (waited.kind !== "Finished") {
-                return waited.kind === "Silent" ? refuseWhileDown() : either.left(waited.failure);
+            const waitResult = await waitForResponse(entry.settled ?? Promise.resolve(), wait);
+            if (waitResult.kind !== "Finished") {
+                return waitResult.kind === "Silent" ? createUnavailableResult() : either.left(waitResult.failure);
             }
         }
         return undefined;
     };
 
     const decide = async (rowKey: string, request: ClaimRequest, signal: AbortSignal): Promise<ClaimResult> => {
-        const known = local.get(rowKey) === undefined ? undefined : await consultLocal(rowKey, request, signal);
-        if (known !== undefined) {
-            return known;
+        const decided = claims.get(rowKey) === undefined ? undefined : await checkLocal(rowKey, request, signal);
+        if (decided !== undefined) {
+            return decided;
         }
-        if (local.pendingOutcomes() >= options.maxPendingOutcomes || !pause.tryEnter()) {
-            return refuseWhileDown();
+        if (claims.pendingOutcomes() >= options.maxPendingOutcomes || !circuitBreaker.tryAcquire()) {
+            return createUnavailableResult();
         }
         return acquire(rowKey, request, signal);
     };
 
     const claim = async (request: ClaimRequest, signal: AbortSignal): Promise<ClaimResult> => {
-        const key = either.chain((parsed: string) => judgeKeyTime(parsed, clock.now(), options))(
+        const key = either.chain((parsed: string) => checkKeyTime(parsed, clock.now(), options))(
             parseIdempotencyKey(request.key),
         );
         const result = either.isLeft(key) ?
             key :
             await decide(formatClaimRowKey(request, key.right), request, signal);
-        counts[nameCounter(result)] += 1;
+        counts[chooseCounter(result)] += 1;
         return result;
     };
 
     const lookUp: ClaimKeeper["lookUp"] = async (request, signal) => {
-        const reading = reader.read(formatClaimRowKey(request, request.key));
-        const found = await waitUntil(reading, request.deadline, clock, signal);
+        const pendingRead = reader.read(formatClaimRowKey(request, request.key));
+        const found = await waitUntil(pendingRead, request.deadline, clock, signal);
         const row = found.kind === "Finished" && either.isRight(found.value) ? found.value.right : undefined;
-        return judgeForeignRow(row?.value, request.fingerprint, options.duplicateRetryAfterMs);
+        return evaluateWithoutClaiming(row?.value, request.fingerprint, options.duplicateRetryAfterMs);
     };
 
     return {
         claim,
         lookUp,
-        drain: local.drain,
+        drain: claims.drain,
         stats: () => ({
             ...counts,
-            pendingOutcomes: local.pendingOutcomes(),
+            pendingOutcomes: claims.pendingOutcomes(),
             transactions: writer.transactions(),
             reads: reader.calls(),
         }),
--- a/packages/oleandergap-idempotency/src/claim/claimSweeper.ts
+++ b/packages/oleandergap-idempotency/src/claim/claimSweeper.ts
@@ -1,10 +1,10 @@
 /**
- * Deletes expired claim rows. The nodes that serve a service share the duty for its rows; two that sweep the same page
- * only waste a transaction, because each row is deleted at the version that was read.
+ * Deletes expired claim rows. All nodes that serve a service sweep its rows. If two nodes sweep the same page, only one
+ * transaction is wasted, because each row is deleted only at the version that was read.
  *
- * Deleting is safe for a row whose outcome is known once its callers must no longer repeat it. A row that is still
- * `claimed` may belong to a frozen holder, so it stays for days, far longer than a request's deadline; the holder asks
- * `mayStart` before it sends.
+ * A row with a known outcome can safely be deleted when callers must no longer repeat its request. A row that is still
+ * `claimed` may belong to a frozen holder, so it is kept for days, far longer than the deadline of a request; the
+ * holder calls `mayStart` before it sends the request.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, ServiceReference, TableOperation, TableRow, TableService } from "oleandergap-types";
@@ -23,20 +23,20 @@
         ClaimOptions,
         "retentionMs" | "unfinishedRetentionMs" | "sweepIntervalMs" | "sweepPageSize"
     >;
-    /** Services whose rows this node looks after; read before each page. */
+    /** Returns the services whose rows this node sweeps; called before each page. */
     readonly services: () => readonly ServiceReference[];
 }
 
 export interface ClaimSweeper {
     /** Sweeps one page at a time until `signal` aborts. */
     readonly start: (signal: AbortSignal) => Promise<void>;
-    /** Sweeps the next page of a service and tells how many rows it deleted. */
+    /** Sweeps the next page of a service and resolves to the number of deleted rows. */
     readonly sweepPage: (service: ServiceReference, signal: AbortSignal) => Promise<number>;
 }
 
 export const createClaimSweeper = (dependencies: ClaimSweeperDependencies): ClaimSweeper => {
     const { tableService, clock, random, logger, options, services } = dependencies;
-    /** Last key of the page before, by prefix. */
+    /** Last key of the previous page, by prefix. */
     const cursors = new Map<string, string>();
 
     const isExpired = (row: TableRow, now: Milliseconds): boolean => {
@@ -48,7 +48,7 @@
         return now - parsed.data.claimedAt > retention;
     };
 
-    const remember = (prefix: string, page: readonly TableRow[]): void => {
+    const updateCursor = (prefix: string, page: readonly TableRow[]): void => {
         const last = page.at(-1);
         if (last === undefined || page.length < options.sweepPageSize) {
             cursors.delete(prefix);
@@ -75,12 +75,12 @@
         if (either.isLeft(page)) {
             return 0;
         }
-        remember(prefix, page.right);
+        updateCursor(prefix, page.right);
         const now = clock.now();
         return deleteRows(page.right.filter((row) => isExpired(row, now)), signal);
     };
 
-    const sweepAny = async (signal: AbortSignal): Promise<void> => {
+    const sweepRandomService = async (signal: AbortSignal): Promise<void> => {
         const service = pickOne(random, services());
         if (service === undefined) {
             return;
@@ -95,7 +95,7 @@
         while (!signal.aborted) {
             await clock.sleep(options.sweepIntervalMs * 2 * random(), signal);
             if (!signal.aborted) {
-                await sweepAny(signal).catch((error: unknown) =>
+                await sweepRandomService(signal).catch((error: unknown) =>
                     logger.warn("could not sweep expired claims", { error: String(error) }));
             }
         }
--- a/packages/oleandergap-idempotency/src/claim/fingerprint.ts
+++ b/packages/oleandergap-idempotency/src/claim/fingerprint.ts
@@ -1,25 +1,27 @@
-/** Tells a repeat of a request from another request under the same idempotency key. */
+/** Fingerprints that distinguish a repeated request from another request with the same idempotency key. */
 import { createHash } from "node:crypto";
 
 export interface FingerprintedRequest {
     readonly method: string;
-    /** Path with query, as received. */
+    /** Path including the query string, as received. */
     readonly path: string;
     readonly contentType?: string | undefined;
-    /** Length of the body in bytes; undefined when the request does not tell. */
+    /** Length of the body in bytes; undefined when the request does not state it. */
     readonly contentLength?: number | undefined;
-    /** The body, when it was small enough to be collected before the claim. */
+    /** The body if it was small enough to be buffered before the claim, else undefined. */
     readonly body?: Uint8Array | undefined;
 }
 
-/** 64 hexadecimal digits; equal requests have equal fingerprints on every node. */
+/**
+ * Returns the fingerprint of a request as 64 hexadecimal digits. Equal requests have equal fingerprints on all nodes.
+ */
 export const computeFingerprint = (request: FingerprintedRequest): string => {
-    const head = JSON.stringify([
+    const requestHead = JSON.stringify([
         request.method,
         request.path,
         request.contentType ?? "",
         request.contentLength ?? "",
     ]);
-    const hash = createHash("sha256").update(head);
+    const hash = createHash("sha256").update(requestHead);
     return (request.body === undefined ? hash : hash.update(request.body)).digest("hex");
 };
--- a/packages/oleandergap-idempotency/src/claim/keyTime.ts
+++ b/packages/oleandergap-idempotency/src/claim/keyTime.ts
@@ -1,20 +1,21 @@
 /**
- * The age of keys that carry their time (UUIDv7). Rows are deleted after their retention; a repeat that came later
- * would find nothing and run a second time. A key that tells its own age is refused instead, from some time before its
- * row may be deleted. Keys without a time rely on their callers to stop repeating them within the retention.
+ * Checks the age of keys that contain a timestamp (UUIDv7). Rows are deleted after their retention time; a request that
+ * is repeated later would find no row and run a second time. For this reason a key with a timestamp is refused from
+ * some time before its row may be deleted. For keys without a timestamp, the callers must stop repeating them within
+ * the retention time.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Milliseconds, RequestFailure } from "oleandergap-types";
 import type { ClaimOptions } from "../options.js";
 import { readKeyTime } from "./claimKey.js";
-import { refuseFutureKey, tellDuplicate } from "./failures.js";
+import { createFutureKeyFailure, createDuplicateFailure } from "./failures.js";
 
-/** Share of the retention after which a key is refused; the rest covers differences between wall clocks. */
+/** Share of the retention time after which a key is refused; the rest covers differences between wall clocks. */
 const ACCEPTED_SHARE_OF_RETENTION = 0.9;
 
-/** The key itself when its age allows to ask for its row. */
-export const judgeKeyTime = (
+/** Returns the key if its timestamp allows a claim, else the failure for the caller. */
+export const checkKeyTime = (
     key: string,
     now: Milliseconds,
     options: Pick<ClaimOptions, "retentionMs" | "keyClockToleranceMs" | "duplicateRetryAfterMs">,
@@ -24,8 +25,8 @@
         return either.right(key);
     }
     if (time > now + options.keyClockToleranceMs) {
-        return either.left(refuseFutureKey());
+        return either.left(createFutureKeyFailure());
     }
     const isTooOld = now - time > options.retentionMs * ACCEPTED_SHARE_OF_RETENTION;
-    return isTooOld ? either.left(tellDuplicate(options.duplicateRetryAfterMs)) : either.right(key);
+    return isTooOld ? either.left(createDuplicateFailure(options.duplicateRetryAfterMs)) : either.right(key);
 };
--- a/packages/oleandergap-idempotency/src/claim/localClaims.ts
+++ b/packages/oleandergap-idempotency/src/claim/localClaims.ts
@@ -1,47 +1,61 @@
 /**
- * What this process itself knows of keys: the claims that it holds and the outcomes that it has yet to record. Spares
- * the platform the question, and answers repeats of a finished request while its outcome is still on its way.
+ * Claims of this process in memory: those that it holds and those whose outcome is not recorded yet. They save reads
+ * from the platform, and repeats of a finished request receive its response while its outcome is still being recorded.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import type { ClaimOptions } from "../options.js";
-import { describeFinished, type KnownOutcome } from "./acquireClaim.js";
-import { storeAnswer, type AnswerSummary } from "./answer.js";
+import { createKnownOutcome, type KnownOutcome } from "./acquireClaim.js";
+import { createStoredResponse, type TargetResponse } from "./answer.js";
 import type { ClaimedRow, SettledRow } from "./claimRow.js";
-import { refuseOtherRequest, tellDuplicate } from "./failures.js";
+import { createKeyReuseFailure, createDuplicateFailure } from "./failures.js";
 import type { Settler } from "./settler.js";
 import { waitUntil } from "./waitUntil.js";
 
-/** The right to run one request once. Exactly one of the three endings is called; later calls do nothing. */
+/**
+ * The right to run one request once. The holder calls exactly one of `complete`, `release` and `leaveOpen`; further
+ * calls have no effect.
+ */
 export interface Claim {
-    /** Ask right before the request is sent; when false, send nothing and `release`. */
+    /**
+     * Returns whether the request may be sent now. It must be called right before sending; when it returns false, the
+     * holder must send nothing and call `release`.
+     */
     readonly mayStart: () => boolean;
-    /** The target answered. The outcome is recorded in the background. */
-    readonly complete: (answer: AnswerSummary) => void;
-    /** The request surely did not run; the key becomes free. */
+    /** Reports the target's response, which is recorded in the background. */
+    readonly complete: (response: TargetResponse) => void;
+    /** Reports that the request certainly did not run; the key becomes available again. */
     readonly release: () => void;
-    /** Nobody knows whether it ran: the key stays taken, and repeats are told so. */
+    /**
+     * Reports that it is unknown whether the request ran. The key stays claimed, and repeated requests fail with the
+     * verdict that it may have run.
+     */
     readonly leaveOpen: () => void;
 }
 
 export interface LocalClaim {
     readonly fingerprint: string;
-    /** Set once the outcome is known and being recorded. */
+    /** Outcome that is being recorded; undefined until it is known. */
     outcome?: SettledRow;
-    /** Resolves when the outcome is recorded. */
+    /** Resolves when the recording of the outcome has ended; undefined until the outcome is known. */
     settled?: Promise<void>;
 }
 
 export interface LocalClaims {
     readonly get: (rowKey: string) => LocalClaim | undefined;
+    /** Adds an entry without an outcome. */
     readonly open: (rowKey: string, fingerprint: string) => LocalClaim;
-    readonly forget: (rowKey: string) => void;
-    /** Gives the entry an outcome that is recorded once `after` resolves; false drops the outcome. */
+    readonly remove: (rowKey: string) => void;
+    /**
+     * Sets the outcome of an entry and records it when `after` resolves to true. When `after` resolves to false, the
+     * outcome is discarded.
+     */
     readonly settle: (rowKey: string, entry: LocalClaim, outcome: SettledRow, after?: Promise<boolean>) => void;
     readonly createClaim: (rowKey: string, entry: LocalClaim, row: ClaimedRow, deadline: Milliseconds) => Claim;
+    /** Returns the number of outcomes that are not recorded yet. */
     readonly pendingOutcomes: () => number;
-    /** Resolves when every outcome is recorded, or when `signal` aborts. */
+    /** Resolves when all outcomes are recorded, or when `signal` aborts. */
     readonly drain: (signal: AbortSignal) => Promise<void>;
 }
 
@@ -51,8 +65,11 @@
     readonly options: Pick<ClaimOptions, "maxAnswerBytes" | "replayedHeaders">;
 }
 
-/** What a repeat is told; undefined when the key is about to become free and the repeat has to wait. */
-export const judgeLocalClaim = (
+/**
+ * Returns the result for a repeated request, or undefined when the key is being released and the repeated request must
+ * wait.
+ */
+export const evaluateLocalClaim = (
     entry: LocalClaim,
     fingerprint: string,
     retryAfterMs: Milliseconds,
@@ -61,20 +78,20 @@
         return undefined;
     }
     if (entry.fingerprint !== fingerprint) {
-        return either.left(refuseOtherRequest());
+        return either.left(createKeyReuseFailure());
     }
     return entry.outcome === undefined ?
-        either.left(tellDuplicate(retryAfterMs)) :
-        either.right(describeFinished(entry.outcome));
+        either.left(createDuplicateFailure(retryAfterMs)) :
+        either.right(createKnownOutcome(entry.outcome));
 };
 
 const createEndOnce = (): { isOpen: () => boolean; endOnce: (end: () => void) => void } => {
-    let open = true;
+    let isStillOpen = true;
     return {
-        isOpen: () => open,
+        isOpen: () => isStillOpen,
         endOnce: (end) => {
-            if (open) {
-                open = false;
+            if (isStillOpen) {
+                isStillOpen = false;
                 end();
             }
         },
@@ -83,7 +100,7 @@
 
 export const createLocalClaims = ({ settler, clock, options }: LocalClaimsDependencies): LocalClaims => {
     const entries = new Map<string, LocalClaim>();
-    const settling = new Set<Promise<void>>();
+    const pendingRecords = new Set<Promise<void>>();
 
     const record = async (rowKey: string, row: SettledRow, after: Promise<boolean>): Promise<void> => {
         if (await after) {
@@ -93,19 +110,19 @@
     };
 
     const settle: LocalClaims["settle"] = (rowKey, entry, outcome, after = Promise.resolve(true)) => {
-        const done = record(rowKey, outcome, after).finally(() => settling.delete(done));
+        const recording = record(rowKey, outcome, after).finally(() => pendingRecords.delete(recording));
         entry.outcome = outcome;
-        entry.settled = done;
-        settling.add(done);
+        entry.settled = recording;
+        pendingRecords.add(recording);
     };
 
     const createClaim: LocalClaims["createClaim"] = (rowKey, entry, row, deadline) => {
         const { isOpen, endOnce } = createEndOnce();
-        const complete = (answer: AnswerSummary): void =>
-            settle(rowKey, entry, { ...row, state: "finished", answer: storeAnswer(answer, options) });
+        const complete = (response: TargetResponse): void =>
+            settle(rowKey, entry, { ...row, state: "finished", answer: createStoredResponse(response, options) });
         return {
             mayStart: () => isOpen() && clock.monotonic() < deadline,
-            complete: (answer) => endOnce(() => complete(answer)),
+            complete: (response) => endOnce(() => complete(response)),
             release: () => endOnce(() => settle(rowKey, entry, { ...row, state: "released" })),
             leaveOpen: () => endOnce(() => {
                 entries.delete(rowKey);
@@ -114,8 +131,8 @@
     };
 
     const drain = async (signal: AbortSignal): Promise<void> => {
-        while (settling.size > 0 && !signal.aborted) {
-            await waitUntil(Promise.allSettled([...settling]), Number.POSITIVE_INFINITY, clock, signal);
+        while (pendingRecords.size > 0 && !signal.aborted) {
+            await waitUntil(Promise.allSettled([...pendingRecords]), Number.POSITIVE_INFINITY, clock, signal);
         }
     };
 
@@ -126,12 +143,12 @@
             entries.set(rowKey, entry);
             return entry;
         },
-        forget: (rowKey) => {
+        remove: (rowKey) => {
             entries.delete(rowKey);
         },
         settle,
         createClaim,
-        pendingOutcomes: () => settling.size,
+        pendingOutcomes: () => pendingRecords.size,
         drain,
     };
 };
--- a/packages/oleandergap-idempotency/src/claim/platformPause.ts
+++ b/packages/oleandergap-idempotency/src/claim/platformPause.ts
@@ -1,69 +1,77 @@
 /**
- * Stops asking a platform that just refused or gave no answer. Without it, every keyed request of 6,400 nodes would
- * knock at a platform that is coming back, and callers would wait for the same refusal; one would see its load peak
- * at the end of each outage. While the pause lasts, claims are refused at once and told when the next one will be
- * tried. At its end one claim alone asks: if all did, each would wait in vain once more while the platform hangs.
+ * Circuit breaker for claims. It opens after the platform has refused a claim or has not responded in time. Without it,
+ * every request with an idempotency key on 6,400 nodes would call a platform that is recovering, so the platform's load
+ * would peak at the end of each outage, and each caller would wait for the same refusal. While the circuit breaker is
+ * open, claims are refused immediately with a retry-after time. When the open time is over, it lets one claim through
+ * as a probe: if it let all claims through, each would wait for a timeout again while the platform still hangs.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { drawBackoff, type Random } from "oleandergap-utils";
 import type { ClaimOptions } from "../options.js";
 
-export interface PlatformPause {
-    /** Time until the platform may be asked again, 0 when it may be asked now. */
-    readonly remaining: () => Milliseconds;
-    /** Whether a claim may ask now. After a failure one may, and the next only when that one has told or lapsed. */
-    readonly tryEnter: () => boolean;
-    /** A claim that was begun at the monotonic time `startedAt` was refused or got no answer. */
+export interface PlatformCircuitBreaker {
+    /** Returns the time until the platform may be called again, in milliseconds; 0 when it may be called now. */
+    readonly remainingOpenTime: () => Milliseconds;
+    /**
+     * Returns whether a claim may call the platform now. After a failure, only one claim may, as a probe. The next
+     * claim may when the probe has succeeded, when the open time after a failed probe is over, or when the probe has
+     * timed out.
+     */
+    readonly tryAcquire: () => boolean;
+    /** Reports that a claim started at the monotonic time `startedAt` was refused or received no response. */
     readonly reportFailure: (startedAt: Milliseconds) => void;
+    /** Reports a response of the platform; closes the circuit breaker. */
     readonly reportSuccess: () => void;
-    /** Monotonic time of the platform's last answer. */
-    readonly answeredAt: () => Milliseconds;
+    /** Returns the monotonic time of the platform's last response, or minus infinity before the first one. */
+    readonly lastResponseAt: () => Milliseconds;
 }
 
-export interface PlatformPauseDependencies {
+export interface PlatformCircuitBreakerDependencies {
     readonly clock: Clock;
     readonly random: Random;
     readonly options: Pick<ClaimOptions, "retryPauseMs" | "maxRetryPauseMs" | "answerTimeoutMs">;
 }
 
-export const createPlatformPause = ({ clock, random, options }: PlatformPauseDependencies): PlatformPause => {
+export const createPlatformCircuitBreaker = (
+    { clock, random, options }: PlatformCircuitBreakerDependencies,
+): PlatformCircuitBreaker => {
     let failures = 0;
-    let failedAt = Number.NEGATIVE_INFINITY;
-    let answeredAt = Number.NEGATIVE_INFINITY;
-    /** End of the pause, or of the time that the probe has. */
-    let until = Number.NEGATIVE_INFINITY;
+    let lastFailureAt = Number.NEGATIVE_INFINITY;
+    let lastResponseAt = Number.NEGATIVE_INFINITY;
+    /** Monotonic time at which the open time or the timeout of the current probe ends. */
+    let opensUntil = Number.NEGATIVE_INFINITY;
 
-    const remaining = (): Milliseconds => Math.max(0, until - clock.monotonic());
+    const remainingOpenTime = (): Milliseconds => Math.max(0, opensUntil - clock.monotonic());
 
     return {
-        remaining,
-        tryEnter: () => {
-            if (remaining() > 0) {
+        remainingOpenTime,
+        tryAcquire: () => {
+            if (remainingOpenTime() > 0) {
                 return false;
             }
             if (failures > 0) {
-                // A probe whose caller hangs up tells nothing; the next one may go when its time is over.
-                until = clock.monotonic() + options.answerTimeoutMs;
+                // A probe whose caller disconnects reports no result; the next probe may start after this timeout.
+                opensUntil = clock.monotonic() + options.answerTimeoutMs;
             }
             return true;
         },
         reportFailure: (startedAt) => {
-            // Claims that were under way when the last failure was noted fail for the same reason. Counted each, they
-            // would stretch the pause to its longest within one answer's time.
-            if (startedAt <= failedAt) {
+            // Claims that were in flight when the last failure was reported fail for the same reason. If each of them
+            // counted, the backoff would reach its maximum within the timeout of one response.
+            if (startedAt <= lastFailureAt) {
                 return;
             }
-            failedAt = clock.monotonic();
-            until = failedAt +
+            lastFailureAt = clock.monotonic();
+            opensUntil = lastFailureAt +
                 options.retryPauseMs +
                 drawBackoff(random, failures, options.retryPauseMs, options.maxRetryPauseMs);
             failures += 1;
         },
         reportSuccess: () => {
             failures = 0;
-            until = Number.NEGATIVE_INFINITY;
-            answeredAt = clock.monotonic();
+            opensUntil = Number.NEGATIVE_INFINITY;
+            lastResponseAt = clock.monotonic();
         },
-        answeredAt: () => answeredAt,
+        lastResponseAt: () => lastResponseAt,
     };
 };
--- a/packages/oleandergap-idempotency/src/claim/settler.ts
+++ b/packages/oleandergap-idempotency/src/claim/settler.ts
@@ -1,10 +1,12 @@
 /**
- * Records outcomes behind the caller's back: an answer, or the fact that a claimed request surely did not run. Repeats
- * until the platform has it, because a claim that stays open keeps its key blocked for days.
+ * Records the outcome of claims in the background: the target's response, or the fact that a claimed request certainly
+ * did not run. It retries until the platform has stored the outcome, because a claim without an outcome blocks its key
+ * for days.
  *
- * A released key keeps its row, in state `released`, instead of losing it. A claim whose answer was lost may still be
- * on its way; it demands an absent row, so with a row in place it can never land later and block a key that did not
- * run. One would otherwise see keys that answer "may have run" although no target ever saw them.
+ * The row of a released key is not deleted but gets the state `released`. An insert of a claim whose response was lost
+ * may still be in flight. Its condition requires that no row exists, so while the released row exists the insert cannot
+ * take effect later and block a key that did not run. Otherwise repeats of such a key would fail with "may have run"
+ * although no target ever received the request.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, RowCondition, RowVersion, TableRow } from "oleandergap-types";
@@ -14,24 +16,24 @@
 import type { BatchReader, ReadOutcome } from "./batchReader.js";
 import type { BatchWriter } from "./batchWriter.js";
 import { claimRowSchema, type ClaimRow } from "./claimRow.js";
-import type { PlatformPause } from "./platformPause.js";
+import type { PlatformCircuitBreaker } from "./platformPause.js";
 
 export interface Settlement {
     readonly rowKey: string;
     readonly row: ClaimRow;
-    /** No row of the key can exist yet: spares the first read. */
+    /** True when no row of the key can exist yet; the first attempt then writes without reading the row. */
     readonly isFirst?: boolean;
 }
 
 export interface Settler {
-    /** Resolves with true when the outcome is recorded, with false when the process stops first. Never rejects. */
+    /** Resolves to true when the outcome is recorded, or to false when the process stops before. Never rejects. */
     readonly settle: (settlement: Settlement) => Promise<boolean>;
 }
 
 export interface SettlerDependencies {
     readonly reader: BatchReader;
     readonly writer: BatchWriter;
-    readonly pause: PlatformPause;
+    readonly circuitBreaker: PlatformCircuitBreaker;
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
@@ -44,12 +46,12 @@
     | { readonly kind: "Retry" }
     | { readonly kind: "Write"; readonly condition: RowCondition };
 
-const replace = (version: RowVersion): NextStep => ({ kind: "Write", condition: { kind: "VersionIs", version } });
+const createReplaceStep = (version: RowVersion): NextStep => ({ kind: "Write", condition: { kind: "VersionIs", version } });
 
 /**
- * What the row, as just read, leaves to do. A row that another attempt holds or finished is never overwritten. One that
- * another attempt released is: a claim of ours that was to replace it may still be on its way, and the new version
- * makes it fail.
+ * Returns the next step for the row as just read. A row that another attempt claimed or finished is never overwritten.
+ * A row that another attempt released is overwritten: this process's own claim that was to replace it may still be in
+ * flight, and the new version of the row makes that claim fail.
  */
 const chooseStep = ({ row }: Settlement, found: TableRow | undefined): NextStep => {
     if (found === undefined) {
@@ -61,16 +63,16 @@
     }
     const isOwn = parsed.data.attemptId === row.attemptId;
     if (parsed.data.state === "released") {
-        return isOwn ? { kind: "Done" } : replace(found.version);
+        return isOwn ? { kind: "Done" } : createReplaceStep(found.version);
     }
-    return isOwn && row.state !== "claimed" ? replace(found.version) : { kind: "Done" };
+    return isOwn && row.state !== "claimed" ? createReplaceStep(found.version) : { kind: "Done" };
 };
 
 const toStep = (settlement: Settlement, outcome: ReadOutcome): NextStep =>
     either.isLeft(outcome) ? { kind: "Retry" } : chooseStep(settlement, outcome.right);
 
 export const createSettler = (dependencies: SettlerDependencies): Settler => {
-    const { reader, writer, pause, clock, random, logger, signal, options } = dependencies;
+    const { reader, writer, circuitBreaker, clock, random, logger, signal, options } = dependencies;
 
     const findStep = async (settlement: Settlement, attempt: number): Promise<NextStep> =>
         settlement.isFirst === true && attempt === 0 ?
@@ -93,9 +95,9 @@
                 return true;
             }
             const backoff = drawBackoff(random, attempt, options.retryPauseMs, options.maxRetryPauseMs);
-            await clock.sleep(Math.max(pause.remaining(), options.retryPauseMs + backoff), signal);
+            await clock.sleep(Math.max(circuitBreaker.remainingOpenTime(), options.retryPauseMs + backoff), signal);
         }
-        logger.warn("stopped before an outcome was recorded; repeats of its key are told that it may have run");
+        logger.warn("stopped before an outcome was recorded; repeated requests with its key fail because it may have run");
         return false;
     };
 
--- a/packages/oleandergap-idempotency/src/claim/waitForAnswer.ts
+++ b/packages/oleandergap-idempotency/src/claim/waitForAnswer.ts
@@ -1,30 +1,35 @@
 /**
- * Waits for work that needs the platform, no longer than the platform may be silent. A platform that takes
- * connections and answers nothing raises no error; callers would wait out their deadlines, one after the other, for a
- * refusal.
+ * Waits for work that needs the platform, until the platform's response is overdue. A platform that accepts connections
+ * but never responds causes no error; without this limit each caller would wait until its deadline before it is
+ * refused.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
-import { waitUntil, type Waited } from "./waitUntil.js";
+import { waitUntil, type WaitResult } from "./waitUntil.js";
 
-export interface AnswerWait {
+export interface ResponseWait {
+    /** Monotonic time at which the caller gives up. */
     readonly deadline: Milliseconds;
-    /** When the silence is too long. Read again each time it is reached, since it moves on with each answer. */
-    readonly silentAt: () => Milliseconds;
+    /**
+     * Returns the monotonic time at which a response of the platform is overdue. It is read again each time it is
+     * reached, because each response moves it.
+     */
+    readonly getResponseDeadline: () => Milliseconds;
     readonly clock: Clock;
     readonly signal: AbortSignal;
 }
 
-export const waitForAnswer = async <Value>(
+/** Resolves with `Silent` when the platform's response is overdue before the deadline. */
+export const waitForResponse = async <Value>(
     work: Promise<Value>,
-    { deadline, silentAt, clock, signal }: AnswerWait,
-): Promise<Waited<Value> | { readonly kind: "Silent" }> => {
+    { deadline, getResponseDeadline, clock, signal }: ResponseWait,
+): Promise<WaitResult<Value> | { readonly kind: "Silent" }> => {
     for (;;) {
-        const limit = silentAt();
-        const waited = await waitUntil(work, Math.min(deadline, limit), clock, signal);
-        if (waited.kind === "Finished" || signal.aborted || limit >= deadline) {
-            return waited;
+        const responseDeadline = getResponseDeadline();
+        const result = await waitUntil(work, Math.min(deadline, responseDeadline), clock, signal);
+        if (result.kind === "Finished" || signal.aborted || responseDeadline >= deadline) {
+            return result;
         }
-        if (silentAt() <= clock.monotonic()) {
+        if (getResponseDeadline() <= clock.monotonic()) {
             return { kind: "Silent" };
         }
     }
--- a/packages/oleandergap-idempotency/src/index.ts
+++ b/packages/oleandergap-idempotency/src/index.ts
@@ -1,5 +1,5 @@
-/** Claims that keep a non-idempotent request from running twice. */
-export type { AnswerSummary, ReplayedAnswer } from "./claim/answer.js";
+/** Claims that prevent a non-idempotent request from running twice. */
+export type { TargetResponse, ReplayedResponse } from "./claim/answer.js";
 export type { KnownOutcome } from "./claim/acquireClaim.js";
 export {
     MAX_KEY_LENGTH,
@@ -30,4 +30,4 @@
     type PartitionOwnershipDependencies,
 } from "./ownership/partitionOwnership.js";
 export type { AcceptKey, KeyDecision } from "./ownership/keyAcceptance.js";
-export { ownerOf, partitionOf, rankOwners } from "./ownership/partitions.js";
+export { ownerOf, getPartition, rankOwners } from "./ownership/partitions.js";
--- a/packages/oleandergap-idempotency/src/measure/atMostOnce.ts
+++ b/packages/oleandergap-idempotency/src/measure/atMostOnce.ts
@@ -1,27 +1,30 @@
 /**
- * At-most-once under failures, ours against a naive version, on the table in memory with a clock moved by hand: runs
- * per key under kills and lost answers, and the share of requests that are accepted while the platform is down.
+ * Measures at-most-once execution under failures, for the claims of this package and for a naive version, with a table
+ * in memory and a manual clock: the number of runs per key while processes are killed and responses are lost, and the
+ * share of requests that are accepted while the platform is down.
  */
 import { setMaxListeners } from "node:events";
 import type { Logger } from "oleandergap-logger";
 import { createManualClock, createSeededRandom, pickIndex, type ManualClock, type Random } from "oleandergap-utils";
 import { createClaimKeeper } from "../claim/claimKeeper.js";
 import { claimOptionsSchema, ownershipOptionsSchema } from "../options.js";
-import { createFates, type PlatformWeather } from "./fates.js";
+import { createOutcomeChooser, type PlatformMode } from "./fates.js";
 import { createMemoryTable, type MemoryTable } from "./memoryTable.js";
-import { mintKey } from "./mintKey.js";
+import { generateKey } from "./mintKey.js";
 import { createOwnedNode } from "./ownedNode.js";
 import { createClaimingNode, createNaiveNode, type SimulatedNode } from "./simulatedNode.js";
-import { createSimulatedTarget, type RunShares, type SimulatedTarget, type Told } from "./simulatedTarget.js";
+import { createSimulatedTarget, type FailureShares, type SimulatedTarget, type CallerResult } from "./simulatedTarget.js";
 
 export const claimVersions = ["naive", "durable", "owned"] as const;
 export type ClaimVersion = (typeof claimVersions)[number];
 
 export interface RunsFigures {
+    /** Number of keys that were sent. */
     readonly keys: number;
     readonly maxRunsPerKey: number;
     readonly keysRunTwiceOrMore: number;
     readonly shareOfKeysRun: number;
+    /** Number of results with the verdict `notRun` although the request had been sent. */
     readonly falseNotRun: number;
 }
 
@@ -35,16 +38,20 @@
 const NODES = 3;
 const KEYS = 300;
 const SENDS_PER_KEY = 3;
+/** Timeout of a request, in milliseconds. */
 const TIMEOUT = 500;
+/** Longest time between two sends, in milliseconds. */
 const MAX_PAUSE = 200;
+/** Probability that a node is killed after a send. */
 const KILL_SHARE = 0.02;
+/** Time for the nodes to take their partitions before the first key, and to finish after the last, in milliseconds. */
 const SETTLE_TIME = 120_000;
-const FAILING: RunShares = { answerLost: 0.1, connectFailed: 0.1 };
-const FLAWLESS: RunShares = { answerLost: 0, connectFailed: 0 };
+const FAILURES: FailureShares = { answerLost: 0.1, connectFailed: 0.1 };
+const NO_FAILURES: FailureShares = { answerLost: 0, connectFailed: 0 };
 const SECOND = 1000;
 
-const drop = (): void => undefined;
-const silentLogger: Logger = { debug: drop, info: drop, warn: drop, error: drop };
+const doNothing = (): void => undefined;
+const silentLogger: Logger = { debug: doNothing, info: doNothing, warn: doNothing, error: doNothing };
 
 interface Fleet {
     readonly clock: ManualClock;
@@ -52,25 +59,26 @@
     readonly table: MemoryTable;
     readonly target: SimulatedTarget;
     readonly nodes: SimulatedNode[];
-    readonly told: Told[];
-    weather: PlatformWeather;
+    readonly results: CallerResult[];
+    platformMode: PlatformMode;
+    /** Kills the process of a node and starts a new one. */
     readonly restart: (index: number) => void;
-    /** Tries the nodes in turn, from `index` on, until one does not refuse. */
+    /** Sends the key to the nodes in turn, starting with `index`, until one does not refuse it. */
     readonly send: (index: number, key: string) => Promise<void>;
     readonly stop: () => void;
 }
 
-const createFleet = (version: ClaimVersion, seed: number, shares: RunShares, leaseMs: number): Fleet => {
+const createFleet = (version: ClaimVersion, seed: number, failureShares: FailureShares, leaseMs: number): Fleet => {
     const clock = createManualClock();
     const random = createSeededRandom(seed);
     const controller = new AbortController();
     setMaxListeners(0, controller.signal);
     const table = createMemoryTable(clock);
-    const target = createSimulatedTarget(random, shares);
+    const target = createSimulatedTarget(random, failureShares);
     const members = Array.from({ length: NODES }, (_, index) => `node-${index}`);
     const claimOptions = claimOptionsSchema.parse({});
     const ownershipOptions = ownershipOptionsSchema.parse({ enabled: true, partitions: 8, leaseMs });
-    let boots = 0;
+    let startCount = 0;
 
     const start = (index: number): SimulatedNode => {
         const shared = {
@@ -80,10 +88,10 @@
             signal: controller.signal,
             logger: silentLogger,
             nodeId: `node-${index}`,
-            bootId: `${boots++}`,
+            bootId: `${startCount++}`,
         };
         const connect: Parameters<typeof createOwnedNode>[0]["connect"] = (nodeClock) =>
-            table.connect(nodeClock, createFates(random, () => fleet.weather));
+            table.connect(nodeClock, createOutcomeChooser(random, () => fleet.platformMode));
         switch (version) {
             case "naive":
                 return createNaiveNode(shared);
@@ -104,19 +112,19 @@
         table,
         target,
         nodes: [],
-        told: [],
-        weather: "healthy",
+        results: [],
+        platformMode: "healthy",
         restart: (index) => {
             fleet.nodes[index]?.clock.freeze();
             fleet.nodes[index] = start(index);
         },
         send: async (index, key) => {
-            for (let hop = 0; hop < NODES; hop++) {
-                const told = await fleet.nodes[(index + hop) % NODES]?.handle(key, TIMEOUT);
-                if (told !== undefined) {
-                    fleet.told.push(told);
+            for (let offset = 0; offset < NODES; offset++) {
+                const result = await fleet.nodes[(index + offset) % NODES]?.handle(key, TIMEOUT);
+                if (result !== undefined) {
+                    fleet.results.push(result);
                 }
-                if (told?.verdict !== "notRun") {
+                if (result?.verdict !== "notRun") {
                     return;
                 }
             }
@@ -127,15 +135,18 @@
     return fleet;
 };
 
-/** Keys sent several times through several nodes, while nodes are killed and the platform misbehaves half the time. */
+/**
+ * Sends each key several times through several nodes, while nodes are killed and the platform is in the mode `mixed`
+ * half of the time.
+ */
 export const measureRuns = async (version: ClaimVersion, seed: number): Promise<RunsFigures> => {
-    const fleet = createFleet(version, seed, FAILING, 2 * SECOND);
+    const fleet = createFleet(version, seed, FAILURES, 2 * SECOND);
     const { clock, random, target } = fleet;
     await clock.advance(SETTLE_TIME);
     const keys: string[] = [];
     for (let sent = 0; sent < KEYS * SENDS_PER_KEY; sent++) {
-        fleet.weather = random() < 0.5 ? "healthy" : "mixed";
-        const key = sent % SENDS_PER_KEY === 0 ? mintKey(clock.now(), random) : keys.at(-1) ?? "";
+        fleet.platformMode = random() < 0.5 ? "healthy" : "mixed";
+        const key = sent % SENDS_PER_KEY === 0 ? generateKey(clock.now(), random) : keys.at(-1) ?? "";
         if (key !== keys.at(-1)) {
             keys.push(key);
         }
@@ -145,33 +156,33 @@
         }
         await clock.advance(random() * MAX_PAUSE);
     }
-    fleet.weather = "healthy";
+    fleet.platformMode = "healthy";
     await clock.advance(SETTLE_TIME);
     fleet.stop();
-    const runs = keys.map(target.runsOf);
+    const runs = keys.map(target.countRuns);
     return {
         keys: keys.length,
         maxRunsPerKey: target.maxRuns(),
         keysRunTwiceOrMore: runs.filter((count) => count > 1).length,
         shareOfKeysRun: runs.filter((count) => count > 0).length / keys.length,
-        falseNotRun: fleet.told.filter(({ verdict, sent }) => verdict === "notRun" && sent).length,
+        falseNotRun: fleet.results.filter(({ verdict, sent }) => verdict === "notRun" && sent).length,
     };
 };
 
-/** Fresh keys at even distances during an outage, each offered to every node until one accepts it. */
+/** Sends new keys at equal intervals during an outage, each to all nodes in turn until one does not refuse it. */
 export const measureOutage = async (
     version: ClaimVersion,
     seed: number,
     leaseMs: number,
     outageMs: number,
 ): Promise<OutageFigures> => {
-    const fleet = createFleet(version, seed, FLAWLESS, leaseMs);
+    const fleet = createFleet(version, seed, NO_FAILURES, leaseMs);
     const { clock, random, target } = fleet;
     await clock.advance(SETTLE_TIME);
-    fleet.weather = "down";
+    fleet.platformMode = "down";
     const requests = 200;
     for (let request = 0; request < requests; request++) {
-        const key = mintKey(clock.now(), random);
+        const key = generateKey(clock.now(), random);
         void fleet.send(0, key);
         await clock.advance(outageMs / requests);
     }
--- a/packages/oleandergap-idempotency/src/measure/claimCost.ts
+++ b/packages/oleandergap-idempotency/src/measure/claimCost.ts
@@ -1,4 +1,4 @@
-/** What a claim costs: transactions, row writes and reads on the platform, and processor time of the node. */
+/** Measures the cost of a claim: transactions, row writes and reads on the platform, and processor time of the node. */
 import { setMaxListeners } from "node:events";
 import type { Logger } from "oleandergap-logger";
 import type { Clock } from "oleandergap-types";
@@ -7,7 +7,7 @@
 import { claimOptionsSchema, ownershipOptionsSchema } from "../options.js";
 import { createPartitionOwnership } from "../ownership/partitionOwnership.js";
 import { createMemoryTable, type MemoryTable } from "./memoryTable.js";
-import { mintKey } from "./mintKey.js";
+import { generateKey } from "./mintKey.js";
 import { SIMULATED_SERVICE } from "./simulatedNode.js";
 
 export interface CostFigures {
@@ -18,14 +18,17 @@
     readonly microsecondsOfProcessorPerClaim: number;
 }
 
+/** Interval of the timer that keeps the process alive, in milliseconds. */
 const KEEP_ALIVE_PERIOD = 1000;
-const ANSWER = { status: 200, headers: [], body: Buffer.from("lodged") };
+const RESPONSE = { status: 200, headers: [], body: Buffer.from("lodged") };
+/** Time for the node to take its partitions before the measurement, in milliseconds. */
 const SETTLE_TIME = 60_000;
 
-const drop = (): void => undefined;
-const silentLogger: Logger = { debug: drop, info: drop, warn: drop, error: drop };
+const doNothing = (): void => undefined;
+const silentLogger: Logger = { debug: doNothing, info: doNothing, warn: doNothing, error: doNothing };
 
-const readProcessorTime = (): number => {
+/** Returns the processor time that this process has used, in microseconds. */
+const getProcessorTime = (): number => {
     const { user, system } = process.cpuUsage();
     return user + system;
 };
@@ -34,21 +37,24 @@
     const deadline = Number.POSITIVE_INFINITY;
     const result = await keeper.claim({ ...SIMULATED_SERVICE, key, fingerprint: "same", deadline }, signal);
     if (result._tag === "Right" && result.right.kind === "Granted") {
-        result.right.claim.complete(ANSWER);
+        result.right.claim.complete(RESPONSE);
     }
 };
 
-/** What one measurement works with. */
-interface Surroundings {
-    /** Ends what runs in the background. */
+/** Objects that one measurement uses. */
+interface MeasurementSetup {
+    /** Its signal stops all background work. */
     readonly controller: AbortController;
     readonly random: Random;
     readonly table: MemoryTable;
     readonly dependencies: Omit<ClaimKeeperDependencies, "options">;
 }
 
-/** A table in memory that answers at once, and what the claims of one node work with beside their options. */
-const createSurroundings = (clock: Clock): Surroundings => {
+/**
+ * Creates a table in memory that responds immediately, and the dependencies of the claims of one node except their
+ * options.
+ */
+const createMeasurementSetup = (clock: Clock): MeasurementSetup => {
     const controller = new AbortController();
     const { signal } = controller;
     setMaxListeners(0, signal);
@@ -60,22 +66,22 @@
 };
 
 /**
- * `concurrent` requests arrive together, `rounds` times, in real time. The processor time includes that of the table
- * in memory.
+ * Measures claims in the platform's table in real time: `concurrent` requests arrive together, `rounds` times. The
+ * processor time includes that of the table in memory.
  */
 export const measureDurableCost = async (concurrent: number, rounds: number): Promise<CostFigures> => {
-    const { controller, random, table, dependencies } = createSurroundings(createSystemClock());
+    const { controller, random, table, dependencies } = createMeasurementSetup(createSystemClock());
     const options = claimOptionsSchema.parse({ batchWindowMs: 1 });
     const keeper = createClaimKeeper({ ...dependencies, options });
-    // The clock's timers do not keep a process alive by themselves.
-    const keepAlive = setInterval(drop, KEEP_ALIVE_PERIOD);
-    const before = readProcessorTime();
+    // The timers of the clock do not keep the process alive.
+    const keepAlive = setInterval(doNothing, KEEP_ALIVE_PERIOD);
+    const before = getProcessorTime();
     for (let round = 0; round < rounds; round++) {
-        const keys = Array.from({ length: concurrent }, () => mintKey(Date.now(), random));
+        const keys = Array.from({ length: concurrent }, () => generateKey(Date.now(), random));
         await Promise.all(keys.map((key) => claimAndComplete(keeper, key, controller.signal)));
     }
     await keeper.drain(controller.signal);
-    const spent = readProcessorTime() - before;
+    const processorTime = getProcessorTime() - before;
     clearInterval(keepAlive);
     controller.abort();
     const claims = concurrent * rounds;
@@ -84,14 +90,17 @@
         transactionsPerClaim: keeper.stats().transactions / claims,
         rowWritesPerClaim: table.rowWrites() / claims,
         readsPerClaim: table.reads() / claims,
-        microsecondsOfProcessorPerClaim: spent / claims,
+        microsecondsOfProcessorPerClaim: processorTime / claims,
     };
 };
 
-/** The same for keys that are accepted from memory and recorded behind; `roundMs` apart, with time moved by hand. */
+/**
+ * Measures claims that are accepted from memory and recorded in the background, with a manual clock: `concurrent`
+ * requests arrive together, `rounds` times, `roundMs` milliseconds apart.
+ */
 export const measureOwnedCost = async (concurrent: number, rounds: number, roundMs: number): Promise<CostFigures> => {
     const clock = createManualClock();
-    const { controller, random, table, dependencies } = createSurroundings(clock);
+    const { controller, random, table, dependencies } = createMeasurementSetup(clock);
     const ownership = createPartitionOwnership({
         ...dependencies,
         claimOptions: claimOptionsSchema.parse({}),
@@ -103,18 +112,18 @@
     void ownership.start(controller.signal);
     await clock.advance(SETTLE_TIME);
     const start = { transactions: ownership.stats().transactions, rowWrites: table.rowWrites(), reads: table.reads() };
-    let spent = 0;
+    let processorTime = 0;
     for (let round = 0; round < rounds; round++) {
-        const keys = Array.from({ length: concurrent }, () => mintKey(clock.now(), random));
-        const before = readProcessorTime();
+        const keys = Array.from({ length: concurrent }, () => generateKey(clock.now(), random));
+        const before = getProcessorTime();
         for (const key of keys) {
             const request = { ...SIMULATED_SERVICE, key, fingerprint: "same", deadline: Number.POSITIVE_INFINITY };
             const decision = ownership.acceptKey(request, clock.now());
             if (decision.kind === "Granted") {
-                decision.claim.complete(ANSWER);
+                decision.claim.complete(RESPONSE);
             }
         }
-        spent += readProcessorTime() - before;
+        processorTime += getProcessorTime() - before;
         await clock.advance(roundMs);
     }
     controller.abort();
@@ -124,6 +133,6 @@
         transactionsPerClaim: (ownership.stats().transactions - start.transactions) / claims,
         rowWritesPerClaim: (table.rowWrites() - start.rowWrites) / claims,
         readsPerClaim: (table.reads() - start.reads) / claims,
-        microsecondsOfProcessorPerClaim: spent / claims,
+        microsecondsOfProcessorPerClaim: processorTime / claims,
     };
 };
--- a/packages/oleandergap-idempotency/src/measure/fates.ts
+++ b/packages/oleandergap-idempotency/src/measure/fates.ts
@@ -1,45 +1,45 @@
-/** Mixes of what can happen to a call to the platform. */
+/** Modes of a simulated platform, which determine the outcomes of the calls to it. */
 import { pickIndex, type Random } from "oleandergap-utils";
-import type { CallFate, ChooseFate } from "./memoryTable.js";
+import type { CallOutcome, ChooseCallOutcome } from "./memoryTable.js";
 
-export const platformWeathers = ["healthy", "down", "losesAnswers", "losesRequests", "landsLate", "hangs", "slow", "mixed"] as const;
-/** How the platform behaves for a while. */
-export type PlatformWeather = (typeof platformWeathers)[number];
+export const platformModes = ["healthy", "down", "losesResponses", "losesRequests", "takesEffectLate", "hangs", "slow", "mixed"] as const;
+/** Mode of the platform: which outcomes its calls have. `mixed` draws one of the other modes for each call. */
+export type PlatformMode = (typeof platformModes)[number];
 
-/** Usual delay of an answer, in milliseconds. */
-const ANSWER_DELAY = 2;
-/** Delay of an answer of a slow platform, in milliseconds. */
-const SLOW_ANSWER_DELAY = 150;
-/** Time after which a call without an answer is given up, in milliseconds. */
+/** Delay of the responses of a healthy platform, in milliseconds. */
+const RESPONSE_DELAY = 2;
+/** Delay of the responses of a slow platform, in milliseconds. */
+const SLOW_RESPONSE_DELAY = 150;
+/** Time after which a call without a response fails, in milliseconds. */
 const CALL_TIMEOUT = 2000;
-/** Longest delay of a write that lands after its answer was given up, in milliseconds. */
-const MAX_LATE_LANDING = 3000;
+/** Longest delay of a write that takes effect after its call has failed, in milliseconds. */
+const MAX_LATE_EFFECT_DELAY = 3000;
 
-const drawFate = (random: Random, weather: PlatformWeather): CallFate => {
-    switch (weather) {
+const drawOutcome = (random: Random, mode: PlatformMode): CallOutcome => {
+    switch (mode) {
         case "healthy":
-            return { kind: "Answered", delayMs: ANSWER_DELAY };
+            return { kind: "Answered", delayMs: RESPONSE_DELAY };
         case "down":
             return { kind: "Unavailable" };
-        case "losesAnswers":
+        case "losesResponses":
             return { kind: "AnswerLost" };
         case "losesRequests":
             return { kind: "RequestLost" };
-        case "landsLate":
-            return { kind: "LandsLate", delayMs: random() * MAX_LATE_LANDING };
+        case "takesEffectLate":
+            return { kind: "TakesEffectLate", delayMs: random() * MAX_LATE_EFFECT_DELAY };
         case "hangs":
             return {
                 kind: "Hangs",
-                givenUpMs: CALL_TIMEOUT,
-                landsMs: random() < 0.5 ? random() * MAX_LATE_LANDING : undefined,
+                failsAfterMs: CALL_TIMEOUT,
+                takesEffectAfterMs: random() < 0.5 ? random() * MAX_LATE_EFFECT_DELAY : undefined,
             };
         case "slow":
-            return { kind: "Answered", delayMs: SLOW_ANSWER_DELAY };
+            return { kind: "Answered", delayMs: SLOW_RESPONSE_DELAY };
         case "mixed":
-            return drawFate(random, platformWeathers[pickIndex(random, platformWeathers.length - 1)] ?? "healthy");
+            return drawOutcome(random, platformModes[pickIndex(random, platformModes.length - 1)] ?? "healthy");
     }
 };
 
-/** The weather is read at each call, so that it may change. */
-export const createFates = (random: Random, weather: () => PlatformWeather): ChooseFate =>
-    () => drawFate(random, weather());
+/** Creates a function that chooses the outcome of each call. It reads the mode at each call, so the mode may change. */
+export const createOutcomeChooser = (random: Random, getMode: () => PlatformMode): ChooseCallOutcome =>
+    () => drawOutcome(random, getMode());
--- a/packages/oleandergap-idempotency/src/measure/freezableClock.ts
+++ b/packages/oleandergap-idempotency/src/measure/freezableClock.ts
@@ -1,50 +1,51 @@
-/** A process's own view of a shared clock: while it is frozen, none of its timers run; on resuming, all overdue do. */
+/** Clock of one simulated process, based on a shared clock. While it is frozen, none of its timers run. */
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { createSleep } from "oleandergap-utils";
 
 export interface FreezableClock extends Clock {
     readonly freeze: () => void;
+    /** Unfreezes the clock and runs all overdue timers. */
     readonly resume: () => void;
 }
 
-/** `wallOffset` is by how much this process's wall clock is wrong, in milliseconds. */
-export const createFreezableClock = (base: Clock, wallOffset: Milliseconds = 0): FreezableClock => {
-    let frozen = false;
-    let overdue: (() => void)[] = [];
+/** `wallClockOffset` is the error of the process's wall clock, in milliseconds. */
+export const createFreezableClock = (baseClock: Clock, wallClockOffset: Milliseconds = 0): FreezableClock => {
+    let isFrozen = false;
+    let overdueCallbacks: (() => void)[] = [];
 
     const after: Clock["after"] = (delay, callback) => {
-        let cancelled = false;
+        let isCancelled = false;
         const run = (): void => {
-            if (!cancelled) {
+            if (!isCancelled) {
                 callback();
             }
         };
-        const cancel = base.after(delay, () => {
-            if (frozen) {
-                overdue.push(run);
+        const cancel = baseClock.after(delay, () => {
+            if (isFrozen) {
+                overdueCallbacks.push(run);
                 return;
             }
             run();
         });
         return () => {
-            cancelled = true;
+            isCancelled = true;
             cancel();
         };
     };
 
     return {
-        now: () => base.now() + wallOffset,
-        monotonic: base.monotonic,
+        now: () => baseClock.now() + wallClockOffset,
+        monotonic: baseClock.monotonic,
         after,
         sleep: createSleep(after),
         freeze: () => {
-            frozen = true;
+            isFrozen = true;
         },
         resume: () => {
-            frozen = false;
-            const due = overdue;
-            overdue = [];
-            due.forEach((run) => run());
+            isFrozen = false;
+            const callbacks = overdueCallbacks;
+            overdueCallbacks = [];
+            callbacks.forEach((run) => run());
         },
     };
 };
--- a/packages/oleandergap-idempotency/src/measure/index.ts
+++ b/packages/oleandergap-idempotency/src/measure/index.ts
@@ -1,4 +1,4 @@
-/** Measurements of claims, for the package of experiments. */
+/** Measurements of claims for the package of the experiments. */
 export {
     claimVersions,
     measureOutage,
--- a/packages/oleandergap-idempotency/src/measure/memoryTable.ts
+++ b/packages/oleandergap-idempotency/src/measure/memoryTable.ts
@@ -1,6 +1,7 @@
 /**
- * A table service in memory for measurements and tests, whose connections can be cut, slowed and made to lose answers.
- * Row versions restart at 1 when a deleted key is written again: the worst case that the port allows.
+ * Table service in memory for measurements and tests. Calls on its connections can be made to fail, to be slow or to
+ * lose their response. Row versions restart at 1 when a deleted key is written again, which is the worst case that the
+ * `TableService` interface allows.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
@@ -17,39 +18,44 @@
     type TransactionResult,
 } from "oleandergap-types";
 
-/** What happens to one call. */
-export type CallFate =
+/** What happens to one call to the table. */
+export type CallOutcome =
     | { readonly kind: "Answered"; readonly delayMs: Milliseconds }
-    /** Refused; surely no effect. */
+    /** The call is refused and has no effect. */
     | { readonly kind: "Unavailable" }
-    /** A write takes effect, and its answer is lost. */
+    /** A write takes effect, but its response is lost. */
     | { readonly kind: "AnswerLost" }
-    /** The answer is given up, and a write takes effect only after the delay. */
-    | { readonly kind: "LandsLate"; readonly delayMs: Milliseconds }
-    /** The call is given up after a time without an answer; a write takes effect after another one, or never. */
-    | { readonly kind: "Hangs"; readonly givenUpMs: Milliseconds; readonly landsMs?: Milliseconds | undefined }
-    /** The request is lost, and the caller cannot tell. */
+    /** The call fails immediately, and a write takes effect after the delay. */
+    | { readonly kind: "TakesEffectLate"; readonly delayMs: Milliseconds }
+    /**
+     * The call fails after `failsAfterMs` without a response. A write takes effect after `takesEffectAfterMs`, or never
+     * if it is undefined.
+     */
+    | { readonly kind: "Hangs"; readonly failsAfterMs: Milliseconds; readonly takesEffectAfterMs?: Milliseconds | undefined }
+    /** The request is lost without an effect; the caller cannot distinguish this from a lost response. */
     | { readonly kind: "RequestLost" };
 
-export type ChooseFate = (call: "read" | "write") => CallFate;
+export type ChooseCallOutcome = (kind: "read" | "write") => CallOutcome;
 
 export interface MemoryTable {
-    /** One process's connection; `clock` is that process's own, so that a frozen process receives no answer. */
-    readonly connect: (clock: Clock, chooseFate: ChooseFate) => TableService;
+    /** Creates the connection of one process; `clock` is its clock, so that a frozen process receives no response. */
+    readonly connect: (clock: Clock, chooseOutcome: ChooseCallOutcome) => TableService;
     readonly rows: () => readonly TableRow[];
     readonly get: (key: string) => TableRow | undefined;
-    /** Transactions that committed. */
+    /** Returns the number of committed transactions. */
     readonly commits: () => number;
+    /** Returns the number of rows written or deleted. */
     readonly rowWrites: () => number;
+    /** Returns the number of read and scan calls that took effect. */
     readonly reads: () => number;
 }
 
-const LOST: PlatformError = { kind: "OutcomeUnknown", detail: "the answer was lost" };
-const DOWN: PlatformError = { kind: "Unavailable", detail: "the platform is down" };
+const RESPONSE_LOST: PlatformError = { kind: "OutcomeUnknown", detail: "the response was lost" };
+const PLATFORM_DOWN: PlatformError = { kind: "Unavailable", detail: "the platform is down" };
 
 const compareKeys = (left: TableRow, right: TableRow): number => left.key < right.key ? -1 : 1;
 
-/** `serverClock` is the platform's own time. */
+/** `serverClock` is the clock of the simulated platform. */
 export const createMemoryTable = (serverClock: Clock): MemoryTable => {
     const rows = new Map<string, TableRow>();
     const counts = { commits: 0, rowWrites: 0, reads: 0 };
@@ -87,8 +93,8 @@
         return (scan.descending === true ? found.reverse() : found).slice(0, scan.limit);
     };
 
-    const connect = (clock: Clock, chooseFate: ChooseFate): TableService => {
-        const deliver = <Value>(value: Value, delay: Milliseconds): Promise<Value> =>
+    const connect = (clock: Clock, chooseOutcome: ChooseCallOutcome): TableService => {
+        const resolveAfter = <Value>(value: Value, delay: Milliseconds): Promise<Value> =>
             new Promise((resolve) => {
                 clock.after(delay, () => resolve(value));
             });
@@ -97,28 +103,28 @@
             kind: "read" | "write",
             run: () => Value,
         ): Promise<Either<PlatformError, Value>> => {
-            const fate = chooseFate(kind);
-            switch (fate.kind) {
+            const outcome = chooseOutcome(kind);
+            switch (outcome.kind) {
                 case "Answered":
-                    return deliver(either.right(run()), fate.delayMs);
+                    return resolveAfter(either.right(run()), outcome.delayMs);
                 case "Unavailable":
-                    return deliver(either.left(DOWN), 0);
+                    return resolveAfter(either.left(PLATFORM_DOWN), 0);
                 case "AnswerLost":
                     run();
                     break;
-                case "LandsLate":
-                    serverClock.after(fate.delayMs, run);
+                case "TakesEffectLate":
+                    serverClock.after(outcome.delayMs, run);
                     break;
                 case "Hangs":
-                    if (fate.landsMs !== undefined) {
-                        serverClock.after(fate.landsMs, run);
+                    if (outcome.takesEffectAfterMs !== undefined) {
+                        serverClock.after(outcome.takesEffectAfterMs, run);
                     }
                     break;
                 case "RequestLost":
                     break;
             }
-            const delay = fate.kind === "Hangs" ? fate.givenUpMs : 0;
-            return deliver(either.left(kind === "write" ? LOST : DOWN), delay);
+            const delay = outcome.kind === "Hangs" ? outcome.failsAfterMs : 0;
+            return resolveAfter(either.left(kind === "write" ? RESPONSE_LOST : PLATFORM_DOWN), delay);
         };
 
         const read = (run: () => readonly TableRow[]): Promise<Either<PlatformError, readonly TableRow[]>> =>
--- a/packages/oleandergap-idempotency/src/measure/ownedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/ownedNode.ts
@@ -1,4 +1,4 @@
-/** A simulated process that accepts keys through ownership. */
+/** Simulated process that accepts keys through ownership. */
 import type { NodeId, TableService } from "oleandergap-types";
 import type { Clock } from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
@@ -26,7 +26,7 @@
 
 export const createOwnedNode = (dependencies: OwnedNodeDependencies): OwnedNode => {
     const { connect, claimOptions, ownershipOptions, members, signal } = dependencies;
-    const started: PartitionOwnership[] = [];
+    const ownerships: PartitionOwnership[] = [];
     const node = createClaimingNode(dependencies, (clock) => {
         const shared = { ...dependencies, clock, tableService: connect(clock) };
         const keeper = createClaimKeeper({ ...shared, options: claimOptions });
@@ -37,13 +37,13 @@
             members,
             isMember: (nodeId) => members().includes(nodeId),
         });
-        started.push(ownership);
+        ownerships.push(ownership);
         void ownership.start(signal);
         return createOwnedClaimKeeper({ keeper, ownership, clock, claimOptions });
     });
-    const [ownership] = started;
+    const [ownership] = ownerships;
     if (ownership === undefined) {
-        throw new Error("the node was created without its keeper");
+        throw new Error("the node was created without its partition ownership");
     }
     return { ...node, ownership };
 };
--- a/packages/oleandergap-idempotency/src/measure/partitionMoves.ts
+++ b/packages/oleandergap-idempotency/src/measure/partitionMoves.ts
@@ -1,28 +1,31 @@
-/** Partitions that change owner when a member leaves, against the least possible, and how evenly they are spread. */
+/**
+ * Measures how many partitions change their owner when a member leaves, compared with the minimum, and how evenly the
+ * partitions are distributed.
+ */
 import { rankOwners } from "../ownership/partitions.js";
 import { SIMULATED_SERVICE } from "./simulatedNode.js";
 
 export interface MoveFigures {
     readonly partitions: number;
     readonly members: number;
-    /** Moves per member that leaves, averaged over all members. */
+    /** Mean number of partitions that change their owner when one member leaves, over all members. */
     readonly meanMoves: number;
-    /** Partitions that the leaving member owned: the least that must move. */
+    /** Mean number of partitions that a member owns: the minimum that must change their owner when it leaves. */
     readonly meanLeastMoves: number;
-    /** Partitions of the fullest member over the mean. */
+    /** Ratio of the partitions of the member with the most partitions to the mean. */
     readonly fullestOverMean: number;
 }
 
-const assign = (partitions: number, members: readonly string[]): readonly (string | undefined)[] =>
+const assignOwners = (partitions: number, members: readonly string[]): readonly (string | undefined)[] =>
     Array.from({ length: partitions }, (_, partition) =>
         rankOwners({ service: SIMULATED_SERVICE, partition }, members)[0]);
 
 export const measurePartitionMoves = (partitions: number, memberCount: number): MoveFigures => {
     const members = Array.from({ length: memberCount }, (_, index) => `node-${index}`);
-    const before = assign(partitions, members);
+    const before = assignOwners(partitions, members);
     const counts = members.map((member) => before.filter((owner) => owner === member).length);
-    const moves = members.map((gone) => {
-        const after = assign(partitions, members.filter((member) => member !== gone));
+    const moves = members.map((removedMember) => {
+        const after = assignOwners(partitions, members.filter((member) => member !== removedMember));
         return after.filter((owner, partition) => owner !== before[partition]).length;
     });
     const sum = (values: readonly number[]): number => values.reduce((total, value) => total + value, 0);
--- a/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
@@ -1,6 +1,6 @@
 /**
- * One process that runs keyed requests, ours or naive, with a clock that can be frozen. A killed process is one that is
- * frozen and never resumed: nothing that it was about to do happens any more.
+ * Simulated process that runs requests with an idempotency key, either with claims or in a naive way, with a clock that
+ * can be frozen. A process is killed by freezing its clock and never resuming it: none of its pending steps then runs.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
@@ -8,20 +8,20 @@
 import type { ClaimKeeper, ClaimResult } from "../claim/claimKeeper.js";
 import type { Claim } from "../claim/localClaims.js";
 import { createFreezableClock, type FreezableClock } from "./freezableClock.js";
-import type { SimulatedTarget, Told } from "./simulatedTarget.js";
+import type { SimulatedTarget, CallerResult } from "./simulatedTarget.js";
 
-/** The service of every simulated request. */
+/** Service of all simulated requests. */
 export const SIMULATED_SERVICE = { partner: "halloway", service: "grant-filer" } as const;
 
 /** Longest time between two steps of a request, in milliseconds. */
-const MAX_STEP = 20;
-/** Attempts of the naive version. */
+const MAX_STEP_DELAY = 20;
+/** Number of attempts of the naive version. */
 const NAIVE_ATTEMPTS = 3;
 
 export interface SimulatedNode {
     readonly clock: FreezableClock;
-    /** Resolves with what the caller is told; never, when the process is killed first. */
-    readonly handle: (key: string, timeout: Milliseconds) => Promise<Told>;
+    /** Resolves to the result for the caller; never resolves when the process is killed before. */
+    readonly handle: (key: string, timeout: Milliseconds) => Promise<CallerResult>;
 }
 
 export interface SimulatedNodeDependencies {
@@ -29,11 +29,11 @@
     readonly random: Random;
     readonly target: SimulatedTarget;
     readonly signal: AbortSignal;
-    /** By how much the process's wall clock is wrong, in milliseconds. */
-    readonly wallOffset?: Milliseconds;
+    /** Error of the process's wall clock, in milliseconds. */
+    readonly wallClockOffset?: Milliseconds;
 }
 
-const tellKnown = (key: string, result: Exclude<ClaimResult, { right: { kind: "Granted" } }>): Told => {
+const createCallerResult = (key: string, result: Exclude<ClaimResult, { right: { kind: "Granted" } }>): CallerResult => {
     if (either.isLeft(result)) {
         return { key, verdict: result.left.verdict, sent: false };
     }
@@ -42,27 +42,27 @@
     return { key, verdict: "ran", body, sent: false };
 };
 
-/** Runs requests only under a claim of `createKeeper`. */
+/** Creates a node that runs a request only with a claim. `createKeeper` creates the source of its claims. */
 export const createClaimingNode = (
     dependencies: SimulatedNodeDependencies,
     createKeeper: (clock: Clock) => ClaimKeeper,
 ): SimulatedNode => {
     const { random, target, signal } = dependencies;
-    const clock = createFreezableClock(dependencies.clock, dependencies.wallOffset);
+    const clock = createFreezableClock(dependencies.clock, dependencies.wallClockOffset);
     const keeper = createKeeper(clock);
-    const pauseBetweenSteps = (): Promise<void> => clock.sleep(random() * MAX_STEP, signal);
+    const pauseBetweenSteps = (): Promise<void> => clock.sleep(random() * MAX_STEP_DELAY, signal);
 
-    const run = async (key: string, claim: Claim): Promise<Told> => {
+    const run = async (key: string, claim: Claim): Promise<CallerResult> => {
         await pauseBetweenSteps();
         if (!claim.mayStart()) {
             claim.release();
             return { key, verdict: "notRun", sent: false };
         }
-        // The gap between the last check and the send, in which a process may be frozen for any time.
+        // Time between the last check and the send, during which the process may be frozen for any length of time.
         await pauseBetweenSteps();
-        const { fate, body } = target.run(key);
+        const { outcome, body } = target.run(key);
         await pauseBetweenSteps();
-        switch (fate) {
+        switch (outcome) {
             case "Answered":
                 claim.complete({ status: 200, headers: [], body: Buffer.from(body) });
                 return { key, verdict: "ran", body, sent: true };
@@ -75,26 +75,28 @@
         }
     };
 
-    const handle = async (key: string, timeout: Milliseconds): Promise<Told> => {
+    const handle = async (key: string, timeout: Milliseconds): Promise<CallerResult> => {
         const deadline = clock.monotonic() + timeout;
         const request = { ...SIMULATED_SERVICE, key, fingerprint: "same", deadline };
         const result = await keeper.claim(request, signal);
         return either.isRight(result) && result.right.kind === "Granted" ?
             run(key, result.right.claim) :
-            tellKnown(key, result);
+            createCallerResult(key, result);
     };
 
     return { clock, handle };
 };
 
-/** Sends at once and tries again on every error, as a plain proxy does. */
-export const createNaiveNode = ({ clock: base, random, target, signal }: SimulatedNodeDependencies): SimulatedNode => {
-    const clock = createFreezableClock(base);
-    const handle = async (key: string): Promise<Told> => {
+/** Creates a node that sends each request without a claim and retries it on every error, like a plain proxy. */
+export const createNaiveNode = (
+    { clock: baseClock, random, target, signal }: SimulatedNodeDependencies,
+): SimulatedNode => {
+    const clock = createFreezableClock(baseClock);
+    const handle = async (key: string): Promise<CallerResult> => {
         for (let attempt = 0; attempt < NAIVE_ATTEMPTS; attempt++) {
-            await clock.sleep(random() * MAX_STEP, signal);
-            const { fate, body } = target.run(key);
-            if (fate === "Answered") {
+            await clock.sleep(random() * MAX_STEP_DELAY, signal);
+            const { outcome, body } = target.run(key);
+            if (outcome === "Answered") {
                 return { key, verdict: "ran", body, sent: true };
             }
         }
--- a/packages/oleandergap-idempotency/src/measure/simulatedTarget.ts
+++ b/packages/oleandergap-idempotency/src/measure/simulatedTarget.ts
@@ -1,33 +1,35 @@
-/** A target that counts how often each key ran, and the record of what callers were told. */
+/** Simulated target that counts the runs of each key, and the type of the results that callers receive. */
 import type { Verdict } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 
-/** What becomes of one request that is sent to the target. */
-export type RunFate = "Answered" | "AnswerLost" | "ConnectFailed";
+/** Outcome of one request that is sent to the target. */
+export type RunOutcome = "Answered" | "AnswerLost" | "ConnectFailed";
 
-export interface RunShares {
+/** Probabilities of the failures of a request, from 0 to 1. */
+export interface FailureShares {
     readonly answerLost: number;
     readonly connectFailed: number;
 }
 
-export interface Told {
+/** Result of one request as the caller receives it. */
+export interface CallerResult {
     readonly key: string;
     readonly verdict: Verdict;
-    /** The answer, when there was one. */
+    /** Body of the response; undefined when there was none. */
     readonly body?: string | undefined;
-    /** True when this very request reached the target. */
+    /** True when this request itself, not only an earlier one with the same key, reached the target. */
     readonly sent: boolean;
 }
 
 export interface SimulatedTarget {
-    readonly run: (key: string) => { readonly fate: RunFate; readonly body: string };
-    readonly runsOf: (key: string) => number;
-    /** Runs of the key that ran most often. */
+    readonly run: (key: string) => { readonly outcome: RunOutcome; readonly body: string };
+    readonly countRuns: (key: string) => number;
+    /** Returns the highest number of runs of one key. */
     readonly maxRuns: () => number;
     readonly totalRuns: () => number;
 }
 
-const chooseFate = (random: Random, shares: RunShares): RunFate => {
+const chooseOutcome = (random: Random, shares: FailureShares): RunOutcome => {
     const draw = random();
     if (draw < shares.connectFailed) {
         return "ConnectFailed";
@@ -35,16 +37,16 @@
     return draw < shares.connectFailed + shares.answerLost ? "AnswerLost" : "Answered";
 };
 
-export const createSimulatedTarget = (random: Random, shares: RunShares): SimulatedTarget => {
+export const createSimulatedTarget = (random: Random, shares: FailureShares): SimulatedTarget => {
     const runs = new Map<string, number>();
     return {
         run: (key) => {
-            const fate = chooseFate(random, shares);
-            const count = (runs.get(key) ?? 0) + (fate === "ConnectFailed" ? 0 : 1);
+            const outcome = chooseOutcome(random, shares);
+            const count = (runs.get(key) ?? 0) + (outcome === "ConnectFailed" ? 0 : 1);
             runs.set(key, count);
-            return { fate, body: `${key} run ${count}` };
+            return { outcome, body: `${key} run ${count}` };
         },
-        runsOf: (key) => runs.get(key) ?? 0,
+        countRuns: (key) => runs.get(key) ?? 0,
         maxRuns: () => Math.max(0, ...runs.values()),
         totalRuns: () => [...runs.values()].reduce((sum, count) => sum + count, 0),
     };
--- a/packages/oleandergap-idempotency/src/ownership/keyAcceptance.ts
+++ b/packages/oleandergap-idempotency/src/ownership/keyAcceptance.ts
@@ -1,4 +1,4 @@
-/** Decides on keys that carry their time, without asking the platform. */
+/** Decides on idempotency keys that contain a timestamp, without calling the platform. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, NodeId, RequestFailure } from "oleandergap-types";
@@ -6,44 +6,44 @@
 import { formatClaimRowKey } from "../claim/claimKey.js";
 import type { ClaimRequest } from "../claim/claimKeeper.js";
 import type { ClaimedRow } from "../claim/claimRow.js";
-import { refuseUnavailable } from "../claim/failures.js";
+import { createUnavailableFailure } from "../claim/failures.js";
 import type { Claim } from "../claim/localClaims.js";
 import type { OwnershipOptions } from "../options.js";
-import type { KeyLedger } from "./keyLedger.js";
-import { chooseKeyPath } from "./keyRule.js";
+import type { KeyRegistry } from "./keyLedger.js";
+import { chooseDecisionSource } from "./keyRule.js";
 import { formatPartitionKey, type KeyRange } from "./ownershipRows.js";
-import { partitionOf } from "./partitions.js";
+import { getPartition } from "./partitions.js";
 
 export type KeyDecision =
     | { readonly kind: "Granted"; readonly claim: Claim }
     | { readonly kind: "Decided"; readonly result: Either<RequestFailure, KnownOutcome> }
-    /** The durable claim decides. */
+    /** The key must be claimed in the platform's table. */
     | { readonly kind: "ClaimDurably" }
-    /** An earlier holder may have run it: only a record may be replayed. */
+    /** An earlier holder of the partition may have run the request: only a recorded outcome may be replayed. */
     | { readonly kind: "LookUp" };
 
-/** `request.key` is already parsed, and `keyTime` is the time that it carries. */
+/** `request.key` is already parsed, and `keyTime` is its timestamp. */
 export type AcceptKey = (request: ClaimRequest, keyTime: Milliseconds) => KeyDecision;
 
 export interface KeyAcceptanceDependencies {
-    readonly ledger: KeyLedger;
+    readonly keyRegistry: KeyRegistry;
     readonly clock: Clock;
     readonly nodeId: NodeId;
     readonly bootId: string;
     readonly options: Pick<OwnershipOptions, "partitions">;
-    /** The keys of a partition that this process may accept; undefined when it does not hold it. */
-    readonly rangeOf: (partitionKey: string) => KeyRange | undefined;
-    /** Latest key time that this process's lease allows. */
+    /** Returns the key range of a partition, or undefined when this process does not hold the partition. */
+    readonly getRange: (partitionKey: string) => KeyRange | undefined;
+    /** Returns the latest key timestamp that this process's lease allows. */
     readonly ceiling: () => Milliseconds;
 }
 
-/** When to ask again a node that does not own the key (yet), in milliseconds. */
-const RETRY_AFTER_MOVE = 1000;
+/** Retry-after time of a node that does not own the key or does not own it yet, in milliseconds. */
+const MOVE_RETRY_AFTER = 1000;
 
-const REFUSED: KeyDecision = { kind: "Decided", result: either.left(refuseUnavailable(RETRY_AFTER_MOVE)) };
+const REFUSED: KeyDecision = { kind: "Decided", result: either.left(createUnavailableFailure(MOVE_RETRY_AFTER)) };
 
 export const createKeyAcceptance = (dependencies: KeyAcceptanceDependencies): AcceptKey => {
-    const { ledger, clock, nodeId, bootId, options, rangeOf, ceiling } = dependencies;
+    const { keyRegistry, clock, nodeId, bootId, options, getRange, ceiling } = dependencies;
     let attempts = 0;
 
     const createRow = (fingerprint: string): ClaimedRow => {
@@ -53,28 +53,28 @@
     };
 
     const formatPartition = ({ partner, service, key }: ClaimRequest): string =>
-        formatPartitionKey({ service: { partner, service }, partition: partitionOf(key, options.partitions) });
+        formatPartitionKey({ service: { partner, service }, partition: getPartition(key, options.partitions) });
 
     const acceptFromMemory = (request: ClaimRequest, partitionKey: string, keyTime: Milliseconds): KeyDecision => {
-        if (!ledger.hasRoom()) {
+        if (!keyRegistry.hasRoom()) {
             return REFUSED;
         }
         const rowKey = formatClaimRowKey(request, request.key);
         const key = { rowKey, partitionKey, keyTime, deadline: request.deadline };
-        return { kind: "Granted", claim: ledger.accept(key, createRow(request.fingerprint)) };
+        return { kind: "Granted", claim: keyRegistry.accept(key, createRow(request.fingerprint)) };
     };
 
     return (request, keyTime) => {
-        const known = ledger.find(formatClaimRowKey(request, request.key), request.fingerprint);
+        const known = keyRegistry.find(formatClaimRowKey(request, request.key), request.fingerprint);
         if (known !== undefined) {
             return { kind: "Decided", result: known };
         }
         const partitionKey = formatPartition(request);
-        const range = rangeOf(partitionKey);
+        const range = getRange(partitionKey);
         if (range === undefined) {
             return REFUSED;
         }
-        switch (chooseKeyPath(keyTime, range, ceiling())) {
+        switch (chooseDecisionSource(keyTime, range, ceiling())) {
             case "Memory":
                 return acceptFromMemory(request, partitionKey, keyTime);
             case "Durable":
--- a/packages/oleandergap-idempotency/src/ownership/keyLedger.ts
+++ b/packages/oleandergap-idempotency/src/ownership/keyLedger.ts
@@ -1,56 +1,65 @@
 /**
- * The keys that this process accepted from memory. It lives as long as the process; what it remembers is written to
- * the platform's table behind the callers' backs, so that a later holder can replay it.
+ * Keys that this process accepted from memory. The registry exists as long as the process. Its outcomes are written to
+ * the platform's table in the background, so that a later holder of the partition can replay them.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
-import { describeFinished, type KnownOutcome } from "../claim/acquireClaim.js";
-import { storeAnswer, type AnswerSummary } from "../claim/answer.js";
+import { createKnownOutcome, type KnownOutcome } from "../claim/acquireClaim.js";
+import { createStoredResponse, type TargetResponse } from "../claim/answer.js";
 import type { ClaimedRow, ClaimRow } from "../claim/claimRow.js";
-import { refuseOtherRequest, tellDuplicate } from "../claim/failures.js";
+import { createKeyReuseFailure, createDuplicateFailure } from "../claim/failures.js";
 import type { Claim } from "../claim/localClaims.js";
 import type { Settler } from "../claim/settler.js";
 import type { ClaimOptions, OwnershipOptions } from "../options.js";
 
-interface LedgerEntry {
+interface KeyEntry {
     /** Key of the partition's row. */
     readonly partitionKey: string;
     readonly keyTime: Milliseconds;
     row: ClaimRow;
+    /** True until the claim is completed, released or left open. */
     isRunning: boolean;
+    /** True when the row is written to the platform's table. */
     isRecorded: boolean;
 }
 
-export interface LedgerKey {
+export interface AcceptedKey {
     readonly rowKey: string;
     readonly partitionKey: string;
     readonly keyTime: Milliseconds;
     readonly deadline: Milliseconds;
 }
 
-export interface KeyLedger {
-    /** What a repeat is told; undefined when the key is not in memory. */
+export interface KeyRegistry {
+    /** Returns the result for a repeated request, or undefined when the key is not in memory. */
     readonly find: (rowKey: string, fingerprint: string) => Either<RequestFailure, KnownOutcome> | undefined;
-    /** False while memory is full of keys that are not recorded yet. */
+    /** Returns false while all entries are keys that are not recorded yet and the maximum number is reached. */
     readonly hasRoom: () => boolean;
-    /** Accepts a key that is not in memory. */
-    readonly accept: (key: LedgerKey, row: ClaimedRow) => Claim;
-    /** True when every key of the partition is recorded and none is running. */
+    /** Accepts a key that is not in memory and returns its claim. */
+    readonly accept: (key: AcceptedKey, row: ClaimedRow) => Claim;
+    /** Returns whether all keys of the partition are recorded and none is running. */
     readonly isSettled: (partitionKey: string) => boolean;
+    /** Returns the number of keys in memory. */
     readonly size: () => number;
 }
 
-export interface KeyLedgerDependencies {
+export interface KeyRegistryDependencies {
     readonly settler: Settler;
     readonly clock: Clock;
     readonly claimOptions: Pick<ClaimOptions, "maxAnswerBytes" | "replayedHeaders" | "duplicateRetryAfterMs">;
     readonly options: Pick<OwnershipOptions, "maxKeys" | "maxMemoryAnswerBytes">;
-    /** A recorded key is forgotten: keys of its partition up to its time are no longer decided from memory. */
-    readonly onForget: (partitionKey: string, keyTime: Milliseconds) => void;
+    /**
+     * Called when a recorded key is removed from memory: keys of its partition with a timestamp up to `keyTime` can no
+     * longer be decided from memory.
+     */
+    readonly onEvicted: (partitionKey: string, keyTime: Milliseconds) => void;
 }
 
-/** Large bodies leave memory once they are recorded; a repeat is then told that the request ran. */
+/**
+ * Removes a large body from a recorded row in memory; a repeated request then receives only the outcome that the
+ * request ran.
+ */
 const dropLargeBody = (row: ClaimRow, limit: number): ClaimRow => {
     if (row.state !== "finished" || (row.answer.bodyBase64?.length ?? 0) <= limit) {
         return row;
@@ -58,21 +67,22 @@
     return { ...row, answer: { status: row.answer.status, headers: row.answer.headers } };
 };
 
-export const createKeyLedger = (dependencies: KeyLedgerDependencies): KeyLedger => {
-    const { settler, clock, claimOptions, options, onForget } = dependencies;
-    const entries = new Map<string, LedgerEntry>();
-    const unsettled = new Map<string, number>();
+export const createKeyRegistry = (dependencies: KeyRegistryDependencies): KeyRegistry => {
+    const { settler, clock, claimOptions, options, onEvicted } = dependencies;
+    const entries = new Map<string, KeyEntry>();
+    /** Number of keys that are running or not recorded, by the key of the partition's row. */
+    const unsettledCounts = new Map<string, number>();
 
-    const countUnsettled = (partitionKey: string, change: number): void => {
-        const count = (unsettled.get(partitionKey) ?? 0) + change;
+    const changeUnsettledCount = (partitionKey: string, change: number): void => {
+        const count = (unsettledCounts.get(partitionKey) ?? 0) + change;
         if (count === 0) {
-            unsettled.delete(partitionKey);
+            unsettledCounts.delete(partitionKey);
             return;
         }
-        unsettled.set(partitionKey, count);
+        unsettledCounts.set(partitionKey, count);
     };
 
-    const record = async (rowKey: string, entry: LedgerEntry, row: ClaimRow): Promise<void> => {
+    const record = async (rowKey: string, entry: KeyEntry, row: ClaimRow): Promise<void> => {
         entry.row = row;
         entry.isRunning = false;
         if (!await settler.settle({ rowKey, row, isFirst: true })) {
@@ -80,35 +90,39 @@
         }
         entry.row = dropLargeBody(row, options.maxMemoryAnswerBytes);
         entry.isRecorded = true;
-        countUnsettled(entry.partitionKey, -1);
+        changeUnsettledCount(entry.partitionKey, -1);
     };
 
-    const forgetOldest = (): void => {
+    const evictOldest = (): void => {
         for (const [rowKey, entry] of entries) {
             if (entry.isRecorded) {
                 entries.delete(rowKey);
-                onForget(entry.partitionKey, entry.keyTime);
+                onEvicted(entry.partitionKey, entry.keyTime);
                 return;
             }
         }
     };
 
-    const createClaim = (rowKey: string, entry: LedgerEntry, row: ClaimedRow, deadline: Milliseconds): Claim => {
+    const createClaim = (rowKey: string, entry: KeyEntry, row: ClaimedRow, deadline: Milliseconds): Claim => {
         const end = (finish: () => void): void => {
             if (entry.isRunning) {
                 entry.isRunning = false;
                 finish();
             }
         };
-        const complete = (answer: AnswerSummary): void => {
-            void record(rowKey, entry, { ...row, state: "finished", answer: storeAnswer(answer, claimOptions) });
+        const complete = (response: TargetResponse): void => {
+            void record(
+                rowKey,
+                entry,
+                { ...row, state: "finished", answer: createStoredResponse(response, claimOptions) },
+            );
         };
         return {
             mayStart: () => entry.isRunning && clock.monotonic() < deadline,
-            complete: (answer) => end(() => complete(answer)),
+            complete: (response) => end(() => complete(response)),
             release: () => end(() => {
                 entries.delete(rowKey);
-                countUnsettled(entry.partitionKey, -1);
+                changeUnsettledCount(entry.partitionKey, -1);
             }),
             leaveOpen: () => end(() => {
                 void record(rowKey, entry, row);
@@ -123,25 +137,25 @@
                 return undefined;
             }
             if (entry.row.fingerprint !== fingerprint) {
-                return either.left(refuseOtherRequest());
+                return either.left(createKeyReuseFailure());
             }
             return entry.row.state === "finished" ?
-                either.right(describeFinished(entry.row)) :
-                either.left(tellDuplicate(claimOptions.duplicateRetryAfterMs));
+                either.right(createKnownOutcome(entry.row)) :
+                either.left(createDuplicateFailure(claimOptions.duplicateRetryAfterMs));
         },
         hasRoom: () => {
             if (entries.size >= options.maxKeys) {
-                forgetOldest();
+                evictOldest();
             }
             return entries.size < options.maxKeys;
         },
         accept: ({ rowKey, partitionKey, keyTime, deadline }, row) => {
-            const entry: LedgerEntry = { partitionKey, keyTime, row, isRunning: true, isRecorded: false };
+            const entry: KeyEntry = { partitionKey, keyTime, row, isRunning: true, isRecorded: false };
             entries.set(rowKey, entry);
-            countUnsettled(partitionKey, 1);
+            changeUnsettledCount(partitionKey, 1);
             return createClaim(rowKey, entry, row, deadline);
         },
-        isSettled: (partitionKey) => !unsettled.has(partitionKey),
+        isSettled: (partitionKey) => !unsettledCounts.has(partitionKey),
         size: () => entries.size,
     };
 };
--- a/packages/oleandergap-idempotency/src/ownership/keyRule.ts
+++ b/packages/oleandergap-idempotency/src/ownership/keyRule.ts
@@ -1,18 +1,18 @@
-/** The rule by which the holder of a partition decides on a key that it does not find in its memory. */
+/** Chooses how the holder of a partition decides on a key that is not in its memory. */
 import type { Milliseconds } from "oleandergap-types";
 import type { KeyRange } from "./ownershipRows.js";
 
-export type KeyPath =
-    /** Nobody else ever accepts this key: memory is enough. */
+export type DecisionSource =
+    /** No other process ever accepts this key, so it can be accepted from memory. */
     | "Memory"
-    /** Every earlier acceptance is recorded: the durable claim decides. */
+    /** All earlier acceptances of such keys are recorded, so the key is claimed in the platform's table. */
     | "Durable"
-    /** An earlier holder may have run it without a record. */
+    /** An earlier holder may have run the request without recording it. */
     | "Unknown"
-    /** The lease does not reach so far yet. */
+    /** The key's timestamp is later than the lease allows now. */
     | "BeyondLease";
 
-export const chooseKeyPath = (keyTime: Milliseconds, range: KeyRange, ceiling: Milliseconds): KeyPath => {
+export const chooseDecisionSource = (keyTime: Milliseconds, range: KeyRange, ceiling: Milliseconds): DecisionSource => {
     if (keyTime <= range.unknownUpTo) {
         return "Unknown";
     }
--- a/packages/oleandergap-idempotency/src/ownership/nodeLease.ts
+++ b/packages/oleandergap-idempotency/src/ownership/nodeLease.ts
@@ -1,6 +1,6 @@
 /**
- * This process's lease row. Only the ceiling that was surely written counts: a renewal whose answer was lost is read
- * back, and a row that somebody fenced ends the lease for good.
+ * The lease row of this process. Only a ceiling that was certainly written is used: after a renewal whose response was
+ * lost, the row is read back. If another process has fenced the row, the lease ends permanently.
  */
 import * as either from "fp-ts/lib/Either.js";
 import {
@@ -17,15 +17,15 @@
 import type { OwnershipOptions } from "../options.js";
 import { formatLeaseKey, leaseRowSchema, type Holder, type LeaseRow } from "./ownershipRows.js";
 
-/** A lease is renewed when this share of it is used up. */
-const RENEWED_SHARE = 1 / 3;
+/** Elapsed share of the lease time after which the lease is renewed. */
+const RENEWAL_SHARE = 1 / 3;
 
 export interface NodeLease {
-    /** Latest key time that may be accepted; minus infinity before the first write. */
+    /** Returns the latest key timestamp that may be accepted; minus infinity before the first write. */
     readonly ceiling: () => Milliseconds;
-    /** Somebody fenced this process: it must accept no key any more. */
+    /** Returns whether the lease was fenced; this process must then accept no more keys under it. */
     readonly isLost: () => boolean;
-    /** Renews the lease if it is due. Never rejects. */
+    /** Renews the lease if a renewal is due. Never rejects. */
     readonly renewIfDue: () => Promise<void>;
 }
 
@@ -39,8 +39,8 @@
 }
 
 /**
- * The version of the row after a write of our own. A platform that counts otherwise refuses the next renewal, which
- * then reads the row.
+ * Returns the expected version of the row after a write by this process. If the platform assigns another version, it
+ * rejects the next renewal, which then reads the row.
  */
 const nextVersion = (version: RowVersion | undefined): RowVersion =>
     ({ era: version?.era ?? UNTOLD_ERA, version: (version?.version ?? 0) + 1 });
@@ -50,17 +50,17 @@
     const key = formatLeaseKey(holder);
     let ceiling = Number.NEGATIVE_INFINITY;
     let version: RowVersion | undefined;
-    let lost = false;
+    let isFenced = false;
 
-    const adopt = (row: TableRow | undefined): void => {
+    const applyRow = (row: TableRow | undefined): void => {
         if (row === undefined) {
             version = undefined;
             return;
         }
         const parsed = leaseRowSchema.safeParse(row.value);
         if (!parsed.success || parsed.data.state === "fenced") {
-            lost = true;
-            logger.warn("lease was fenced by another node; no key is accepted any more");
+            isFenced = true;
+            logger.warn("the lease was fenced by another process; no more keys are accepted under it");
             return;
         }
         version = row.version;
@@ -81,17 +81,17 @@
         }
         const row = await reader.read(key);
         if (either.isRight(row)) {
-            adopt(row.right);
+            applyRow(row.right);
         }
     };
 
-    const isDue = (): boolean => ceiling - clock.now() < options.leaseMs * (1 - RENEWED_SHARE);
+    const isDue = (): boolean => ceiling - clock.now() < options.leaseMs * (1 - RENEWAL_SHARE);
 
     return {
         ceiling: () => ceiling,
-        isLost: () => lost,
+        isLost: () => isFenced,
         renewIfDue: async () => {
-            if (!lost && isDue()) {
+            if (!isFenced && isDue()) {
                 await renew();
             }
         },
--- a/packages/oleandergap-idempotency/src/ownership/ownedClaimKeeper.ts
+++ b/packages/oleandergap-idempotency/src/ownership/ownedClaimKeeper.ts
@@ -1,17 +1,18 @@
 /**
- * Claims through ownership: keys that carry their time are decided by the owner's memory wherever that is safe, all
- * others by the durable claim. The same interface as the durable claim's, so that the caller need not know.
+ * Claims through ownership: keys that contain a timestamp are decided from the owner's memory where that is safe; all
+ * other keys are claimed in the platform's table. The interface is that of the durable claims, so callers need not
+ * distinguish them.
  */
 import * as either from "fp-ts/lib/Either.js";
 import { parseIdempotencyKey, readKeyTime } from "../claim/claimKey.js";
 import type { ClaimKeeper, ClaimRequest, ClaimResult } from "../claim/claimKeeper.js";
-import { judgeKeyTime } from "../claim/keyTime.js";
+import { checkKeyTime } from "../claim/keyTime.js";
 import type { ClaimOptions } from "../options.js";
 import type { Clock } from "oleandergap-types";
 import type { PartitionOwnership } from "./partitionOwnership.js";
 
 export interface OwnedClaimKeeperDependencies {
-    /** Decides on keys without a time, and on those that ownership leaves to it. */
+    /** Decides on keys without a timestamp, and on keys that ownership cannot decide from memory. */
     readonly keeper: ClaimKeeper;
     readonly ownership: PartitionOwnership;
     readonly clock: Clock;
@@ -36,16 +37,16 @@
     };
 
     const claim: ClaimKeeper["claim"] = async (request, signal) => {
-        const key = either.chain((parsed: string) => judgeKeyTime(parsed, clock.now(), claimOptions))(
+        const checkedKey = either.chain((parsed: string) => checkKeyTime(parsed, clock.now(), claimOptions))(
             parseIdempotencyKey(request.key),
         );
-        if (either.isLeft(key)) {
-            return key;
+        if (either.isLeft(checkedKey)) {
+            return checkedKey;
         }
-        const keyTime = readKeyTime(key.right);
+        const keyTime = readKeyTime(checkedKey.right);
         return keyTime === undefined ?
             keeper.claim(request, signal) :
-            decide({ ...request, key: key.right }, keyTime, signal);
+            decide({ ...request, key: checkedKey.right }, keyTime, signal);
     };
 
     return { ...keeper, claim };
