--- a/packages/oleandergap-idempotency/src/ownership/partitionHolding.ts
+++ b/packages/oleandergap-idempotency/src/ownership/partitionHolding.ts
@@ -1,30 +1,32 @@
 /**
- * One partition as seen by one process: taken, held, handed over. A write whose answer was lost may land later, so it
- * is never forgotten: the row is read again until it tells the outcome or its version has moved on.
+ * State of one partition in one process: being taken, held or being handed over. A write whose response was lost may
+ * take effect later, so it stays part of the state: the row is read again until it shows the outcome of the write or
+ * its version has changed.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Milliseconds, RowVersion } from "oleandergap-types";
 import type { BatchReader } from "../claim/batchReader.js";
 import type { BatchWriter, WriteOutcome } from "../claim/batchWriter.js";
-import type { KeyLedger } from "./keyLedger.js";
+import type { KeyRegistry } from "./keyLedger.js";
 import type { Holder, KeyRange, PartitionRow } from "./ownershipRows.js";
 import type { Takeover, TakeoverStep } from "./takeover.js";
 
 type HoldingState =
     | { readonly kind: "None" }
-    /** A write that takes the partition may be on its way. */
+    /** A write that takes the partition may be in flight. */
     | { readonly kind: "Taking" }
     | { readonly kind: "Held"; readonly version: RowVersion; readonly range: KeyRange }
-    /** No key is accepted any more; `isUncertain` once a write that gives it up may be on its way. */
-    | { readonly kind: "Leaving"; readonly version: RowVersion; readonly range: KeyRange; readonly isUncertain: boolean };
+    /** No more keys are accepted. `isPending` is true when a write that hands the partition over may be in flight. */
+    | { readonly kind: "HandingOver"; readonly version: RowVersion; readonly range: KeyRange; readonly isPending: boolean };
 
 export interface PartitionHolding {
-    /** The keys that may be accepted; undefined when this process does not hold the partition. */
+    /** Returns the key range of the partition, or undefined when this process does not hold the partition. */
     readonly range: () => KeyRange | undefined;
-    /** Keys up to `keyTime` are recorded and no longer in memory. */
-    readonly raiseRecorded: (keyTime: Milliseconds) => void;
-    /** One step towards holding the partition, or towards giving it up. Never rejects. */
-    readonly step: (isWanted: boolean) => Promise<void>;
+    /** Raises `recordedUpTo` to `keyTime`: keys up to this timestamp are recorded and may no longer be in memory. */
+    readonly raiseRecordedUpTo: (keyTime: Milliseconds) => void;
+    /** Performs one step towards holding the partition or towards handing it over. Never rejects. */
+    readonly step: (shouldHold: boolean) => Promise<void>;
+    /** Returns whether the process neither holds the partition nor is taking it or handing it over. */
     readonly isIdle: () => boolean;
 }
 
@@ -34,32 +36,33 @@
     readonly takeover: Takeover;
     readonly reader: BatchReader;
     readonly writer: BatchWriter;
-    readonly ledger: Pick<KeyLedger, "isSettled">;
+    readonly keyRegistry: Pick<KeyRegistry, "isSettled">;
+    /** Returns the latest key timestamp that this process's lease allows. */
     readonly ceiling: () => Milliseconds;
-    /** The row of a partition that nobody has held yet. */
+    /** Creates the row of a partition that has had no holder yet. */
     readonly createVacantRow: () => PartitionRow;
 }
 
-const isUncertainOutcome = (outcome: WriteOutcome): boolean =>
+const isUnknownOutcome = (outcome: WriteOutcome): boolean =>
     outcome.kind === "Failed" && outcome.error.kind === "OutcomeUnknown";
 
 export const createPartitionHolding = (dependencies: PartitionHoldingDependencies): PartitionHolding => {
-    const { partitionKey, holder, takeover, reader, writer, ledger, ceiling, createVacantRow } = dependencies;
+    const { partitionKey, holder, takeover, reader, writer, keyRegistry, ceiling, createVacantRow } = dependencies;
     let state: HoldingState = { kind: "None" };
 
     const take = async (step: Extract<TakeoverStep, { kind: "Take" }>): Promise<void> => {
         const outcome = await writer.submit({ key: partitionKey, condition: step.condition, value: step.row });
-        if (isUncertainOutcome(outcome)) {
+        if (isUnknownOutcome(outcome)) {
             state = { kind: "Taking" };
         }
-        // A written row is read again at the next step, which tells its version.
+        // The written row is read again in the next step, which returns its version.
         else if (outcome.kind === "Written") {
             state = { kind: "Taking" };
-            await approach();
+            await inspectAndTake();
         }
     };
 
-    const approach = async (): Promise<void> => {
+    const inspectAndTake = async (): Promise<void> => {
         const step = await takeover.inspect(partitionKey, holder);
         if (step.kind === "Held") {
             state = { kind: "Held", version: step.version, range: step.range };
@@ -69,8 +72,8 @@
         }
     };
 
-    /** Writes the row once more, so that the take that may be on its way fails. */
-    const withdraw = async (): Promise<void> => {
+    /** Writes the row again, so that a taking write that may be in flight fails. */
+    const cancelTake = async (): Promise<void> => {
         const step = await takeover.inspect(partitionKey, holder);
         if (step.kind === "Held") {
             state = { kind: "Held", version: step.version, range: step.range };
@@ -89,72 +92,75 @@
         }
     };
 
-    const readAfterGivingUp = async (leaving: Extract<HoldingState, { kind: "Leaving" }>): Promise<void> => {
+    const checkHandover = async (handover: Extract<HoldingState, { kind: "HandingOver" }>): Promise<void> => {
         const step = await takeover.inspect(partitionKey, holder);
         if (step.kind === "Held") {
-            state = { ...leaving, version: step.version };
+            state = { ...handover, version: step.version };
         }
         else if (step.kind === "Take") {
             state = { kind: "None" };
         }
     };
 
-    /** A partition that cannot be handed over now, as in an outage, is better served than refused. */
-    const stayIfUnreachable = async (leaving: Extract<HoldingState, { kind: "Leaving" }>): Promise<void> => {
+    /**
+     * Holds the partition again when it cannot be handed over now, for example during an outage; accepting its keys is
+     * better than refusing them.
+     */
+    const resumeIfUnreachable = async (handover: Extract<HoldingState, { kind: "HandingOver" }>): Promise<void> => {
         const step = await takeover.inspect(partitionKey, holder);
-        if (step.kind !== "Held" && !leaving.isUncertain) {
-            state = { kind: "Held", version: leaving.version, range: leaving.range };
+        if (step.kind !== "Held" && !handover.isPending) {
+            state = { kind: "Held", version: handover.version, range: handover.range };
         }
     };
 
-    const giveUp = async (leaving: Extract<HoldingState, { kind: "Leaving" }>): Promise<void> => {
-        if (!ledger.isSettled(partitionKey)) {
-            await stayIfUnreachable(leaving);
+    const handOver = async (handover: Extract<HoldingState, { kind: "HandingOver" }>): Promise<void> => {
+        if (!keyRegistry.isSettled(partitionKey)) {
+            await resumeIfUnreachable(handover);
             return;
         }
-        const { version, range, isUncertain } = leaving;
+        const { version, range, isPending } = handover;
         const value: PartitionRow = { ...range, recordedUpTo: Math.max(range.recordedUpTo, ceiling()) };
         const outcome = await writer.submit({ key: partitionKey, condition: { kind: "VersionIs", version }, value });
         if (outcome.kind === "Written") {
             state = { kind: "None" };
         }
-        else if (outcome.kind === "ConditionFailed" || isUncertainOutcome(outcome)) {
-            state = { ...leaving, isUncertain: true };
-            await readAfterGivingUp(state);
+        else if (outcome.kind === "ConditionFailed" || isUnknownOutcome(outcome)) {
+            state = { ...handover, isPending: true };
+            await checkHandover(state);
         }
-        // The platform surely took nothing.
-        else if (!isUncertain) {
+        // The write certainly did not take effect.
+        else if (!isPending) {
             state = { kind: "Held", version, range };
         }
     };
 
-    const startLeaving = async (held: Extract<HoldingState, { kind: "Held" }>): Promise<void> => {
+    const startHandover = async (held: Extract<HoldingState, { kind: "Held" }>): Promise<void> => {
         const step = await takeover.inspect(partitionKey, holder);
         if (step.kind === "Held") {
-            state = { kind: "Leaving", version: step.version, range: held.range, isUncertain: false };
-            await giveUp(state);
+            state = { kind: "HandingOver", version: step.version, range: held.range, isPending: false };
+            await handOver(state);
         }
     };
 
-    const step = async (isWanted: boolean): Promise<void> => {
-        if (state.kind === "None" && isWanted) {
-            await approach();
+    const step = async (shouldHold: boolean): Promise<void> => {
+        if (state.kind === "None" && shouldHold) {
+            await inspectAndTake();
         }
         else if (state.kind === "Taking") {
-            await (isWanted ? approach() : withdraw());
+            await (shouldHold ? inspectAndTake() : cancelTake());
         }
-        else if (state.kind === "Held" && !isWanted) {
-            await startLeaving(state);
+        else if (state.kind === "Held" && !shouldHold) {
+            await startHandover(state);
         }
-        else if (state.kind === "Leaving") {
-            await giveUp(state);
+        else if (state.kind === "HandingOver") {
+            await handOver(state);
         }
     };
 
     return {
         range: () => state.kind === "Held" ? state.range : undefined,
-        raiseRecorded: (keyTime) => {
-            if (state.kind === "Held" || state.kind === "Leaving") {
+        raiseRecordedUpTo: (keyTime) => {
+            if (state.kind === "Held" || state.kind === "HandingOver") {
                 const recordedUpTo = Math.max(state.range.recordedUpTo, keyTime);
                 state = { ...state, range: { ...state.range, recordedUpTo } };
             }
--- a/packages/oleandergap-idempotency/src/ownership/partitionOwnership.ts
+++ b/packages/oleandergap-idempotency/src/ownership/partitionOwnership.ts
@@ -1,32 +1,38 @@
 /**
- * Ownership of partitions by this node: keeps its lease, takes the partitions that it should own, hands over those
- * that it should not, and decides on keys without asking the platform.
+ * Ownership of partitions by this node: it renews the lease, takes the partitions that this node should own, hands over
+ * the others, and decides on keys without calling the platform.
  */
 import type { Clock, NodeId, ServiceReference, TableService } from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
 import { raceAbort, type Random } from "oleandergap-utils";
 import { createBatchReader } from "../claim/batchReader.js";
 import { createBatchWriter } from "../claim/batchWriter.js";
-import { createPlatformPause } from "../claim/platformPause.js";
+import { createPlatformCircuitBreaker } from "../claim/platformPause.js";
 import { createSettler } from "../claim/settler.js";
 import type { ClaimOptions, OwnershipOptions } from "../options.js";
-import { createFormerLeases } from "./formerLeases.js";
+import { createFormerLeaseFencer } from "./formerLeases.js";
 import { createKeyAcceptance, type AcceptKey } from "./keyAcceptance.js";
-import { createKeyLedger } from "./keyLedger.js";
+import { createKeyRegistry } from "./keyLedger.js";
 import { createNodeLease, type NodeLease } from "./nodeLease.js";
-import { formatPartitionKey, type Holder, type KeyRange, type PartitionReference, type PartitionRow } from "./ownershipRows.js";
+import {
+    formatPartitionKey,
+    type Holder,
+    type KeyRange,
+    type PartitionReference,
+    type PartitionRow,
+} from "./ownershipRows.js";
 import { createPartitionHolding, type PartitionHolding } from "./partitionHolding.js";
 import { rankOwners } from "./partitions.js";
 import { createTakeover } from "./takeover.js";
 
 export interface PartitionOwnership {
-    /** Decides at once on a key that carries its time; `request.key` is already parsed. */
+    /** Decides immediately on a key that contains a timestamp; `request.key` is already parsed. */
     readonly acceptKey: AcceptKey;
-    /** Renews the lease and moves partitions until `signal` aborts. */
+    /** Renews the lease and takes and hands over partitions until `signal` aborts. */
     readonly start: (signal: AbortSignal) => Promise<void>;
-    /** One round of that work. */
+    /** Performs one round of the work of `start`. */
     readonly tick: () => Promise<void>;
-    /** Hands every partition over; resolves when none is left or `signal` aborts. */
+    /** Hands all partitions over; resolves when none is left or when `signal` aborts. */
     readonly leave: (signal: AbortSignal) => Promise<void>;
     readonly stats: () => { readonly held: number; readonly keys: number; readonly transactions: number };
 }
@@ -41,36 +47,39 @@
     readonly claimOptions: ClaimOptions;
     readonly options: OwnershipOptions;
     readonly signal: AbortSignal;
-    /** Services whose target stands on this node's VM. */
+    /** Returns the services that have a target on this node's VM. */
     readonly services: () => readonly ServiceReference[];
-    /** Nodes that may own keys of a service: alive, with a target that is not leaving, where the table allows. */
+    /**
+     * Returns the nodes that may own keys of a service: alive nodes with a target of the service that is not leaving,
+     * as far as the routing table allows them.
+     */
     readonly members: (service: ServiceReference) => readonly NodeId[];
-    /** False once the membership has given a node up. */
+    /** Returns false when the membership has declared a node dead or removed it. */
     readonly isMember: (node: NodeId) => boolean;
 }
 
-/** Longest time between two looks at what is left to hand over, in milliseconds. */
-const MAX_LEAVING_TICK = 1000;
+/** Longest time between two rounds while the partitions are handed over, in milliseconds. */
+const MAX_HANDOVER_TICK = 1000;
 
 export const createPartitionOwnership = (dependencies: PartitionOwnershipDependencies): PartitionOwnership => {
     const { clock, nodeId, bootId, claimOptions, options, signal, services, members } = dependencies;
-    const batching = { ...dependencies, options: claimOptions };
-    const reader = createBatchReader(batching);
-    const writer = createBatchWriter(batching);
-    const pause = createPlatformPause(batching);
+    const batchDependencies = { ...dependencies, options: claimOptions };
+    const reader = createBatchReader(batchDependencies);
+    const writer = createBatchWriter(batchDependencies);
+    const circuitBreaker = createPlatformCircuitBreaker(batchDependencies);
     const recordOptions = { ...claimOptions, batchWindowMs: options.recordWindowMs };
-    const recorder = createBatchWriter({ ...dependencies, options: recordOptions });
-    const settler = createSettler({ ...batching, reader, writer: recorder, pause });
+    const recordWriter = createBatchWriter({ ...dependencies, options: recordOptions });
+    const settler = createSettler({ ...batchDependencies, reader, writer: recordWriter, circuitBreaker });
     const holdings = new Map<string, PartitionHolding>();
-    const onForget = (partitionKey: string, keyTime: number): void =>
-        holdings.get(partitionKey)?.raiseRecorded(keyTime);
-    const ledger = createKeyLedger({ ...dependencies, settler, onForget });
-    /** Before its first holder, every key of a partition went through the durable claim. */
+    const onEvicted = (partitionKey: string, keyTime: number): void =>
+        holdings.get(partitionKey)?.raiseRecordedUpTo(keyTime);
+    const keyRegistry = createKeyRegistry({ ...dependencies, settler, onEvicted });
+    /** Before a partition has its first holder, all its keys are claimed in the platform's table. */
     const createVacantRow = (): PartitionRow =>
         ({ unknownUpTo: 0, recordedUpTo: clock.now() + claimOptions.keyClockToleranceMs });
     const takeover = createTakeover({ ...dependencies, reader, writer, createVacantRow });
-    const fenceFormerLeases = createFormerLeases({ ...dependencies, writer });
-    let areFormerFenced = false;
+    const fenceFormerLeases = createFormerLeaseFencer({ ...dependencies, writer });
+    let areFormerLeasesFenced = false;
     let generation = 0;
     let isLeaving = false;
 
@@ -79,7 +88,7 @@
     let holder = createHolder();
     let lease = createLease(holder);
 
-    /** A fenced process starts again under a new name; its memory of keys stays. */
+    /** After its lease was fenced, the process continues as a new holder; it keeps the keys in memory. */
     const startNewGeneration = (): void => {
         generation += 1;
         holder = createHolder();
@@ -88,9 +97,9 @@
     };
 
     const getHolding = (partitionKey: string): PartitionHolding => {
-        const known = holdings.get(partitionKey);
-        if (known !== undefined) {
-            return known;
+        const existing = holdings.get(partitionKey);
+        if (existing !== undefined) {
+            return existing;
         }
         const created = createPartitionHolding({
             partitionKey,
@@ -98,7 +107,7 @@
             takeover,
             reader,
             writer,
-            ledger,
+            keyRegistry,
             ceiling: lease.ceiling,
             createVacantRow,
         });
@@ -106,41 +115,46 @@
         return created;
     };
 
-    const isWanted = (reference: PartitionReference): boolean =>
+    const shouldHold = (reference: PartitionReference): boolean =>
         !isLeaving && rankOwners(reference, members(reference.service))[0] === nodeId;
 
     const listPartitions = (): readonly PartitionReference[] =>
         services().flatMap((service) =>
             Array.from({ length: options.partitions }, (_, partition) => ({ service, partition })));
 
-    const movePartition = async (reference: PartitionReference): Promise<void> => {
+    const updatePartition = async (reference: PartitionReference): Promise<void> => {
         const key = formatPartitionKey(reference);
-        const wanted = isWanted(reference);
-        if (wanted || holdings.has(key)) {
+        const isOwner = shouldHold(reference);
+        if (isOwner || holdings.has(key)) {
             const holding = getHolding(key);
-            await holding.step(wanted);
-            if (!wanted && holding.isIdle() && holdings.get(key) === holding) {
+            await holding.step(isOwner);
+            if (!isOwner && holding.isIdle() && holdings.get(key) === holding) {
                 holdings.delete(key);
             }
         }
     };
 
     const tick = async (): Promise<void> => {
-        areFormerFenced ||= await fenceFormerLeases();
+        areFormerLeasesFenced ||= await fenceFormerLeases();
         await lease.renewIfDue();
         if (lease.isLost()) {
             startNewGeneration();
             await lease.renewIfDue();
         }
-        // A partition that is held under a lease whose row does not exist could never be taken over.
+        // A partition that is held under a lease without a row could never be taken over.
         if (lease.ceiling() !== Number.NEGATIVE_INFINITY) {
-            await Promise.all(listPartitions().map(movePartition));
+            await Promise.all(listPartitions().map(updatePartition));
         }
     };
 
-    const rangeOf = (partitionKey: string): KeyRange | undefined =>
+    const getRange = (partitionKey: string): KeyRange | undefined =>
         lease.isLost() ? undefined : holdings.get(partitionKey)?.range();
-    const acceptKey = createKeyAcceptance({ ...dependencies, ledger, rangeOf, ceiling: () => lease.ceiling() });
+    const acceptKey = createKeyAcceptance({
+        ...dependencies,
+        keyRegistry,
+        getRange,
+        ceiling: () => lease.ceiling(),
+    });
 
     const start = async (lifetime: AbortSignal): Promise<void> => {
         while (!lifetime.aborted && !signal.aborted) {
@@ -152,9 +166,9 @@
     const leave = async (limit: AbortSignal): Promise<void> => {
         isLeaving = true;
         while (!limit.aborted && !signal.aborted && [...holdings.values()].some((holding) => !holding.isIdle())) {
-            // A call to a platform that is silent would outlast the limit.
+            // A call to a platform that does not respond would last longer than `limit` allows.
             await raceAbort(tick(), limit, () => undefined);
-            await clock.sleep(Math.min(options.tickMs, MAX_LEAVING_TICK), limit);
+            await clock.sleep(Math.min(options.tickMs, MAX_HANDOVER_TICK), limit);
         }
     };
 
@@ -165,8 +179,8 @@
         leave,
         stats: () => ({
             held: [...holdings.values()].filter((holding) => holding.range() !== undefined).length,
-            keys: ledger.size(),
-            transactions: writer.transactions() + recorder.transactions(),
+            keys: keyRegistry.size(),
+            transactions: writer.transactions() + recordWriter.transactions(),
         }),
     };
 };
--- a/packages/oleandergap-idempotency/src/ownership/takeover.ts
+++ b/packages/oleandergap-idempotency/src/ownership/takeover.ts
@@ -1,4 +1,4 @@
-/** Reads who holds a partition and decides whether this process may take it over. */
+/** Reads which process holds a partition and decides whether this process may take the partition over. */
 import * as either from "fp-ts/lib/Either.js";
 import {
     isSameWrite,
@@ -25,14 +25,15 @@
 } from "./ownershipRows.js";
 
 export type TakeoverStep =
-    /** The row already names this process. */
+    /** The partition's row already has this process as its holder. */
     | { readonly kind: "Held"; readonly version: RowVersion; readonly range: KeyRange }
-    /** Write this row under this condition. */
+    /** The partition may be taken by writing `row` under `condition`. */
     | { readonly kind: "Take"; readonly condition: RowCondition; readonly row: PartitionRow }
-    /** Somebody else holds it, or the platform did not tell. */
+    /** Another process holds the partition, or its row or the holder's lease could not be read. */
     | { readonly kind: "Wait" };
 
 export interface Takeover {
+    /** Returns the next step for `holder` to take the partition. Fences the lease of a former holder if it may. */
     readonly inspect: (partitionKey: string, holder: Holder) => Promise<TakeoverStep>;
 }
 
@@ -41,44 +42,48 @@
     readonly writer: BatchWriter;
     readonly clock: Clock;
     readonly options: Pick<OwnershipOptions, "takeoverWaitMs">;
-    /** The row of a partition that nobody has held yet. */
+    /** Creates the row of a partition that has had no holder yet. */
     readonly createVacantRow: () => PartitionRow;
-    /** False once the membership has given a node up. */
+    /** Returns false when the membership has declared a node dead or removed it. */
     readonly isMember: (node: NodeId) => boolean;
 }
 
 interface Observation {
     readonly version: RowVersion;
+    /** Monotonic time of the first observation of this version. */
     readonly since: Milliseconds;
 }
 
 export const createTakeover = (dependencies: TakeoverDependencies): Takeover => {
     const { reader, writer, clock, options, isMember, createVacantRow } = dependencies;
-    /** Since when the lease rows of nodes that left have not changed, on this process's own clock. */
+    /** Last observed versions of the lease rows of nodes that left the membership, by row key. */
     const observations = new Map<string, Observation>();
 
     const isUnchanged = (leaseKey: string, version: RowVersion): boolean => {
-        const seen = observations.get(leaseKey);
-        if (seen === undefined || !isSameWrite(seen.version, version)) {
+        const previous = observations.get(leaseKey);
+        if (previous === undefined || !isSameWrite(previous.version, version)) {
             observations.set(leaseKey, { version, since: clock.monotonic() });
             return options.takeoverWaitMs === 0;
         }
-        return clock.monotonic() - seen.since >= options.takeoverWaitMs;
+        return clock.monotonic() - previous.since >= options.takeoverWaitMs;
     };
 
-    /** Waiting only spares a live holder; safety comes from the row, which no renewal can change once it is fenced. */
-    const fenceIfGone = async (former: Holder, own: Holder, row: TableRow, lease: LeaseRow): Promise<void> => {
-        const isFormerSelf = isSameNode(former, own.nodeId);
-        if (!isFormerSelf && (isMember(former.nodeId) || !isUnchanged(row.key, row.version))) {
+    /**
+     * Fences the lease of a former holder that left the membership or belongs to this node. The wait before it only
+     * avoids fencing a live holder; safety depends on the row, which no renewal can change after it is fenced.
+     */
+    const fenceIfRemoved = async (former: Holder, self: Holder, row: TableRow, lease: LeaseRow): Promise<void> => {
+        const isOwnNode = isSameNode(former, self.nodeId);
+        if (!isOwnNode && (isMember(former.nodeId) || !isUnchanged(row.key, row.version))) {
             return;
         }
         const value: LeaseRow = { state: "fenced", ceiling: lease.ceiling };
         await writer.submit({ key: row.key, condition: { kind: "VersionIs", version: row.version }, value });
     };
 
-    const takeFrom = async (
+    const takeOverFrom = async (
         former: Holder,
-        own: Holder,
+        self: Holder,
         row: PartitionRow,
         version: RowVersion,
     ): Promise<TakeoverStep> => {
@@ -91,7 +96,7 @@
             return { kind: "Wait" };
         }
         if (lease.data.state === "active") {
-            await fenceIfGone(former, own, found.right, lease.data);
+            await fenceIfRemoved(former, self, found.right, lease.data);
             return { kind: "Wait" };
         }
         observations.delete(found.right.key);
@@ -100,16 +105,16 @@
             unknownUpTo: Math.max(row.unknownUpTo, ceiling),
             recordedUpTo: Math.max(row.recordedUpTo, ceiling),
         };
-        return { kind: "Take", condition: { kind: "VersionIs", version }, row: { ...range, holder: own } };
+        return { kind: "Take", condition: { kind: "VersionIs", version }, row: { ...range, holder: self } };
     };
 
-    const inspect = async (partitionKey: string, own: Holder): Promise<TakeoverStep> => {
+    const inspect = async (partitionKey: string, self: Holder): Promise<TakeoverStep> => {
         const found = await reader.read(partitionKey);
         if (either.isLeft(found)) {
             return { kind: "Wait" };
         }
         if (found.right === undefined) {
-            return { kind: "Take", condition: { kind: "Absent" }, row: { ...createVacantRow(), holder: own } };
+            return { kind: "Take", condition: { kind: "Absent" }, row: { ...createVacantRow(), holder: self } };
         }
         const { version, value } = found.right;
         const parsed = partitionRowSchema.safeParse(value);
@@ -118,11 +123,11 @@
         }
         const { holder, ...range } = parsed.data;
         if (holder === undefined) {
-            return { kind: "Take", condition: { kind: "VersionIs", version }, row: { ...range, holder: own } };
+            return { kind: "Take", condition: { kind: "VersionIs", version }, row: { ...range, holder: self } };
         }
-        return isSameHolder(holder, own) ?
+        return isSameHolder(holder, self) ?
             { kind: "Held", version, range } :
-            takeFrom(holder, own, parsed.data, version);
+            takeOverFrom(holder, self, parsed.data, version);
     };
 
     return { inspect };
