--- a/packages/oleandergap-idempotency/src/claim/claimKeeper.ts
+++ b/packages/oleandergap-idempotency/src/claim/claimKeeper.ts
@@ -58,9 +58,7 @@
     readonly refused: number;
     readonly duplicates: number;
     readonly replayed: number;
-    /**
-     * Number of claims that were decided after their caller had stopped waiting; they are released in the background.
-     */
+    /** Number of claims whose caller stopped waiting before they were decided; they are released in the background. */
     readonly abandoned: number;
     readonly pendingOutcomes: number;
     readonly transactions: number;
--- a/packages/oleandergap-idempotency/src/claim/localClaims.ts
+++ b/packages/oleandergap-idempotency/src/claim/localClaims.ts
@@ -1,6 +1,6 @@
 /**
- * Claims of this process in memory: those that it holds and those whose outcome is not recorded yet. They save reads
- * from the platform, and repeats of a finished request receive its response while its outcome is still being recorded.
+ * Claims of this process in memory: those that it holds and those whose outcome is not recorded yet. They save calls to
+ * the platform, and repeats of a finished request receive its response while its outcome is still being recorded.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
--- a/packages/oleandergap-idempotency/src/claim/platformPause.ts
+++ b/packages/oleandergap-idempotency/src/claim/platformPause.ts
@@ -39,9 +39,9 @@
     let lastFailureAt = Number.NEGATIVE_INFINITY;
     let lastResponseAt = Number.NEGATIVE_INFINITY;
     /** Monotonic time at which the open time or the timeout of the current probe ends. */
-    let opensUntil = Number.NEGATIVE_INFINITY;
+    let openUntil = Number.NEGATIVE_INFINITY;
 
-    const remainingOpenTime = (): Milliseconds => Math.max(0, opensUntil - clock.monotonic());
+    const remainingOpenTime = (): Milliseconds => Math.max(0, openUntil - clock.monotonic());
 
     return {
         remainingOpenTime,
@@ -51,7 +51,7 @@
             }
             if (failures > 0) {
                 // A probe whose caller disconnects reports no result; the next probe may start after this timeout.
-                opensUntil = clock.monotonic() + options.answerTimeoutMs;
+                openUntil = clock.monotonic() + options.answerTimeoutMs;
             }
             return true;
         },
@@ -62,14 +62,14 @@
                 return;
             }
             lastFailureAt = clock.monotonic();
-            opensUntil = lastFailureAt +
+            openUntil = lastFailureAt +
                 options.retryPauseMs +
                 drawBackoff(random, failures, options.retryPauseMs, options.maxRetryPauseMs);
             failures += 1;
         },
         reportSuccess: () => {
             failures = 0;
-            opensUntil = Number.NEGATIVE_INFINITY;
+            openUntil = Number.NEGATIVE_INFINITY;
             lastResponseAt = clock.monotonic();
         },
         lastResponseAt: () => lastResponseAt,
--- a/packages/oleandergap-idempotency/src/ownership/nodeLease.ts
+++ b/packages/oleandergap-idempotency/src/ownership/nodeLease.ts
@@ -42,7 +42,7 @@
  * Returns the expected version of the row after a write by this process. If the platform assigns another version, it
  * rejects the next renewal, which then reads the row.
  */
-const nextVersion = (version: RowVersion | undefined): RowVersion =>
+const getNextVersion = (version: RowVersion | undefined): RowVersion =>
     ({ era: version?.era ?? UNTOLD_ERA, version: (version?.version ?? 0) + 1 });
 
 export const createNodeLease = (dependencies: NodeLeaseDependencies): NodeLease => {
@@ -72,7 +72,7 @@
         const condition: RowCondition = version === undefined ? { kind: "Absent" } : { kind: "VersionIs", version };
         const outcome = await writer.submit({ key, condition, value });
         if (outcome.kind === "Written") {
-            version = nextVersion(version);
+            version = getNextVersion(version);
             ceiling = value.ceiling;
             return;
         }
--- a/packages/oleandergap-idempotency/src/ownership/partitionOwnership.ts
+++ b/packages/oleandergap-idempotency/src/ownership/partitionOwnership.ts
@@ -50,8 +50,8 @@
     /** Returns the services that have a target on this node's VM. */
     readonly services: () => readonly ServiceReference[];
     /**
-     * Returns the nodes that may own keys of a service: alive nodes with a target of the service that is not leaving,
-     * as far as the routing table allows them.
+     * Returns the nodes that may own keys of a service: alive nodes that the routing table allows and that have a
+     * target of the service that is not leaving.
      */
     readonly members: (service: ServiceReference) => readonly NodeId[];
     /** Returns false when the membership has declared a node dead or removed it. */
--- a/packages/oleandergap-idempotency/src/ownership/takeover.ts
+++ b/packages/oleandergap-idempotency/src/ownership/takeover.ts
@@ -29,11 +29,14 @@
     | { readonly kind: "Held"; readonly version: RowVersion; readonly range: KeyRange }
     /** The partition may be taken by writing `row` under `condition`. */
     | { readonly kind: "Take"; readonly condition: RowCondition; readonly row: PartitionRow }
-    /** Another process holds the partition, or its row or the holder's lease could not be read. */
+    /** Another process holds the partition, or a row could not be read. */
     | { readonly kind: "Wait" };
 
 export interface Takeover {
-    /** Returns the next step for `holder` to take the partition. Fences the lease of a former holder if it may. */
+    /**
+     * Returns the next step for `holder` to take the partition. Also fences the lease of another holder that left the
+     * membership or belongs to the same node.
+     */
     readonly inspect: (partitionKey: string, holder: Holder) => Promise<TakeoverStep>;
 }
 
