--- a/packages/oleandergap-platform/src/__tests__/tableState.test.ts
+++ b/packages/oleandergap-platform/src/__tests__/tableState.test.ts
@@ -10,14 +10,15 @@
 } from "oleandergap-types";
 import { createTableState } from "../tableState.js";
 
-const versionAt = (version: number): RowVersion => ({ era: UNTOLD_ERA, version });
+const createRowVersion = (version: number): RowVersion => ({ era: UNTOLD_ERA, version });
 
 const keys = ["a/1", "a/2", "a/3", "ab/1", "b/1"];
 
 const conditionArbitrary: fastCheck.Arbitrary<RowCondition> = fastCheck.oneof(
     fastCheck.constant<RowCondition>({ kind: "Any" }),
     fastCheck.constant<RowCondition>({ kind: "Absent" }),
-    fastCheck.integer({ min: 1, max: 3 }).map((version): RowCondition => ({ kind: "VersionIs", version: versionAt(version) })),
+    fastCheck.integer({ min: 1, max: 3 }).map((version): RowCondition =>
+        ({ kind: "VersionIs", version: createRowVersion(version) })),
 );
 
 const operationArbitrary: fastCheck.Arbitrary<TableOperation> = fastCheck
@@ -45,16 +46,16 @@
     })
     .map(({ after, ...rest }) => after === undefined ? rest : { ...rest, after });
 
-interface NaiveTable {
-    /** Returns the keys whose condition failed. */
+interface ReferenceTable {
+    /** Applies a transaction and returns the keys whose condition was not met. */
     readonly transact: (operations: readonly TableOperation[]) => readonly string[];
     readonly scan: (scan: TableScan) => readonly TableRow[];
 }
 
-/** The rows as a plain list, filtered anew for each question; a version counts all writes to its key so far. */
-const createNaiveTable = (): NaiveTable => {
+/** Keeps the rows in a plain list that is filtered for each request. A version is the number of writes to the key. */
+const createReferenceTable = (): ReferenceTable => {
     let rows: readonly TableRow[] = [];
-    const written: string[] = [];
+    const writtenKeys: string[] = [];
     const find = (key: string): TableRow | undefined => rows.find((row) => row.key === key);
     const isMet = ({ key, condition }: TableOperation): boolean => {
         const version = find(key)?.version.version;
@@ -67,9 +68,12 @@
             for (const operation of failed.length > 0 ? [] : operations) {
                 rows = operation.kind === "Check" ? rows : rows.filter((row) => row.key !== operation.key);
                 if (operation.kind === "Put") {
-                    written.push(operation.key);
-                    const version = written.filter((key) => key === operation.key).length;
-                    rows = [...rows, { key: operation.key, version: versionAt(version), value: operation.value }];
+                    writtenKeys.push(operation.key);
+                    const version = writtenKeys.filter((key) => key === operation.key).length;
+                    rows = [
+                        ...rows,
+                        { key: operation.key, version: createRowVersion(version), value: operation.value },
+                    ];
                 }
             }
             return failed;
@@ -87,49 +91,52 @@
 };
 
 describe("createTableState", () => {
-    it("agrees with a plain list on transactions and scans", () => {
+    it("matches a reference implementation on a plain list for transactions and scans", () => {
         fastCheck.assert(fastCheck.property(
             fastCheck.array(fastCheck.tuple(transactionArbitrary, scanArbitrary), { maxLength: 30 }),
             (steps) => {
                 const table = createTableState();
-                const naive = createNaiveTable();
+                const referenceTable = createReferenceTable();
                 for (const [operations, scan] of steps) {
                     const result = table.transact(operations);
-                    const failed = naive.transact(operations);
+                    const failed = referenceTable.transact(operations);
                     expect(result.kind === "ConditionFailed" ? result.keys : []).to.deep.equal(failed);
-                    expect(table.scan(scan)).to.deep.equal(naive.scan(scan));
+                    expect(table.scan(scan)).to.deep.equal(referenceTable.scan(scan));
                 }
             },
         ));
     });
 
-    // Symptom: a delayed delete removes a row that its sender never read.
-    // Sequence: a process reads a row; another deletes it and creates it anew; the first one's delete by version lands.
-    // Cause: the version of the new row began at 1 again and equalled the one that was read.
-    it("never repeats a version of a key that was deleted and created anew", () => {
+    // Failure: a delayed delete removes a row that its sender never read. Another process has deleted and recreated the
+    // row in the meantime, and the versions of the new row start at 1 again, so the condition on the version matches.
+    it("never reuses a version of a key that was deleted and created again", () => {
         const table = createTableState();
         const create: TableOperation = { kind: "Put", key: "a/1", condition: { kind: "Absent" }, value: 1 };
         table.transact([create]);
-        const version = table.read(["a/1"])[0]?.version ?? versionAt(0);
+        const version = table.read(["a/1"])[0]?.version ?? createRowVersion(0);
         table.transact([{ kind: "Delete", key: "a/1", condition: { kind: "Any" } }]);
         table.transact([create]);
-        const delayed = table.transact([{ kind: "Delete", key: "a/1", condition: { kind: "VersionIs", version } }]);
-        expect(delayed).to.deep.equal({ kind: "ConditionFailed", keys: ["a/1"] });
+        const delayedDelete = table.transact([
+            { kind: "Delete", key: "a/1", condition: { kind: "VersionIs", version } },
+        ]);
+        expect(delayedDelete).to.deep.equal({ kind: "ConditionFailed", keys: ["a/1"] });
         expect(table.read(["a/1"])).to.have.lengthOf(1);
     });
 
-    it("gives versions out again after a restore, in another era that no condition takes for the first", () => {
+    it("reuses versions after a restore in a new era, and conditions of the old era do not match them", () => {
         const table = createTableState();
         const put = (value: number): TableOperation => ({ kind: "Put", key: "a/1", condition: { kind: "Any" }, value });
         table.transact([put(1)]);
         const copy = table.takeCopy();
         table.transact([put(2)]);
-        const lost = table.read(["a/1"])[0]?.version ?? versionAt(0);
+        const lostVersion = table.read(["a/1"])[0]?.version ?? createRowVersion(0);
         table.restore(copy);
-        expect(table.read(["a/1"])).to.deep.equal([{ key: "a/1", version: versionAt(1), value: 1 }]);
+        expect(table.read(["a/1"])).to.deep.equal([{ key: "a/1", version: createRowVersion(1), value: 1 }]);
         table.transact([put(3)]);
-        expect(table.read(["a/1"])[0]?.version).to.deep.equal({ ...lost, era: 1 });
-        const late = table.transact([{ kind: "Delete", key: "a/1", condition: { kind: "VersionIs", version: lost } }]);
-        expect(late).to.deep.equal({ kind: "ConditionFailed", keys: ["a/1"] });
+        expect(table.read(["a/1"])[0]?.version).to.deep.equal({ ...lostVersion, era: 1 });
+        const lateDelete = table.transact([
+            { kind: "Delete", key: "a/1", condition: { kind: "VersionIs", version: lostVersion } },
+        ]);
+        expect(lateDelete).to.deep.equal({ kind: "ConditionFailed", keys: ["a/1"] });
     });
 });
--- a/packages/oleandergap-platform/src/__tests__/wireServer.ts
+++ b/packages/oleandergap-platform/src/__tests__/wireServer.ts
@@ -1,36 +1,36 @@
-/** A server on loopback that answers as a test tells it. */
+/** HTTP server on loopback whose responses are controlled by a test. */
 import { once } from "node:events";
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 
-export type Answer = (request: IncomingMessage, response: ServerResponse) => void;
+export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
 export interface WireServer {
     readonly port: number;
-    /** Decides the answers from now on. */
-    readonly answerWith: (answer: Answer) => void;
-    /** Resolves when the next request has arrived. */
-    readonly nextRequest: () => Promise<void>;
-    /** Connections accepted so far. */
+    /** Sets the handler of all requests from now on. */
+    readonly respondWith: (handleRequest: RequestHandler) => void;
+    /** Resolves when the next request has been received. */
+    readonly waitForRequest: () => Promise<void>;
+    /** Returns the number of connections accepted so far. */
     readonly connections: () => number;
     readonly close: () => Promise<void>;
 }
 
-export const answerJson = (value: unknown, status = 200): Answer => (_request, response) => {
+export const createJsonHandler = (value: unknown, status = 200): RequestHandler => (_request, response) => {
     response.writeHead(status, { "content-type": "application/json" }).end(JSON.stringify(value));
 };
 
-export const answerNothing: Answer = () => undefined;
+export const ignoreRequest: RequestHandler = () => undefined;
 
 export const startWireServer = async (): Promise<WireServer> => {
-    let answer = answerNothing;
+    let handleRequest = ignoreRequest;
     let connections = 0;
     const sockets = new Set<Socket>();
     const server = createServer((request, response) => {
         request.resume();
         request.on("end", () => {
-            answer(request, response);
-            server.emit("answered");
+            handleRequest(request, response);
+            server.emit("requestHandled");
         });
     });
     server.on("connection", (socket) => {
@@ -42,11 +42,11 @@
     await once(server, "listening");
     return {
         port: (server.address() as AddressInfo).port,
-        answerWith: (next) => {
-            answer = next;
+        respondWith: (next) => {
+            handleRequest = next;
         },
-        nextRequest: async () => {
-            await once(server, "answered");
+        waitForRequest: async () => {
+            await once(server, "requestHandled");
         },
         connections: () => connections,
         close: async () => {
--- a/packages/oleandergap-platform/src/channel.ts
+++ b/packages/oleandergap-platform/src/channel.ts
@@ -1,61 +1,66 @@
 /**
- * The calls to the platform, shared by the adapters of both services: budget, connections, outcome and counters.
+ * Sends the requests of both platform adapters. The channel applies the read budget, manages the connections,
+ * classifies each outcome, and updates the counters.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { UNTOLD_ERA, type Clock, type PlatformError, type StoreEra } from "oleandergap-types";
 import type { TokenBucket } from "oleandergap-utils";
-import { classifyExchange, toMissingAnswer, type CallKind, type DatedAnswer } from "./classifyExchange.js";
+import { classifyExchange, toUnusableResponseError, type CallKind, type ResponseWithEra } from "./classifyExchange.js";
 import type { EraError, EraWatch } from "./eraWatch.js";
 import { runExchange, type ExchangeRequest, type ExchangeResult } from "./exchange.js";
 import type { PlatformOptions } from "./options.js";
 import { createPlatformCounters, type PlatformCounters } from "./platformCounters.js";
 import { createReplaceablePool } from "./replaceablePool.js";
 
-/** How the platform tells its era. */
+/** Where the platform's responses report its era. */
 export interface EraSource {
     readonly watch: EraWatch;
-    /** Lower-case name of the header that names it in each answer. */
+    /** Lower-case name of the response header that contains the era. */
     readonly header: string;
 }
 
-/** Settings of the connections, and what they work with. */
+/** Connection settings and the dependencies of a channel. */
 export interface ChannelOptions extends PlatformOptions {
     readonly clock: Clock;
-    /** Takes one token for each read, scan, get or list; writes are not limited here. */
+    /** Rate limit of reads: each read, scan, get or list takes one token. Writes are not limited here. */
     readonly readBudget?: TokenBucket;
-    /** For a platform that may be restored from a copy; all answers count as of one era without it. */
+    /**
+     * Required for a platform that may be restored from a backup. Without it, all responses are treated as belonging
+     * to the same era.
+     */
     readonly eras?: EraSource;
     /** Closes the connections when it aborts. */
     readonly signal?: AbortSignal;
 }
 
-/** Both services of the platform over one set of connections. */
+/** Access to both services of the platform over one set of connections. */
 export interface Channel {
     /**
-     * Never rejects. An answer out of its era counts as lost: what it reads is no news, and what it wrote may or may
-     * not be in the copy that the platform was restored from.
+     * Sends one request. The promise never rejects. A response from an invalid or earlier era is treated as lost: a
+     * read may have returned outdated data, and the effect of a write may be missing from the backup that the platform
+     * was restored from.
      */
     readonly call: (
         kind: CallKind,
         request: ExchangeRequest,
         signal: AbortSignal,
-    ) => Promise<Either<PlatformError, DatedAnswer>>;
-    /** Counts an answer that arrived and could not be used, and says what it means for its call. */
-    readonly rejectAnswer: (kind: CallKind, detail: string) => PlatformError;
+    ) => Promise<Either<PlatformError, ResponseWithEra>>;
+    /** Counts a response that was received but is unusable, and returns the resulting error of the call. */
+    readonly rejectResponse: (kind: CallKind, detail: string) => PlatformError;
     readonly counters: () => PlatformCounters;
 }
 
-/** Longest time after which a call over budget is told to come back, in milliseconds. */
+/** Maximum retry delay returned for a call that exceeds the read budget, in milliseconds. */
 const MAX_RETRY_AFTER_MS = 60_000;
 
-/** Opens no connection before the first call. */
+/** Creates a channel. Connections are opened only when the first call is made. */
 export const createChannel = (options: ChannelOptions): Channel => {
     const { readBudget, eras } = options;
     const counters = createPlatformCounters();
     const pool = createReplaceablePool(options, () => counters.add("connectionsReplaced"));
 
-    const takeFromBudget = (kind: CallKind): PlatformError | undefined => {
+    const checkReadBudget = (kind: CallKind): PlatformError | undefined => {
         if (kind === "Write" || readBudget === undefined || readBudget.tryTake()) {
             return undefined;
         }
@@ -71,41 +76,41 @@
         if (eras === undefined || result.kind !== "Answered") {
             return either.right(UNTOLD_ERA);
         }
-        const text = result.headers[eras.header];
-        // Several headers make one text that is no era.
-        const era = eras.watch.note(typeof text === "object" ? text.join(", ") : text);
+        const headerValue = result.headers[eras.header];
+        // Repeated headers are joined into a text that is not a valid era.
+        const era = eras.watch.note(typeof headerValue === "object" ? headerValue.join(", ") : headerValue);
         return either.mapLeft(({ kind: reason }: EraError) =>
-            toMissingAnswer(kind, `answer out of its era: ${reason}`))(era);
+            toUnusableResponseError(kind, `the response has an invalid or outdated era: ${reason}`))(era);
     };
 
-    const judge = (kind: CallKind, result: ExchangeResult): Either<PlatformError, DatedAnswer> => {
-        const answer = classifyExchange(kind, result);
-        if (either.isLeft(answer)) {
-            return answer;
+    const classifyResponse = (kind: CallKind, result: ExchangeResult): Either<PlatformError, ResponseWithEra> => {
+        const response = classifyExchange(kind, result);
+        if (either.isLeft(response)) {
+            return response;
         }
-        return either.map((era: StoreEra): DatedAnswer => ({ ...answer.right, era }))(readEra(kind, result));
+        return either.map((era: StoreEra): ResponseWithEra => ({ ...response.right, era }))(readEra(kind, result));
     };
 
     const call: Channel["call"] = async (kind, request, signal) => {
-        const overBudget = takeFromBudget(kind);
-        if (overBudget !== undefined) {
-            return either.left(counters.addError(overBudget));
+        const budgetError = checkReadBudget(kind);
+        if (budgetError !== undefined) {
+            return either.left(counters.addError(budgetError));
         }
         countRequest(kind, request);
-        const used = pool.current();
-        const result = await runExchange(used, request, options, signal);
-        if (result.kind === "Lost" && result.isSilent) {
-            pool.replace(used);
+        const usedPool = pool.current();
+        const result = await runExchange(usedPool, request, options, signal);
+        if (result.kind === "Lost" && result.hasTimedOut) {
+            pool.replace(usedPool);
         }
         if (result.kind === "Answered") {
             counters.add("bytesReceived", result.body.length);
         }
-        return either.mapLeft(counters.addError)(judge(kind, result));
+        return either.mapLeft(counters.addError)(classifyResponse(kind, result));
     };
 
     return {
         call,
-        rejectAnswer: (kind, detail) => counters.addError(toMissingAnswer(kind, detail)),
+        rejectResponse: (kind, detail) => counters.addError(toUnusableResponseError(kind, detail)),
         counters: counters.read,
     };
 };
--- a/packages/oleandergap-platform/src/eraWatch.ts
+++ b/packages/oleandergap-platform/src/eraWatch.ts
@@ -1,58 +1,62 @@
 /**
- * Follows the era of one store over all connections to it. An answer of an earlier era than the newest one seen tells
- * of a history that is gone: taken for news, it would set a reader to a version that now stands for other contents, and
- * one would see changes passed over.
+ * Tracks the era of one store over all connections to it. The era is a number that increases each time the store is
+ * restored from a backup, and a restored store assigns the same row versions again. A response from an earlier era
+ * than the newest one seen belongs to a history that no longer exists. If a reader used it, the reader would continue
+ * from a version that now identifies other contents, and would miss changes.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
 import { UNTOLD_ERA, type StoreEra } from "oleandergap-types";
 
-/** Why an answer must not be taken for news. */
+/** Reason why a response must not be used. */
 export type EraError =
     | { readonly kind: "UnreadableEra"; readonly text: string }
     | { readonly kind: "EarlierEra"; readonly era: StoreEra; readonly newest: StoreEra };
 
 /** Totals since the start of the process. */
 export interface EraCounters {
-    /** Times that the store was restored, as far as this process has noticed. */
+    /** Number of restores of the store that this process has detected. */
     readonly storeRestores: number;
-    /** Answers left unused because their era was unreadable or over. */
+    /** Number of responses that were discarded because their era was unreadable or outdated. */
     readonly answersOutOfEra: number;
 }
 
-/** The era of one store. */
+/** Tracks the era of one store. */
 export interface EraWatch {
-    /** The newest era seen; undefined before the first answer. */
+    /** Returns the newest era seen; undefined before the first response. */
     readonly newest: () => StoreEra | undefined;
-    /** Takes the era that an answer names; undefined when it names none. */
+    /**
+     * Records the era in `text`, the era header of a response; undefined when the response has no such header. Returns
+     * an error if the response must not be used.
+     */
     readonly note: (text: string | undefined) => Either<EraError, StoreEra>;
     readonly counters: () => EraCounters;
 }
 
-/** Digits alone, few enough to be exact. */
+/** Decimal digits only; 15 digits are represented exactly by a number. */
 const ERA_PATTERN = /^\d{1,15}$/;
 
-const describe = (error: EraError): string => {
+const describeEraError = (error: EraError): string => {
     switch (error.kind) {
         case "UnreadableEra":
-            return "The store names an era that cannot be read; its answer is left unused.";
+            return "The store reported an unreadable era; its response is discarded.";
         case "EarlierEra":
-            return "The store names an earlier era than before; its answer is left unused.";
+            return "The store reported an earlier era than before; its response is discarded.";
     }
 };
 
-/** Logs each kind of error once: a store that repeats it with each answer would fill the log. */
+/** Creates an era watch. It logs each kind of error once, as a store may repeat the error in every response. */
 export const createEraWatch = (logger: Logger): EraWatch => {
     let newest: StoreEra | undefined;
     const counters = { storeRestores: 0, answersOutOfEra: 0 };
-    const logged = new Set<EraError["kind"]>();
+    const loggedKinds = new Set<EraError["kind"]>();
 
-    const refuse = (error: EraError): Either<EraError, never> => {
+    const reject = (error: EraError): Either<EraError, never> => {
         counters.answersOutOfEra += 1;
-        if (!logged.has(error.kind)) {
-            logged.add(error.kind);
-            logger.warn(describe(error), { ...error });
+        if (!loggedKinds.has(error.kind)) {
+            loggedKinds.add(error.kind);
+            logger.warn(describeEraError(error), { ...error });
         }
         return either.left(error);
     };
@@ -60,7 +64,7 @@
     const advance = (era: StoreEra): void => {
         if (newest !== undefined && era > newest) {
             counters.storeRestores += 1;
-            logger.warn("The store was restored from an older copy; what that lacks is read and written anew.", {
+            logger.warn("The store was restored from a backup; missing data will be read and written again.", {
                 era,
                 previousEra: newest,
             });
@@ -72,11 +76,11 @@
         newest: () => newest,
         note: (text) => {
             if (text !== undefined && !ERA_PATTERN.test(text)) {
-                return refuse({ kind: "UnreadableEra", text });
+                return reject({ kind: "UnreadableEra", text });
             }
             const era = text === undefined ? UNTOLD_ERA : Number(text);
             if (newest !== undefined && era < newest) {
-                return refuse({ kind: "EarlierEra", era, newest });
+                return reject({ kind: "EarlierEra", era, newest });
             }
             advance(era);
             return either.right(era);
--- a/packages/oleandergap-platform/src/exchange.ts
+++ b/packages/oleandergap-platform/src/exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP exchange with the platform: a request, a time limit, a size limit, and what is known when it ends. The
- * result says whether any byte may have reached the platform; what that means for the caller is decided elsewhere.
+ * Runs one HTTP exchange with the platform under a time limit and a size limit. The result states whether any byte of
+ * the request may have reached the platform; `classifyExchange` decides what that means for the caller.
  */
 import { setMaxListeners } from "node:events";
 import { watchSilence, type SilenceLimits } from "oleandergap-utils";
@@ -8,7 +8,7 @@
 
 export type HttpMethod = "GET" | "POST" | "PUT";
 
-/** What is sent to the platform. */
+/** Request to the platform. */
 export interface ExchangeRequest {
     readonly method: HttpMethod;
     /** Path and query. */
@@ -16,36 +16,40 @@
     readonly body?: string | Uint8Array;
 }
 
-/** By lower-case name; a header that is sent more than once has several texts. */
-export type AnswerHeaders = Readonly<Record<string, string | readonly string[] | undefined>>;
+/** Response headers by lower-case name. A header that was sent more than once has several values. */
+export type ResponseHeaders = Readonly<Record<string, string | readonly string[] | undefined>>;
 
-/** How an exchange ended, as far as this process can tell. */
+/** Result of an exchange, as far as this process can determine it. */
 export type ExchangeResult =
     | {
         readonly kind: "Answered";
         readonly status: number;
-        readonly headers: AnswerHeaders;
+        readonly headers: ResponseHeaders;
         readonly body: Buffer;
     }
-    /** No byte of the request has left, and none will. */
+    /** No byte of the request was sent or will be sent. */
     | { readonly kind: "NotSent"; readonly detail: string }
-    /** The request may have arrived. `isSilent` when time ran out while the connection gave no error. */
-    | { readonly kind: "Lost"; readonly detail: string; readonly isSilent: boolean };
+    /**
+     * The request may have reached the platform. `hasTimedOut` is true when no data arrived within the time limit and
+     * the connection reported no error.
+     */
+    | { readonly kind: "Lost"; readonly detail: string; readonly hasTimedOut: boolean };
 
-/** Bounds in time and size. */
+/** Time and size limits of an exchange. */
 export interface ExchangeLimits extends SilenceLimits {
     readonly maximumAnswerBytes: number;
 }
 
-type ResponseHeaders = Parameters<NonNullable<Dispatcher.DispatchHandler["onResponseStart"]>>[2];
+type UndiciHeaders = Parameters<NonNullable<Dispatcher.DispatchHandler["onResponseStart"]>>[2];
 
 const STATUS_OK = 200;
 
 /**
- * An answer that ends only by the connection's end looks whole when it was cut short; one would see a truncated object
- * taken for the real one. Such an answer is not accepted.
+ * Returns whether the headers declare where the response body ends. A body that ends only with the connection looks
+ * complete even when it was truncated, so a truncated object could be mistaken for the real one. Such a response is
+ * not accepted.
  */
-const hasKnownEnd = (headers: ResponseHeaders): boolean =>
+const hasDelimitedBody = (headers: UndiciHeaders): boolean =>
     headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
 
 const toDispatchOptions = ({ method, path, body }: ExchangeRequest): Dispatcher.DispatchOptions => ({
@@ -57,20 +61,20 @@
         { "content-type": typeof body === "string" ? "application/json" : "application/octet-stream" },
 });
 
-/** One exchange under way; it ends once, by whatever comes first. */
+/** An exchange in progress. Only the first event that ends it counts. */
 interface RunningExchange {
-    /** Known once the request is written to a connection. */
+    /** Defined once the request is being written to a connection. */
     controller: Dispatcher.DispatchController | undefined;
     isEnded: boolean;
-    /** Notes that some of the answer has come. */
+    /** Records that a part of the response has arrived, which restarts the silence timeout. */
     readonly noteProgress: () => void;
     readonly end: (result: ExchangeResult) => void;
 }
 
-const giveUp = (exchange: RunningExchange, detail: string, isSilent = false): void => {
+const abortExchange = (exchange: RunningExchange, detail: string, hasTimedOut = false): void => {
     const { controller } = exchange;
-    exchange.end(controller === undefined ? { kind: "NotSent", detail } : { kind: "Lost", detail, isSilent });
-    // Ends the connection as well, so that a late answer cannot be taken for that of a later request.
+    exchange.end(controller === undefined ? { kind: "NotSent", detail } : { kind: "Lost", detail, hasTimedOut });
+    // This also closes the connection, so that a late response cannot be mistaken for that of a later request.
     controller?.abort(new Error(detail));
 };
 
@@ -81,33 +85,33 @@
     return error.message === "" ? error.name : error.message;
 };
 
-/** Collects the answer. */
-const createHandler = (exchange: RunningExchange, maximumAnswerBytes: number): Dispatcher.DispatchHandler => {
+/** Creates the handler that collects the response. */
+const createResponseHandler = (exchange: RunningExchange, maximumAnswerBytes: number): Dispatcher.DispatchHandler => {
     const chunks: Buffer[] = [];
     let receivedBytes = 0;
     let status = 0;
-    let headers: AnswerHeaders = {};
+    let headers: ResponseHeaders = {};
     return {
         onRequestStart: (controller) => {
             if (exchange.isEnded) {
-                controller.abort(new Error("the call was given up before it was sent"));
+                controller.abort(new Error("the call was aborted before the request was sent"));
                 return;
             }
             exchange.controller = controller;
         },
-        onResponseStart: (_controller, statusCode, received) => {
+        onResponseStart: (_controller, statusCode, receivedHeaders) => {
             exchange.noteProgress();
             status = statusCode;
-            headers = received;
-            if (status === STATUS_OK && !hasKnownEnd(received)) {
-                giveUp(exchange, "the answer does not say where it ends");
+            headers = receivedHeaders;
+            if (status === STATUS_OK && !hasDelimitedBody(receivedHeaders)) {
+                abortExchange(exchange, "the response does not declare where its body ends");
             }
         },
         onResponseData: (_controller, chunk) => {
             exchange.noteProgress();
             receivedBytes += chunk.length;
             if (receivedBytes > maximumAnswerBytes) {
-                giveUp(exchange, `the answer is longer than ${maximumAnswerBytes} bytes`);
+                abortExchange(exchange, `the response is larger than ${maximumAnswerBytes} bytes`);
                 return;
             }
             chunks.push(chunk);
@@ -116,7 +120,7 @@
             exchange.end({ kind: "Answered", status, headers, body: Buffer.concat(chunks) });
         },
         onResponseError: (_controller, error) => {
-            giveUp(exchange, describeError(error));
+            abortExchange(exchange, describeError(error));
         },
     };
 };
@@ -126,34 +130,35 @@
     signal: AbortSignal,
     resolve: (result: ExchangeResult) => void,
 ): RunningExchange => {
-    const giveUpOnAbort = (): void => {
-        giveUp(exchange, "the call was cancelled");
+    const handleAbort = (): void => {
+        abortExchange(exchange, "the call was cancelled");
     };
-    const watch = watchSilence(limits, (passed) => {
-        if (passed === "silence") {
-            giveUp(exchange, `no answer within ${limits.timeoutMs} ms`, true);
+    const silenceWatch = watchSilence(limits, (exceededLimit) => {
+        if (exceededLimit === "silence") {
+            abortExchange(exchange, `no response data within ${limits.timeoutMs} ms`, true);
             return;
         }
-        giveUp(exchange, `the answer did not end within ${limits.longestMs} ms`);
+        abortExchange(exchange, `the response was not complete within ${limits.longestMs} ms`);
     });
     const exchange: RunningExchange = {
         controller: undefined,
         isEnded: false,
-        noteProgress: watch.noteProgress,
+        noteProgress: silenceWatch.noteProgress,
         end: (result) => {
             exchange.isEnded = true;
-            watch.cancel();
-            signal.removeEventListener("abort", giveUpOnAbort);
+            silenceWatch.cancel();
+            signal.removeEventListener("abort", handleAbort);
             resolve(result);
         },
     };
-    // Many calls share the signal of their process; without this, the runtime warns of a leak from the eleventh on.
+    // Many calls share the abort signal of the process. Without this setting, the runtime reports a possible leak from
+    // the eleventh listener on.
     setMaxListeners(0, signal);
-    signal.addEventListener("abort", giveUpOnAbort, { once: true });
+    signal.addEventListener("abort", handleAbort, { once: true });
     return exchange;
 };
 
-/** Runs one exchange on `dispatcher`. Never rejects. */
+/** Runs one exchange on `dispatcher`. The promise never rejects. */
 export const runExchange = (
     dispatcher: Dispatcher,
     request: ExchangeRequest,
@@ -167,9 +172,9 @@
         }
         const exchange = startExchange(limits, signal, resolve);
         try {
-            dispatcher.dispatch(toDispatchOptions(request), createHandler(exchange, limits.maximumAnswerBytes));
+            dispatcher.dispatch(toDispatchOptions(request), createResponseHandler(exchange, limits.maximumAnswerBytes));
         }
         catch (error) {
-            giveUp(exchange, describeError(error));
+            abortExchange(exchange, describeError(error));
         }
     });
--- a/packages/oleandergap-platform/src/index.ts
+++ b/packages/oleandergap-platform/src/index.ts
@@ -1,7 +1,9 @@
-/** Adapters to the platform's table service and object store, their wire schemas, and a platform in memory. */
+/**
+ * Adapters for the platform's table service and object store, the schemas of their messages, and an in-memory platform.
+ */
 export { createChannel, type Channel, type ChannelOptions, type EraSource } from "./channel.js";
 export * from "./eraWatch.js";
-export type { CallKind, DatedAnswer, PlatformAnswer } from "./classifyExchange.js";
+export type { CallKind, ResponseWithEra, PlatformResponse } from "./classifyExchange.js";
 export { parseJson, type ParsedJson } from "./parseJson.js";
 export * from "./memoryPlatform.js";
 export * from "./objectStoreClient.js";
--- a/packages/oleandergap-platform/src/memoryPlatform.ts
+++ b/packages/oleandergap-platform/src/memoryPlatform.ts
@@ -1,6 +1,6 @@
 /**
- * A table service and an object store in memory that fail on demand, for tests of the parts that use the ports. The
- * faults are those of the real platform: outages, slow answers, and answers lost after the write took effect.
+ * An in-memory table service and object store with fault injection, for tests of the code that uses these ports. The
+ * faults are those of the real platform: outages, slow responses, and responses lost after the write took effect.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
@@ -8,50 +8,50 @@
 import type { ObjectStore, PlatformError, TableService } from "oleandergap-types";
 import { createTableState, type TableState } from "./tableState.js";
 
-/** Kinds of calls; `Transact` and `Put` may change something. */
+/** Operation of a call. Only `Transact` and `Put` change data. */
 export type PlatformOperation = "Read" | "Scan" | "Transact" | "Get" | "Put" | "List";
 
-/** A call as the fault decision sees it. */
+/** Description of a call that is passed to the callbacks of {@link MemoryPlatformOptions}. */
 export interface PlatformCall {
     readonly operation: PlatformOperation;
-    /** Keys that the call names; the prefix of a scan or list. */
+    /** Keys in the call, or the prefix of a scan or list. */
     readonly keys: readonly string[];
 }
 
-/** What goes wrong with one call. */
+/** Fault to inject into one call. */
 export type PlatformFault =
     | { readonly kind: "None" }
-    /** The call is refused before it has any effect. */
+    /** The call is rejected before it has any effect. */
     | { readonly kind: "Outage" }
-    /** The call takes effect, and its answer is lost. A read then simply fails. */
+    /** The call takes effect, but its response is lost. A read fails in that case. */
     | { readonly kind: "AnswerLost" }
-    /** The answer is lost, and the call takes effect only later, when its caller may have gone on. */
+    /** The response is lost, and the call takes effect only later, when the caller may already have continued. */
     | { readonly kind: "Late" };
 
-/** The call takes effect and is answered. */
+/** No fault: the call takes effect, and its response is delivered. */
 export const noFault: PlatformFault = { kind: "None" };
 
-/** When calls fail, and how long they take. */
+/** Callbacks that inject faults and delays. */
 export interface MemoryPlatformOptions {
-    /** Asked once for each call. */
+    /** Called once for each call. */
     readonly decideFault?: (call: PlatformCall) => PlatformFault;
     /** Awaited before the call takes effect. */
     readonly waitBefore?: (call: PlatformCall) => Promise<void>;
-    /** Awaited between the effect and the answer. */
+    /** Awaited between the effect and the response. */
     readonly waitAfter?: (call: PlatformCall) => Promise<void>;
     /** Awaited before the effect of a late call. */
     readonly waitLate?: (call: PlatformCall) => Promise<void>;
 }
 
-/** A table service whose rows tests can look at. */
+/** Table service whose rows tests can inspect. */
 export interface MemoryTableService extends TableService {
-    /** The rows themselves, past all faults. */
+    /** Direct access to the rows, without injected faults. */
     readonly state: TableState;
 }
 
-/** An object store whose objects tests can look at. */
+/** Object store whose objects tests can inspect. */
 export interface MemoryObjectStore extends ObjectStore {
-    /** The objects themselves, past all faults. */
+    /** Direct access to the objects, without injected faults. */
     readonly objects: Map<string, Uint8Array>;
 }
 
@@ -59,12 +59,12 @@
 
 const isWrite = (operation: PlatformOperation): boolean => operation === "Transact" || operation === "Put";
 
-const lostAnswer = (call: PlatformCall): PlatformError =>
+const toLostResponseError = (call: PlatformCall): PlatformError =>
     isWrite(call.operation) ?
-        { kind: "OutcomeUnknown", detail: "the answer was lost" } :
-        { kind: "Unavailable", detail: "the answer was lost" };
+        { kind: "OutcomeUnknown", detail: "the response was lost" } :
+        { kind: "Unavailable", detail: "the response was lost" };
 
-const createCaller = ({
+const createCallRunner = ({
     decideFault = () => noFault,
     waitBefore = nextTurn,
     waitAfter = nextTurn,
@@ -79,17 +79,17 @@
             }
             if (fault.kind === "Late") {
                 void waitLate(call).then(run);
-                return either.left(lostAnswer(call));
+                return either.left(toLostResponseError(call));
             }
             const result = run();
             await waitAfter(call);
-            return fault.kind === "AnswerLost" ? either.left(lostAnswer(call)) : either.right(result);
+            return fault.kind === "AnswerLost" ? either.left(toLostResponseError(call)) : either.right(result);
         };
 
-/** Starts empty. */
+/** Creates an empty in-memory table service. */
 export const createMemoryTableService = (options: MemoryPlatformOptions = {}): MemoryTableService => {
     const state = createTableState();
-    const call = createCaller(options);
+    const call = createCallRunner(options);
     return {
         state,
         read: (keys, signal) => call({ operation: "Read", keys }, signal, () => state.read(keys)),
@@ -101,10 +101,10 @@
     };
 };
 
-/** Starts empty. */
+/** Creates an empty in-memory object store. */
 export const createMemoryObjectStore = (options: MemoryPlatformOptions = {}): MemoryObjectStore => {
     const objects = new Map<string, Uint8Array>();
-    const call = createCaller(options);
+    const call = createCallRunner(options);
     const list = (prefix: string): readonly string[] =>
         [...objects.keys()].filter((key) => key.startsWith(prefix)).sort();
     return {
--- a/packages/oleandergap-platform/src/objectStoreClient.ts
+++ b/packages/oleandergap-platform/src/objectStoreClient.ts
@@ -1,4 +1,4 @@
-/** The object store over HTTP. */
+/** HTTP client of the platform's object store. */
 import * as either from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import type { ObjectStore, PlatformError } from "oleandergap-types";
@@ -6,9 +6,9 @@
 import type { PlatformCounters } from "./platformCounters.js";
 import type { EraWatch } from "./eraWatch.js";
 import { parseJson } from "./parseJson.js";
-import { formatObjectPath, listAnswerSchema, OBJECTS_PATH } from "./wire.js";
+import { formatObjectPath, listResponseSchema, OBJECTS_PATH } from "./wire.js";
 
-/** The port, with counters of its calls. */
+/** The object store port, extended by counters of its calls. */
 export interface ObjectStoreClient extends ObjectStore {
     readonly counters: () => PlatformCounters;
 }
@@ -17,49 +17,51 @@
 const STATUS_NO_CONTENT = 204;
 const STATUS_NOT_FOUND = 404;
 
-/** Uses the connections of `channel`, which a table service client may share. */
-export const createObjectStoreOn = (channel: Channel, eras?: EraWatch): ObjectStoreClient => {
+/** Creates an object store client that uses the connections of `channel`. A table service client may share them. */
+export const createObjectStoreOnChannel = (channel: Channel, eras?: EraWatch): ObjectStoreClient => {
     const get: ObjectStore["get"] = (key, signal) => async () => {
-        const answer = await channel.call("Read", { method: "GET", path: formatObjectPath(key) }, signal);
-        if (either.isLeft(answer)) {
-            return answer;
+        const response = await channel.call("Read", { method: "GET", path: formatObjectPath(key) }, signal);
+        if (either.isLeft(response)) {
+            return response;
         }
-        const { status, body } = answer.right;
+        const { status, body } = response.right;
         switch (status) {
             case STATUS_OK:
                 return either.right(body);
             case STATUS_NOT_FOUND:
                 return either.right(undefined);
             default:
-                return either.left(channel.rejectAnswer("Read", `unexpected status ${status} for an object`));
+                return either.left(channel.rejectResponse("Read", `unexpected status ${status} for an object`));
         }
     };
 
     const put = (key: string, body: Uint8Array, signal: AbortSignal): TaskEither<PlatformError, void> => async () => {
-        const answer = await channel.call("Write", { method: "PUT", path: formatObjectPath(key), body }, signal);
-        if (either.isLeft(answer)) {
-            return answer;
+        const response = await channel.call("Write", { method: "PUT", path: formatObjectPath(key), body }, signal);
+        if (either.isLeft(response)) {
+            return response;
         }
-        return answer.right.status === STATUS_NO_CONTENT ?
+        return response.right.status === STATUS_NO_CONTENT ?
             either.right(undefined) :
-            either.left(channel.rejectAnswer("Write", `unexpected status ${answer.right.status} for an object`));
+            either.left(channel.rejectResponse("Write", `unexpected status ${response.right.status} for an object`));
     };
 
     const list: ObjectStore["list"] = (prefix, signal) => async () => {
         const path = `${OBJECTS_PATH}?prefix=${encodeURIComponent(prefix)}`;
-        const answer = await channel.call("Read", { method: "GET", path }, signal);
-        if (either.isLeft(answer)) {
-            return answer;
+        const response = await channel.call("Read", { method: "GET", path }, signal);
+        if (either.isLeft(response)) {
+            return response;
         }
-        const value = answer.right.status === STATUS_OK ? parseJson(listAnswerSchema, answer.right.body) : undefined;
-        return value?.parsed.keys.every((key) => key.startsWith(prefix)) === true ?
-            either.right(value.parsed.keys) :
-            either.left(channel.rejectAnswer("Read", "unreadable list of objects"));
+        const parsedList = response.right.status === STATUS_OK ?
+            parseJson(listResponseSchema, response.right.body) :
+            undefined;
+        return parsedList?.parsed.keys.every((key) => key.startsWith(prefix)) === true ?
+            either.right(parsedList.parsed.keys) :
+            either.left(channel.rejectResponse("Read", "the list of objects is unreadable or has unexpected keys"));
     };
 
     return { get, put, list, counters: channel.counters, ...eras === undefined ? {} : { era: eras.newest } };
 };
 
-/** Opens connections of its own. */
+/** Creates an object store client with its own connections. */
 export const createObjectStoreClient = (options: ChannelOptions): ObjectStoreClient =>
-    createObjectStoreOn(createChannel(options), options.eras?.watch);
+    createObjectStoreOnChannel(createChannel(options), options.eras?.watch);
--- a/packages/oleandergap-platform/src/parseJson.ts
+++ b/packages/oleandergap-platform/src/parseJson.ts
@@ -1,12 +1,12 @@
-/** Reads JSON that another process sent. */
+/** Parses and validates JSON that another process sent. */
 import type { z } from "zod";
 
-/** A value that fits its schema; wrapped, so that it cannot be mistaken for the lack of one. */
+/** A value that matches its schema. The wrapper distinguishes a valid `undefined` from a parse failure. */
 export interface ParsedJson<Value> {
     readonly parsed: Value;
 }
 
-/** Undefined when `body` is not JSON or does not fit `schema`. */
+/** Parses `body`. Returns undefined when it is not JSON or does not match `schema`. */
 export const parseJson = <Schema extends z.ZodType>(
     schema: Schema,
     body: Uint8Array,
--- a/packages/oleandergap-platform/src/platformCounters.ts
+++ b/packages/oleandergap-platform/src/platformCounters.ts
@@ -1,4 +1,4 @@
-/** Counts what a process asked of the platform, for metrics. */
+/** Counts the calls of a process to the platform, for metrics. */
 import type { PlatformError } from "oleandergap-types";
 
 /** Totals since the start of the process. */
@@ -8,30 +8,31 @@
     readonly unavailable: number;
     readonly outcomeUnknown: number;
     readonly overBudget: number;
-    /** Bytes of bodies; headers are not counted. */
+    /** Bytes of request bodies; headers are not counted. */
     readonly bytesSent: number;
+    /** Bytes of response bodies; headers are not counted. */
     readonly bytesReceived: number;
-    /** Times that all connections were replaced because one had gone silent. */
+    /** Number of times that all connections were replaced because a call on one of them timed out. */
     readonly connectionsReplaced: number;
 }
 
-/** The counters of one process. */
-export interface CounterBook {
+/** Records the counters of one process. */
+export interface PlatformCounterRecorder {
     readonly add: (name: keyof PlatformCounters, amount?: number) => void;
     /** Counts `error` by its kind and returns it. */
     readonly addError: (error: PlatformError) => PlatformError;
     readonly read: () => PlatformCounters;
 }
 
-/** The counter of each kind of error. */
-const COUNTER_OF_ERROR = {
+/** Name of the counter for each kind of error. */
+const COUNTER_BY_ERROR_KIND = {
     Unavailable: "unavailable",
     OutcomeUnknown: "outcomeUnknown",
     OverBudget: "overBudget",
 } as const;
 
 /** Creates counters at zero. */
-export const createPlatformCounters = (): CounterBook => {
+export const createPlatformCounters = (): PlatformCounterRecorder => {
     const counters: { -readonly [Name in keyof PlatformCounters]: number } = {
         reads: 0,
         writes: 0,
@@ -43,14 +44,14 @@
         connectionsReplaced: 0,
     };
 
-    const add: CounterBook["add"] = (name, amount = 1) => {
+    const add: PlatformCounterRecorder["add"] = (name, amount = 1) => {
         counters[name] += amount;
     };
 
     return {
         add,
         addError: (error) => {
-            add(COUNTER_OF_ERROR[error.kind]);
+            add(COUNTER_BY_ERROR_KIND[error.kind]);
             return error;
         },
         read: () => ({ ...counters }),
--- a/packages/oleandergap-platform/src/replaceablePool.ts
+++ b/packages/oleandergap-platform/src/replaceablePool.ts
@@ -1,28 +1,28 @@
-/** The HTTP connections to the platform; all are replaced at once when one has gone silent. */
+/** Pool of HTTP connections to the platform. All connections are replaced at once when one stops responding. */
 import { Pool } from "undici";
 import type { PlatformOptions } from "./options.js";
 
-/** Where connections lead, and how long they are needed. */
+/** Endpoint, limits and lifetime of the connections. */
 export interface ReplaceablePoolOptions extends PlatformOptions {
     /** Closes the connections when it aborts. */
     readonly signal?: AbortSignal;
 }
 
-/** A pool that changes over time; each exchange stays on the one that it started on. */
+/** A pool that can be replaced. Each exchange stays on the pool that it was started on. */
 export interface ReplaceablePool {
     readonly current: () => Pool;
-    /** Opens a new pool in place of `silent`; does nothing when that was replaced before. */
-    readonly replace: (silent: Pool) => void;
+    /** Opens a new pool in place of `unresponsivePool`. Does nothing if that pool was already replaced. */
+    readonly replace: (unresponsivePool: Pool) => void;
 }
 
 const formatOrigin = (address: string, port: number): string =>
     address.includes(":") ? `http://[${address}]:${port}` : `http://${address}:${port}`;
 
-/** Opens no connection before the first use; `onReplace` runs after each replacement. */
+/** Creates the pool. Connections are opened on first use. `onReplace` is called at each replacement. */
 export const createReplaceablePool = (options: ReplaceablePoolOptions, onReplace: () => void): ReplaceablePool => {
     const { address, port, connections, timeoutMs } = options;
 
-    // The library's own time limits are off: each exchange has one, by the clock of this process.
+    // The library's own timeouts are disabled, because each exchange has one that uses the clock of this process.
     const openPool = (): Pool =>
         new Pool(formatOrigin(address, port), {
             connections,
@@ -33,22 +33,23 @@
         });
     let current = openPool();
 
-    const closePool = (closed: Pool): void => {
-        closed.close().catch(() => undefined);
+    const closePool = (pool: Pool): void => {
+        pool.close().catch(() => undefined);
     };
 
     /**
-     * A device between the two ends may forget a connection, which then stays silent for good while new ones work; one
-     * would see one time-out after the other although the platform is well. The connections opened at the same time
-     * are likely lost as well, so the next call gets a new one; calls under way finish on the old.
+     * A network device between the two ends may drop the state of a connection. The connection then never responds
+     * again although new ones work, and every call on it would time out although the platform is healthy. Connections
+     * that were opened at the same time are probably affected as well. Therefore the next call uses a new connection,
+     * and calls in flight finish on the old pool.
      */
-    const replace = (silent: Pool): void => {
-        if (current !== silent) {
+    const replace = (unresponsivePool: Pool): void => {
+        if (current !== unresponsivePool) {
             return;
         }
         current = openPool();
         onReplace();
-        closePool(silent);
+        closePool(unresponsivePool);
     };
 
     options.signal?.addEventListener("abort", () => {
--- a/packages/oleandergap-platform/src/tableServiceClient.ts
+++ b/packages/oleandergap-platform/src/tableServiceClient.ts
@@ -1,4 +1,4 @@
-/** The table service over HTTP. */
+/** HTTP client of the platform's table service. */
 import * as either from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import type { PlatformError, TableRow, TableScan, TableService } from "oleandergap-types";
@@ -12,27 +12,27 @@
     TABLE_READ_PATH,
     TABLE_SCAN_PATH,
     TABLE_TRANSACT_PATH,
-    transactAnswerSchema,
+    transactResponseSchema,
     type ReadRequest,
     type ScanRequest,
     type TransactRequest,
 } from "./wire.js";
 
-/** The port, with counters of its calls. */
+/** The table service port, extended by counters of its calls. */
 export interface TableServiceClient extends TableService {
     readonly counters: () => PlatformCounters;
 }
 
 const STATUS_OK = 200;
 
-const isAnswerToRead = (keys: readonly string[], rows: readonly TableRow[]): boolean =>
+const matchesRead = (keys: readonly string[], rows: readonly TableRow[]): boolean =>
     rows.length <= keys.length && rows.every((row) => keys.includes(row.key));
 
-const isAnswerToScan = ({ prefix, limit }: TableScan, rows: readonly TableRow[]): boolean =>
+const matchesScan = ({ prefix, limit }: TableScan, rows: readonly TableRow[]): boolean =>
     rows.length <= limit && rows.every((row) => row.key.startsWith(prefix));
 
-/** Uses the connections of `channel`, which an object store client may share. */
-export const createTableServiceOn = (channel: Channel): TableServiceClient => {
+/** Creates a table service client that uses the connections of `channel`. An object store client may share them. */
+export const createTableServiceOnChannel = (channel: Channel): TableServiceClient => {
     const post = <Schema extends z.ZodType>(
         kind: CallKind,
         path: string,
@@ -41,49 +41,50 @@
         signal: AbortSignal,
     ): TaskEither<PlatformError, z.output<Schema>> => async () => {
         const body = JSON.stringify(request);
-        const answer = await channel.call(kind, { method: "POST", path, body }, signal);
-        if (either.isLeft(answer)) {
-            return answer;
+        const response = await channel.call(kind, { method: "POST", path, body }, signal);
+        if (either.isLeft(response)) {
+            return response;
         }
-        if (answer.right.status !== STATUS_OK) {
-            return either.left(channel.rejectAnswer(kind, `unexpected status ${answer.right.status} for ${path}`));
+        if (response.right.status !== STATUS_OK) {
+            return either.left(channel.rejectResponse(kind, `unexpected status ${response.right.status} for ${path}`));
         }
-        const value = parseJson(schema, answer.right.body);
-        return value === undefined ?
-            either.left(channel.rejectAnswer(kind, `unreadable answer to ${path}`)) :
-            either.right(value.parsed);
+        const parsedBody = parseJson(schema, response.right.body);
+        return parsedBody === undefined ?
+            either.left(channel.rejectResponse(kind, `unreadable response to ${path}`)) :
+            either.right(parsedBody.parsed);
     };
 
     /**
-     * Answers that cross each other on a broken intermediary would put one caller's rows under another's question;
-     * rows that were not asked for make the whole answer void.
+     * Reads rows and checks them against the request. A broken intermediary may swap two responses, and a caller would
+     * then receive the rows of another request. A response that contains rows that were not requested is rejected as a
+     * whole.
      */
     const readRows = (
         path: string,
         request: ReadRequest | ScanRequest,
-        isAnswer: (rows: readonly TableRow[]) => boolean,
+        matchesRequest: (rows: readonly TableRow[]) => boolean,
         signal: AbortSignal,
     ): TaskEither<PlatformError, readonly TableRow[]> => async () => {
-        const answer = await post("Read", path, request, rowsAnswerSchema, signal)();
-        if (either.isLeft(answer)) {
-            return answer;
+        const response = await post("Read", path, request, rowsAnswerSchema, signal)();
+        if (either.isLeft(response)) {
+            return response;
         }
-        const { rows } = answer.right;
-        return isAnswer(rows) ?
+        const { rows } = response.right;
+        return matchesRequest(rows) ?
             either.right(rows) :
-            either.left(channel.rejectAnswer("Read", `the answer to ${path} holds rows that were not asked for`));
+            either.left(channel.rejectResponse("Read", `the response to ${path} contains rows that were not requested`));
     };
 
     return {
         read: (keys, signal) =>
-            readRows(TABLE_READ_PATH, { keys: [...keys] }, (rows) => isAnswerToRead(keys, rows), signal),
-        scan: (scan, signal) => readRows(TABLE_SCAN_PATH, scan, (rows) => isAnswerToScan(scan, rows), signal),
+            readRows(TABLE_READ_PATH, { keys: [...keys] }, (rows) => matchesRead(keys, rows), signal),
+        scan: (scan, signal) => readRows(TABLE_SCAN_PATH, scan, (rows) => matchesScan(scan, rows), signal),
         transact: (operations, signal) =>
-            post("Write", TABLE_TRANSACT_PATH, { operations: [...operations] }, transactAnswerSchema, signal),
+            post("Write", TABLE_TRANSACT_PATH, { operations: [...operations] }, transactResponseSchema, signal),
         counters: channel.counters,
     };
 };
 
-/** Opens connections of its own. */
+/** Creates a table service client with its own connections. */
 export const createTableServiceClient = (options: ChannelOptions): TableServiceClient =>
-    createTableServiceOn(createChannel(options));
+    createTableServiceOnChannel(createChannel(options));
--- a/packages/oleandergap-platform/src/tableState.ts
+++ b/packages/oleandergap-platform/src/tableState.ts
@@ -1,10 +1,10 @@
 /**
- * The rows of a table service in memory, with the semantics that the port demands. It serves tests and the stand-in
- * for the platform; nothing here outlives the process.
+ * In-memory rows of a table service with the semantics of the port. Tests and the simulated platform use it. Nothing is
+ * persisted.
  *
- * The version of a deleted row is kept, and a row created anew counts on from it. If it began at 1 again, a `VersionIs`
- * condition taken from the deleted row could hold for the new one (the ABA problem): one would see a delayed write
- * replace a row that its sender never read.
+ * The version of a deleted row is kept, and a row that is created again under the same key continues from it. If its
+ * versions started at 1 again, a `VersionIs` condition based on the deleted row could match the new row (the ABA
+ * problem), and a delayed write could replace a row that its sender never read.
  */
 import {
     isConditionMet,
@@ -16,28 +16,31 @@
     type TransactionResult,
 } from "oleandergap-types";
 
-/** Rows by key; every call is complete when it returns. */
+/** Table of rows by key. All operations are synchronous. */
 export interface TableState {
     readonly read: (keys: readonly string[]) => readonly TableRow[];
     readonly scan: (scan: TableScan) => readonly TableRow[];
-    /** All conditions are checked against the state before the transaction; then all steps take effect, or none. */
+    /**
+     * Checks all conditions against the state before the transaction. Applies all operations if all conditions are met,
+     * and none otherwise.
+     */
     readonly transact: (operations: readonly TableOperation[]) => TransactionResult;
     readonly size: () => number;
     readonly takeCopy: () => TableCopy;
-    /** Goes back to a copy, and begins a new era, in which versions are given out again. */
+    /** Restores the table from a copy and starts a new era, in which versions after the copy are assigned again. */
     readonly restore: (copy: TableCopy) => void;
-    /** The number of restores so far. */
+    /** Returns the current era, which is the number of restores so far. */
     readonly era: () => StoreEra;
 }
 
-/** All that a table held at a moment. */
+/** Contents of a table at one point in time. */
 export interface TableCopy {
     readonly rows: ReadonlyMap<string, TableRow>;
     readonly deletedVersions: ReadonlyMap<string, number>;
 }
 
-/** Index of the first of the sorted `keys` that is not below `key`. */
-const findPosition = (keys: readonly string[], key: string): number => {
+/** Returns the index of the first of the sorted `keys` that is not less than `key`. */
+const findLowerBound = (keys: readonly string[], key: string): number => {
     let low = 0;
     let high = keys.length;
     while (low < high) {
@@ -52,14 +55,14 @@
     return low;
 };
 
-/** Follows every key with this prefix and precedes every other that is larger. */
-const endOfPrefix = (prefix: string): string => `${prefix}\u{10ffff}`;
+/** Returns a key that is greater than all keys with the prefix and less than all other greater keys. */
+const getPrefixUpperBound = (prefix: string): string => `${prefix}\u{10ffff}`;
 
-/** Starts empty. */
+/** Creates an empty table. */
 export const createTableState = (): TableState => {
     let era: StoreEra = UNTOLD_ERA;
     let rows = new Map<string, TableRow>();
-    /** Last versions of deleted rows; grows by one number for each key that stays deleted. */
+    /** Last versions of deleted rows by key; the map grows by one number for each key that stays deleted. */
     let deletedVersions = new Map<string, number>();
     let sortedKeys: string[] = [];
 
@@ -68,11 +71,11 @@
         const version = existing?.version.version ?? deletedVersions.get(key) ?? 0;
         if (existing === undefined) {
             deletedVersions.delete(key);
-            sortedKeys.splice(findPosition(sortedKeys, key), 0, key);
+            sortedKeys.splice(findLowerBound(sortedKeys, key), 0, key);
         }
-        // The text round trip keeps a caller's later changes to its object out of the table, as a network would.
-        const content = JSON.parse(JSON.stringify(value)) as unknown;
-        rows.set(key, { key, version: { era, version: version + 1 }, value: content });
+        // The JSON round trip copies the value, so that later changes to the caller's object do not affect the table.
+        const storedValue = JSON.parse(JSON.stringify(value)) as unknown;
+        rows.set(key, { key, version: { era, version: version + 1 }, value: storedValue });
     };
 
     const remove = (key: string): void => {
@@ -80,7 +83,7 @@
         if (existing !== undefined) {
             rows.delete(key);
             deletedVersions.set(key, existing.version.version);
-            sortedKeys.splice(findPosition(sortedKeys, key), 1);
+            sortedKeys.splice(findLowerBound(sortedKeys, key), 1);
         }
     };
 
@@ -103,17 +106,17 @@
         });
 
     const scanAscending = ({ prefix, after, limit }: TableScan): readonly string[] => {
-        const start = findPosition(sortedKeys, prefix);
-        const pastAfter = after === undefined ? start : findPosition(sortedKeys, `${after}\0`);
-        const first = Math.max(start, pastAfter);
-        const end = findPosition(sortedKeys, endOfPrefix(prefix));
+        const start = findLowerBound(sortedKeys, prefix);
+        const startAfter = after === undefined ? start : findLowerBound(sortedKeys, `${after}\0`);
+        const first = Math.max(start, startAfter);
+        const end = findLowerBound(sortedKeys, getPrefixUpperBound(prefix));
         return sortedKeys.slice(first, Math.min(end, first + limit));
     };
 
     const scanDescending = ({ prefix, after, limit }: TableScan): readonly string[] => {
-        const start = findPosition(sortedKeys, prefix);
-        const beforeAfter = after === undefined ? sortedKeys.length : findPosition(sortedKeys, after);
-        const end = Math.min(findPosition(sortedKeys, endOfPrefix(prefix)), beforeAfter);
+        const start = findLowerBound(sortedKeys, prefix);
+        const endBefore = after === undefined ? sortedKeys.length : findLowerBound(sortedKeys, after);
+        const end = Math.min(findLowerBound(sortedKeys, getPrefixUpperBound(prefix)), endBefore);
         return sortedKeys.slice(Math.max(start, end - limit), Math.max(start, end)).reverse();
     };
 
--- a/packages/oleandergap-platform/src/wire.ts
+++ b/packages/oleandergap-platform/src/wire.ts
@@ -1,48 +1,50 @@
 /**
- * What travels between a node and the platform, as JSON over HTTP. The adapters check every answer against these
- * schemas; a server for tests checks every request against them.
+ * Messages between a node and the platform, which are JSON over HTTP. The adapters validate every response against
+ * these schemas, and the simulated platform in tests validates every request.
  *
- * | call | request | answer |
+ * | call | request | response |
  * | --- | --- | --- |
  * | `POST /table/read` | {@link readRequestSchema} | 200 {@link rowsAnswerSchema} |
  * | `POST /table/scan` | {@link scanRequestSchema} | 200 {@link rowsAnswerSchema} |
- * | `POST /table/transact` | {@link transactRequestSchema} | 200 {@link transactAnswerSchema} |
+ * | `POST /table/transact` | {@link transactRequestSchema} | 200 {@link transactResponseSchema} |
  * | `GET /objects/<key>` | | 200 with the bytes, or 404 |
  * | `PUT /objects/<key>` | the bytes | 204 |
- * | `GET /objects?prefix=<prefix>` | | 200 {@link listAnswerSchema} |
+ * | `GET /objects?prefix=<prefix>` | | 200 {@link listResponseSchema} |
  *
- * Each answer names the era of the store in {@link ERA_HEADER}; a platform without the header is in one era for good.
+ * Each response contains the era of the store in {@link ERA_HEADER}. A platform that does not send the header always
+ * stays in the same era.
  *
- * 503 and 429 say that the call had no effect; so does any other 4xx. Any other 5xx leaves a write's outcome open.
+ * The statuses 503 and 429 mean that the call had no effect, and so does any other 4xx status. After any other 5xx
+ * status the outcome of a write is unknown.
  */
 import { storePositionSchema } from "oleandergap-types";
 import { z } from "zod";
 
-/** In each answer: the era of the platform's store, which rises with each restore from a copy. */
+/** Response header with the era of the platform's store, which increases with each restore from a backup. */
 export const ERA_HEADER = "oleandergap-store-era";
 
-/** Path of a read of single rows. */
+/** Path of requests that read individual rows. */
 export const TABLE_READ_PATH = "/table/read";
-/** Path of a scan. */
+/** Path of scan requests. */
 export const TABLE_SCAN_PATH = "/table/scan";
-/** Path of a transaction. */
+/** Path of transaction requests. */
 export const TABLE_TRANSACT_PATH = "/table/transact";
-/** Path of the list of objects, and start of the path of each object. */
+/** Path of the list of objects, and prefix of the path of each object. */
 export const OBJECTS_PATH = "/objects";
 
-/** Longest key of a row or an object, in characters. */
+/** Maximum length of the key of a row or an object, in characters. */
 const MAX_KEY_LENGTH = 512;
-/** Most keys in one read. */
+/** Maximum number of keys in one read. */
 const MAX_KEYS_PER_READ = 100;
-/** Most rows in the answer to one scan. */
+/** Maximum number of rows in the response to one scan. */
 const MAX_ROWS_PER_SCAN = 1000;
-/** Most operations in one transaction. */
+/** Maximum number of operations in one transaction. */
 const MAX_OPERATIONS_PER_TRANSACTION = 100;
 
-/** Printable ASCII without spaces, so that a key needs no escaping in logs. */
+/** Key of printable ASCII characters without spaces, so that it needs no escaping in logs. */
 export const platformKeySchema = z.string().min(1).max(MAX_KEY_LENGTH).regex(/^[\x21-\x7e]+$/);
 
-/** Any JSON value; its reader knows the schema. Absent is not a value. */
+/** Any JSON value, which the reader of the row validates against its own schema. An absent value is invalid. */
 const jsonValueSchema = z.unknown().refine((value): boolean => value !== undefined, "a row has a value");
 
 const tableRowSchema = z.strictObject({
@@ -68,12 +70,12 @@
     z.strictObject({ kind: z.literal("Delete"), key: platformKeySchema, condition: rowConditionSchema }),
 ]);
 
-/** Rows by key. */
+/** Request for rows by key. */
 export const readRequestSchema = z.strictObject({
     keys: z.array(platformKeySchema).min(1).max(MAX_KEYS_PER_READ),
 });
 
-/** A range of rows; see `TableScan` in `oleandergap-types`. */
+/** Request for a range of rows; see `TableScan` in `oleandergap-types`. */
 export const scanRequestSchema = z.strictObject({
     prefix: platformKeySchema,
     after: platformKeySchema.optional(),
@@ -81,7 +83,7 @@
     descending: z.boolean().optional(),
 });
 
-/** Each key at most once: the conditions all speak of the time before the transaction. */
+/** Transaction. Each key occurs at most once, because all conditions refer to the state before the transaction. */
 export const transactRequestSchema = z.strictObject({
     operations: z
         .array(tableOperationSchema)
@@ -93,28 +95,31 @@
         ),
 });
 
-/** The rows that exist. */
+/** Response to a read or scan: those of the requested rows that exist. */
 export const rowsAnswerSchema = z.strictObject({ rows: z.array(tableRowSchema) });
 
-/** Done, or the keys whose condition failed. */
-export const transactAnswerSchema = z.discriminatedUnion("kind", [
+/** Response to a transaction: committed, or the keys whose condition was not met. */
+export const transactResponseSchema = z.discriminatedUnion("kind", [
     z.strictObject({ kind: z.literal("Committed") }),
     z.strictObject({ kind: z.literal("ConditionFailed"), keys: z.array(platformKeySchema).min(1) }),
 ]);
 
-/** Keys of objects. */
-export const listAnswerSchema = z.strictObject({ keys: z.array(platformKeySchema) });
+/** Response to a list request: the keys of the objects. */
+export const listResponseSchema = z.strictObject({ keys: z.array(platformKeySchema) });
 
 export type ReadRequest = z.infer<typeof readRequestSchema>;
 export type ScanRequest = z.infer<typeof scanRequestSchema>;
 export type TransactRequest = z.infer<typeof transactRequestSchema>;
 export type RowsAnswer = z.infer<typeof rowsAnswerSchema>;
 
-/** The URL path of an object; slashes of the key stay slashes. */
+/** Returns the URL path of an object. Slashes in the key are not escaped. */
 export const formatObjectPath = (key: string): string =>
     `${OBJECTS_PATH}/${key.split("/").map(encodeURIComponent).join("/")}`;
 
-/** The inverse of {@link formatObjectPath}; undefined when the path names no object or is badly escaped. */
+/**
+ * Returns the object key of a URL path; the inverse of {@link formatObjectPath}. Returns undefined when the path does
+ * not identify an object or has invalid escapes.
+ */
 export const parseObjectPath = (path: string): string | undefined => {
     if (!path.startsWith(`${OBJECTS_PATH}/`)) {
         return undefined;
