--- a/packages/oleandergap-operator/src/__tests__/authorisation.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/authorisation.test.ts
@@ -24,7 +24,7 @@
     { name: "target.drain", call: (client) => client.drainTarget({ nodeId: "hall-a-1" })() },
 ];
 
-const secretsOf = (text: string): readonly string[] =>
+const findSecrets = (text: string): readonly string[] =>
     [HALLOWAY_CREDENTIAL, KUSHIRO_CREDENTIAL, UNKNOWN_CREDENTIAL].filter((secret) => text.includes(secret));
 
 describe("operatorRouter", () => {
@@ -54,7 +54,7 @@
     });
 
     for (const { name, call } of procedures) {
-        it(`gives ${name} to the own partner and nothing without a good credential`, async () => {
+        it(`allows ${name} with a valid credential and rejects it without one`, async () => {
             expect(await call(createTestClient([node.address]))).to.have.property("_tag", "Right");
             node.changes.requests.length = 0;
             for (const credential of [UNKNOWN_CREDENTIAL, "malformed", ""]) {
@@ -62,18 +62,18 @@
                 expect(refused).to.deep.equal(either.left({ kind: "Unauthenticated" }));
             }
             expect(node.changes.requests).to.deep.equal([]);
-            expect(secretsOf(node.lines.join("\n"))).to.deep.equal([]);
+            expect(findSecrets(node.logLines.join("\n"))).to.deep.equal([]);
         });
     }
 
-    it("answers every refused request alike, whatever it asks for and however it is malformed", async () => {
+    it("sends the same response to every unauthenticated request, regardless of its path, credential or body", async () => {
         const { address, port } = node.address;
         const send = async (path: string, headers: Record<string, string>, body?: string): Promise<string> => {
             const init = body === undefined ? { headers } : { method: "POST", headers, body };
             const response = await fetch(`http://${address}:${port}/operator/${path}`, init);
             return `${response.status} ${await response.text()}`;
         };
-        const answers = await Promise.all([
+        const responses = await Promise.all([
             send("table.get", {}),
             send("no.such.procedure", {}),
             send("table.get", { authorization: "Basic aGFsbG93YXk=" }),
@@ -82,18 +82,18 @@
             send("change.accept", { authorization: "Bearer x" }, "{not json"),
             send("change.accept", { "content-type": "application/json" }, "x".repeat(400_000)),
         ]);
-        expect(new Set(answers).size).to.equal(1);
-        expect(answers[0]).to.match(/^401 /);
+        expect(new Set(responses).size).to.equal(1);
+        expect(responses[0]).to.match(/^401 /);
     });
 
-    it("edits the credential's own partner's table alone", async () => {
+    it("changes only the table of the partner that owns the credential", async () => {
         const accepted = await createTestClient([node.address], KUSHIRO_CREDENTIAL).acceptChange(change)();
         expect(accepted).to.have.nested.property("right.partner", "kushiro");
         expect(node.changes.cells.get("halloway")?.get("services/grant-filer/weights/hall-a")).to.equal(10);
         expect(node.changes.requests[0]).to.include({ partner: "kushiro", operator: "m.sato" });
     });
 
-    it("shows neither table, history nor audit trail of the other partner", async () => {
+    it("does not show the table, history or audit trail of the other partner", async () => {
         await createTestClient([node.address]).acceptChange(change)();
         const kushiro = createTestClient([node.address], KUSHIRO_CREDENTIAL);
         expect(await kushiro.getTable({})()).to.have.nested.property("right.cells").that.deep.equals({});
@@ -102,7 +102,7 @@
         expect(await kushiro.getRow({ service: "grant-filer" })()).to.have.nested.property("left.kind", "NotFound");
     });
 
-    it("refuses to let a client name the partner itself", async () => {
+    it("rejects a request in which the client specifies the partner", async () => {
         const response = await fetch(`http://127.0.0.1:${node.address.port}/operator/change.accept`, {
             method: "POST",
             headers: { authorization: `Bearer ${KUSHIRO_CREDENTIAL}`, "content-type": "application/json" },
@@ -112,9 +112,9 @@
         expect(node.changes.requests).to.deep.equal([]);
     });
 
-    it("refuses a change from the moment the credential's row is gone", async () => {
-        // Symptom: a dismissed operator's change is accepted. Sequence: the credential is used, its row is deleted, a
-        // change follows within the cache's time. Cause: the change trusted the cached identity.
+    it("rejects a change as soon as the row of the credential is deleted", async () => {
+        // Guards against a change with a revoked credential: the credential is used, its row is deleted, and a change
+        // follows while the identity is still cached. The change must not rely on the cached identity.
         const client = createTestClient([node.address]);
         await client.getTable({})();
         node.table.rows.clear();
@@ -122,7 +122,7 @@
         expect(node.changes.requests).to.deep.equal([]);
     });
 
-    it("drains only the own partner's target", async () => {
+    it("drains only targets of the operator's partner", async () => {
         const kushiro = createTestClient([node.address], KUSHIRO_CREDENTIAL);
         expect(await kushiro.drainTarget({ nodeId: "hall-a-1" })()).to.have.nested.property("left.kind", "Forbidden");
         expect(await kushiro.drainTarget({ nodeId: "hall-a-9" })()).to.have.nested.property("left.kind", "NotFound");
@@ -131,7 +131,7 @@
         expect(node.drained).to.deep.equal(["sap-1 kushiro/evidence"]);
     });
 
-    it("shows both partners the fleet, but a target's service to its owner alone", async () => {
+    it("shows the fleet to both partners, but the service of a target only to its owner", async () => {
         node.report = {
             ...node.report,
             nodes: node.report.nodes.map(({ member }) => ({
--- a/packages/oleandergap-operator/src/__tests__/fakes.ts
+++ b/packages/oleandergap-operator/src/__tests__/fakes.ts
@@ -1,4 +1,4 @@
-/** Fakes at the ports of the operators' interface, and a server on a loopback socket. */
+/** Fakes for the ports of the operators' interface, and a server on a loopback socket. */
 import { createServer, type RequestListener, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
 import * as either from "fp-ts/lib/Either.js";
@@ -20,25 +20,26 @@
 export const HALLOWAY_CREDENTIAL = `ogop_${"h".repeat(43)}`;
 export const KUSHIRO_CREDENTIAL = `ogop_${"k".repeat(43)}`;
 export const UNKNOWN_CREDENTIAL = `ogop_${"u".repeat(43)}`;
-const jordan: OperatorIdentity = { partner: "halloway", operator: "jordan" };
-const sato: OperatorIdentity = { partner: "kushiro", operator: "m.sato" };
+const jordanIdentity: OperatorIdentity = { partner: "halloway", operator: "jordan" };
+const satoIdentity: OperatorIdentity = { partner: "kushiro", operator: "m.sato" };
 
+/** In-memory table of credential rows. */
 export interface FakeTable {
     readonly rows: Map<string, unknown>;
-    /** Replaces the answer of all reads when set. */
+    /** When set, all reads fail with this error. */
     failure: PlatformError | undefined;
     /** Number of reads so far. */
     reads: number;
-    /** When set, reads wait for it after they took their result. */
-    hold: Promise<void> | undefined;
+    /** When set, reads determine their result and then wait for this promise before they return it. */
+    readDelay: Promise<void> | undefined;
     readonly service: Pick<TableService, "read">;
 }
 
-/** Knows one operator of each partner. */
+/** Creates a table with the credentials of one operator of each partner. */
 export const createFakeTable = (): FakeTable => {
     const rows = new Map<string, unknown>([
-        [formatOperatorKey(hashCredential(HALLOWAY_CREDENTIAL)), jordan],
-        [formatOperatorKey(hashCredential(KUSHIRO_CREDENTIAL)), sato],
+        [formatOperatorKey(hashCredential(HALLOWAY_CREDENTIAL)), jordanIdentity],
+        [formatOperatorKey(hashCredential(KUSHIRO_CREDENTIAL)), satoIdentity],
     ]);
     const readRows = (keys: readonly string[]): readonly TableRow[] =>
         keys.filter((key) => rows.has(key))
@@ -47,13 +48,13 @@
         rows,
         failure: undefined,
         reads: 0,
-        hold: undefined,
+        readDelay: undefined,
         service: {
             read: (keys) => async () => {
                 table.reads += 1;
-                const { failure, hold } = table;
+                const { failure, readDelay } = table;
                 const found = readRows(keys);
-                await hold;
+                await readDelay;
                 return failure === undefined ? either.right(found) : either.left(failure);
             },
         },
@@ -61,15 +62,17 @@
     return table;
 };
 
+/** In-memory change service. */
 export interface FakeChanges extends ChangePort {
+    /** Cells of each partner. */
     readonly cells: Map<string, Map<string, CellValue>>;
-    /** Every request that reached the port. */
+    /** All change requests received so far. */
     readonly requests: ChangeRequest[];
-    /** Runs after a change took effect and before its answer leaves. */
-    beforeAnswer: () => Promise<void>;
+    /** Runs after a change took effect and before its response is sent. */
+    beforeResponse: () => Promise<void>;
 }
 
-const cellsOf = (changes: FakeChanges, partner: string): Map<string, CellValue> => {
+const getOrCreateCells = (changes: FakeChanges, partner: string): Map<string, CellValue> => {
     const cells = changes.cells.get(partner) ?? new Map<string, CellValue>();
     changes.cells.set(partner, cells);
     return cells;
@@ -88,7 +91,7 @@
     }];
 };
 
-/** Accepts changes in memory, one outcome per change id. */
+/** Creates a service that accepts changes in memory. Repeating a change id returns its first outcome. */
 export const createFakeChanges = (): FakeChanges => {
     const accepted = new Map<string, Head>();
 
@@ -97,7 +100,7 @@
         if (first !== undefined) {
             return either.right({ kind: "Accepted", changeId, head: first, isRepeat: true });
         }
-        const cells = cellsOf(changes, partner);
+        const cells = getOrCreateCells(changes, partner);
         const conflicts = edits.flatMap((edit) => findConflict(cells, edit));
         if (conflicts.length > 0) {
             return either.left({ kind: "Conflict", base: createHead(partner, accepted.size), conflicts });
@@ -116,11 +119,11 @@
     const changes: FakeChanges = {
         cells: new Map(),
         requests: [],
-        beforeAnswer: () => Promise.resolve(),
+        beforeResponse: () => Promise.resolve(),
         accept: (request) => async () => {
             changes.requests.push(request);
             const outcome = accept(request);
-            await changes.beforeAnswer();
+            await changes.beforeResponse();
             return outcome;
         },
         validate: ({ partner }) => async () => either.right({ base: createHead(partner, accepted.size), changes: [] }),
@@ -135,12 +138,14 @@
     return changes;
 };
 
+/** Creates a version of a partner's table. */
 export const createDocument = (partner: string, cells: Cells, sequence = 3): PartnerDocument =>
     ({ partner, sequence, digest: DIGEST, cells });
 
+/** Creates the head of a version. */
 export const createHead = (partner: string, sequence: number): Head => ({ partner, sequence, digest: DIGEST });
 
-/** A node of zone hall-a, or of `zone`; with a target of `service` when one is named as `partner/service`. */
+/** Creates an alive node in `zone`, with a target when `service` is given as `partner/service`. */
 export const createMember = (id: string, service?: string, zone = "hall-a"): Member => {
     const [partner, name] = service?.split("/") ?? [];
     const member: Member = {
@@ -151,30 +156,34 @@
         { ...member, target: { partner, service: name, slots: 12, leaving: false, since: 0 } };
 };
 
+/** State of a fake node and the services that its handler uses. */
 export interface FakeNode {
     readonly services: OperatorServices;
     readonly table: FakeTable;
     readonly changes: FakeChanges;
+    /** Fleet report that the node returns. */
     report: FleetReport;
-    /** Targets that were drained, as `node partner/service`. */
+    /** Drained targets, formatted as `node partner/service`. */
     readonly drained: string[];
+    /** Whether the node has recovered its configuration. */
     ready: boolean;
-    /** Everything that was logged. */
-    readonly lines: string[];
+    /** All log lines so far. */
+    readonly logLines: string[];
 }
 
 const createRecordingLogger = (lines: string[]): Logger => {
-    const record: Logger["info"] = (message, context) => {
+    const recordLine: Logger["info"] = (message, context) => {
         lines.push(`${message} ${JSON.stringify(context)}`);
     };
-    return { debug: record, info: record, warn: record, error: record };
+    return { debug: recordLine, info: recordLine, warn: recordLine, error: recordLine };
 };
 
+/** Creates a fake node that is not listening yet. */
 export const createFakeNode = (changes = createFakeChanges(), table = createFakeTable()): FakeNode => {
     const lines: string[] = [];
     const drained: string[] = [];
     const readDocument = (partner: string): PartnerDocument =>
-        createDocument(partner, Object.fromEntries(cellsOf(changes, partner)));
+        createDocument(partner, Object.fromEntries(getOrCreateCells(changes, partner)));
     const tables: TablePort = {
         isReady: () => node.ready,
         inForce: readDocument,
@@ -196,14 +205,14 @@
         table,
         changes,
         report: { nodes: [], unknownZones: [] },
-        drained,
+        drained: drained,
         ready: true,
-        lines,
+        logLines: lines,
     };
     return node;
 };
 
-/** Listens on a free loopback port; `close` also ends open connections. */
+/** Starts a server on a free loopback port. `close` also closes open connections. */
 export const listen = async (listener: RequestListener): Promise<{ address: NodeAddress; close: () => void }> => {
     const server: Server = createServer(listener);
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -215,17 +224,19 @@
     return { address: { address: "127.0.0.1", port }, close };
 };
 
+/** Fake node that listens on a loopback port. */
 export interface RunningNode extends FakeNode {
     readonly address: NodeAddress;
     readonly close: () => void;
 }
 
+/** Starts the operators' interface of `node` on a loopback port, with high rate limits unless `options` set them. */
 export const startFakeNode = async (
     node: FakeNode = createFakeNode(),
     options: Partial<OperatorOptions> = {},
 ): Promise<RunningNode> => {
-    const generous = { unknownCredentialsPerSecond: 1000, requestsPerSecond: 10_000 };
-    const allOptions = operatorOptionsSchema.parse({ ...generous, ...options });
+    const highLimits = { unknownCredentialsPerSecond: 1000, requestsPerSecond: 10_000 };
+    const allOptions = operatorOptionsSchema.parse({ ...highLimits, ...options });
     const { clock, logger } = node.services;
     const credentials = createCredentialChecker({
         tableService: node.table.service, clock, logger, options: allOptions,
@@ -242,6 +253,7 @@
     return Object.assign(node, { address: server.address, close });
 };
 
+/** Creates a client of `nodes` with a real clock. */
 export const createTestClient = (
     nodes: readonly NodeAddress[],
     credential: string = HALLOWAY_CREDENTIAL,
--- a/packages/oleandergap-operator/src/__tests__/operatorClient.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/operatorClient.test.ts
@@ -13,52 +13,51 @@
 const change = { changeId: "change-0001", edits: [edit] };
 
 describe("createOperatorClient", () => {
-    const closers: (() => void)[] = [];
+    const closeCallbacks: (() => void)[] = [];
 
-    const start = async (...args: Parameters<typeof startFakeNode>): Promise<RunningNode> => {
+    const startNode = async (...args: Parameters<typeof startFakeNode>): Promise<RunningNode> => {
         const node = await startFakeNode(...args);
-        closers.push(node.close);
+        closeCallbacks.push(node.close);
         return node;
     };
 
     const startServer = async (listener: RequestListener): Promise<NodeAddress> => {
         const server = await listen(listener);
-        closers.push(server.close);
+        closeCallbacks.push(server.close);
         return server.address;
     };
 
     afterEach(() => {
-        closers.splice(0).forEach((close) => close());
+        closeCallbacks.splice(0).forEach((close) => close());
     });
 
-    it("gets the first outcome from the next node after an answer was lost", async () => {
-        // Symptom: a change is made twice, or the operator is told of a conflict with their own change.
-        // Sequence: node 1 accepts the change and dies before it answers; the client turns to node 2.
-        // Cause: the repeat went out as a new change instead of under the same change id.
+    it("gets the first outcome from the next node after a lost response", async () => {
+        // Guards against a change that is made twice or conflicts with itself: node 1 accepts the change and crashes
+        // before it responds, and the client sends the change to node 2. It must use the same change id.
         const changes = createFakeChanges();
-        const first = await start(createFakeNode(changes));
-        const second = await start(createFakeNode(changes));
+        const first = await startNode(createFakeNode(changes));
+        const second = await startNode(createFakeNode(changes));
         const client = createTestClient([first.address, second.address]);
-        changes.beforeAnswer = async () => {
-            changes.beforeAnswer = () => Promise.resolve();
+        changes.beforeResponse = async () => {
+            changes.beforeResponse = () => Promise.resolve();
             first.close();
         };
-        const answer = await client.acceptChange(change)();
-        expect(answer).to.have.nested.property("right.sequence", 1);
-        expect(answer).to.have.nested.property("right.repeated", true);
+        const response = await client.acceptChange(change)();
+        expect(response).to.have.nested.property("right.sequence", 1);
+        expect(response).to.have.nested.property("right.repeated", true);
         expect(changes.requests.map((request) => request.changeId)).to.deep.equal(["change-0001", "change-0001"]);
     });
 
-    it("turns to the next node when one has gone silent", async () => {
-        // Symptom: the command hangs. Sequence: a node takes the connection and never answers, as a frozen process
-        // does. Cause: the wait for one node had no bound.
+    it("queries the next node when a node does not respond", async () => {
+        // Guards against a command that hangs: a frozen process accepts the connection and never responds, and the wait
+        // for one node has no timeout.
         const clock = createManualClock();
-        const node = await start();
-        const silent = await startServer(() => {
+        const node = await startNode();
+        const silentNode = await startServer(() => {
             void clock.advance(1000);
         });
         const client = createOperatorClient({
-            nodes: [silent, node.address],
+            nodes: [silentNode, node.address],
             credential: HALLOWAY_CREDENTIAL,
             timeoutMs: 1000,
             clock,
@@ -67,107 +66,107 @@
         expect(await client.getTable({})()).to.have.property("_tag", "Right");
     });
 
-    it("calls the outcome unknown when the only node's answer is lost", async () => {
+    it("reports an unknown outcome when the response of the only node is lost", async () => {
         const address = await startServer((request) => {
             request.socket.destroy();
         });
-        const answer = await createTestClient([address]).acceptChange(change)();
-        expect(answer).to.have.nested.property("left.kind", "OutcomeUnknown");
-        expect(answer).to.have.nested.property("left.changeId", "change-0001");
+        const response = await createTestClient([address]).acceptChange(change)();
+        expect(response).to.have.nested.property("left.kind", "OutcomeUnknown");
+        expect(response).to.have.nested.property("left.changeId", "change-0001");
     });
 
-    it("calls nodes unreachable when no connection was made", async () => {
-        const gone = await listen(() => undefined);
-        gone.close();
-        const answer = await createTestClient([gone.address]).acceptChange(change)();
-        expect(answer).to.deep.equal(either.left({
+    it("reports unreachable nodes when no connection could be established", async () => {
+        const closedServer = await listen(() => undefined);
+        closedServer.close();
+        const response = await createTestClient([closedServer.address]).acceptChange(change)();
+        expect(response).to.deep.equal(either.left({
             kind: "NodeUnreachable",
-            attempts: [{ node: `127.0.0.1:${gone.address.port}`, detail: "ECONNREFUSED" }],
+            attempts: [{ node: `127.0.0.1:${closedServer.address.port}`, detail: "ECONNREFUSED" }],
         }));
     });
 
-    it("takes anything that is not a node's answer as a lost one", async () => {
-        // Symptom: a crash, or an empty table shown as if it were true. Sequence: something else listens at the
-        // address, or the answer breaks off. Cause: the answer was used without a check.
+    it("treats any response that did not come from a node as lost", async () => {
+        // Guards against a crash or a wrong empty table: another server listens at the address, or the response is cut
+        // off, and the response is used without validation.
         let body = "";
         let status = 200;
         const address = await startServer((_request, response) => {
             response.writeHead(status, { "content-type": "application/json" });
             response.end(body);
         });
-        const strange = fc.oneof(
+        const arbitraryBody = fc.oneof(
             fc.string(), fc.json(), fc.json().map((json) => `{"result":{"data":${json}}}`),
             fc.json().map((json) => `{"result":{"data":{"_tag":"Right","right":${json}}}}`),
             fc.json().map((json) => `{"error":{"code":1,"message":"x","data":{"operatorError":${json}}}}`),
         );
-        await fc.assert(fc.asyncProperty(strange, fc.constantFrom(200, 404, 500), async (text, code) => {
+        await fc.assert(fc.asyncProperty(arbitraryBody, fc.constantFrom(200, 404, 500), async (text, code) => {
             body = text;
             status = code;
-            const answer = await createTestClient([address]).acceptChange(change)();
-            expect(answer).to.have.nested.property("left.kind", "OutcomeUnknown");
+            const response = await createTestClient([address]).acceptChange(change)();
+            expect(response).to.have.nested.property("left.kind", "OutcomeUnknown");
         }), { numRuns: 60 });
     });
 
-    it("follows no redirect with its credential", async () => {
-        const seen: string[] = [];
-        const thief = await startServer((request, response) => {
-            seen.push(String(request.headers.authorization));
+    it("does not send its credential to the destination of a redirect", async () => {
+        const receivedCredentials: string[] = [];
+        const redirectDestination = await startServer((request, response) => {
+            receivedCredentials.push(String(request.headers.authorization));
             response.end();
         });
         const address = await startServer((_request, response) => {
-            response.writeHead(307, { location: `http://127.0.0.1:${thief.port}/operator/table.get` });
+            response.writeHead(307, { location: `http://127.0.0.1:${redirectDestination.port}/operator/table.get` });
             response.end();
         });
         expect(await createTestClient([address]).getTable({})()).to.have.property("_tag", "Left");
-        expect(seen).to.deep.equal([]);
+        expect(receivedCredentials).to.deep.equal([]);
     });
 
-    it("keeps a credential that can't stand in a header out of its errors", async () => {
-        const node = await start();
-        const answer = await createTestClient([node.address], `${HALLOWAY_CREDENTIAL}\nsecret`).getTable({})();
-        expect(answer).to.deep.equal(either.left({ kind: "Unauthenticated" }));
+    it("does not include a credential that is not a valid header value in its errors", async () => {
+        const node = await startNode();
+        const response = await createTestClient([node.address], `${HALLOWAY_CREDENTIAL}\nsecret`).getTable({})();
+        expect(response).to.deep.equal(either.left({ kind: "Unauthenticated" }));
     });
 
-    it("shows both values of a conflict", async () => {
-        const node = await start();
+    it("returns the expected value and the found value of a conflict", async () => {
+        const node = await startNode();
         const client = createTestClient([node.address]);
         await client.acceptChange(change)();
-        const answer = await client.acceptChange({
+        const response = await client.acceptChange({
             changeId: "change-0002", edits: [{ ...edit, expected: { kind: "Value", value: 10 }, value: 60 }],
         })();
-        expect(answer).to.deep.equal(either.left({
+        expect(response).to.deep.equal(either.left({
             kind: "Conflict", conflicts: [{ cell: edit.cell, expected: 10, found: 50 }],
         }));
     });
 
-    it("does not show an empty table while the node recovers", async () => {
-        const node = await start();
+    it("returns an error instead of an empty table while the node recovers", async () => {
+        const node = await startNode();
         node.ready = false;
         expect(await createTestClient([node.address]).getTable({})()).to.have.nested.property("left.kind", "NotReady");
     });
 
-    it("refuses one partner's flood without touching the other's requests", async () => {
-        // Symptom: one partner's script keeps the other partner's operators out of a node.
-        // Sequence: halloway sends a hundred requests at once. Cause: the budget was shared.
-        const node = await start(createFakeNode(), { requestsPerSecond: 1 });
+    it("limits excessive requests of one partner without affecting the requests of the other", async () => {
+        // Guards against a script of one partner that prevents operators of the other partner from using a node:
+        // halloway sends many requests at once, and both partners share one rate limit.
+        const node = await startNode(createFakeNode(), { requestsPerSecond: 1 });
         const halloway = createTestClient([node.address]);
-        const answers = await Promise.all(Array.from({ length: 20 }, () => halloway.listMembers()()));
-        const refused = answers.filter((answer) => either.isLeft(answer) && answer.left.kind === "OverBudget");
-        expect(refused.length).to.be.at.least(17);
+        const results = await Promise.all(Array.from({ length: 20 }, () => halloway.listMembers()()));
+        const rejected = results.filter((result) => either.isLeft(result) && result.left.kind === "OverBudget");
+        expect(rejected.length).to.be.at.least(17);
         const kushiro = createTestClient([node.address], KUSHIRO_CREDENTIAL);
         expect(await kushiro.listMembers()()).to.have.property("_tag", "Right");
     });
 
-    it("answers when its time is over, even if the platform never does", async () => {
-        const node = await start(createFakeNode(), { requestTimeoutMs: 50 });
-        node.changes.beforeAnswer = () => new Promise(() => undefined);
-        const answer = await createTestClient([node.address]).acceptChange(change)();
-        expect(answer).to.have.nested.property("left.detail", `127.0.0.1:${node.address.port}: OutcomeUnknown`);
+    it("responds at its deadline even if the platform never responds", async () => {
+        const node = await startNode(createFakeNode(), { requestTimeoutMs: 50 });
+        node.changes.beforeResponse = () => new Promise(() => undefined);
+        const response = await createTestClient([node.address]).acceptChange(change)();
+        expect(response).to.have.nested.property("left.detail", `127.0.0.1:${node.address.port}: OutcomeUnknown`);
     });
 });
 
 describe("createOperatorHandler", () => {
-    it("answers any input with a clear error and goes on serving", async () => {
+    it("responds to any input with a structured result or error and continues to serve requests", async () => {
         const node = await startFakeNode();
         const procedures = ["table.get", "table.row", "change.accept", "audit.list", "target.drain", "nothing"];
         const headers = { authorization: `Bearer ${HALLOWAY_CREDENTIAL}`, "content-type": "application/json" };
@@ -184,10 +183,10 @@
             },
         ), { numRuns: 150 });
         expect(node.changes.requests).to.deep.equal([]);
-        const tooLong = await fetch(`http://127.0.0.1:${node.address.port}/operator/change.accept`, {
+        const oversizedResponse = await fetch(`http://127.0.0.1:${node.address.port}/operator/change.accept`, {
             method: "POST", headers, body: JSON.stringify({ changeId: "x".repeat(300_000) }),
         });
-        expect(tooLong.status).to.equal(413);
+        expect(oversizedResponse.status).to.equal(413);
         expect(await createTestClient([node.address]).getTable({})()).to.have.property("_tag", "Right");
         node.close();
     });
--- a/packages/oleandergap-operator/src/__tests__/sendToNodes.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/sendToNodes.test.ts
@@ -8,7 +8,7 @@
 import type { OperatorError } from "../schemas/operatorError.js";
 
 const CHANGE_ID = "change-0001";
-const never = new AbortController().signal;
+const neverAbortedSignal = new AbortController().signal;
 
 const errors: readonly OperatorError[] = [
     { kind: "Unauthenticated" },
@@ -26,32 +26,33 @@
     { kind: "Internal", detail: "" },
 ];
 
-const answered = (error: OperatorError): AttemptResult<string> => ({ kind: "Answered", answer: either.left(error) });
+const createErrorResult = (error: OperatorError): AttemptResult<string> =>
+    ({ kind: "Answered", answer: either.left(error) });
 const attemptArbitrary: fc.Arbitrary<AttemptResult<string>> = fc.oneof(
-    fc.constantFrom(...errors.map(answered)),
+    fc.constantFrom(...errors.map(createErrorResult)),
     fc.constant<AttemptResult<string>>({ kind: "Answered", answer: either.right("accepted") }),
     fc.constant<AttemptResult<string>>({ kind: "NotSent", detail: "ECONNREFUSED" }),
     fc.constant<AttemptResult<string>>({ kind: "AnswerLost", detail: "ECONNRESET" }),
 );
 
-const run = async (
+const runSend = async (
     results: readonly AttemptResult<string>[],
-): Promise<NodesResult<string> & { readonly asked: number }> => {
+): Promise<NodesResult<string> & { readonly attemptCount: number }> => {
     const nodes: readonly NodeAddress[] = results.map((_result, index) => ({ address: "127.0.0.1", port: index + 1 }));
-    let asked = 0;
+    let attemptCount = 0;
     const result = await sendToNodes<string>({
         nodes,
         attempt: ({ port }) => {
-            asked += 1;
+            attemptCount += 1;
             return Promise.resolve(results[port - 1] as AttemptResult<string>);
         },
         changeId: CHANGE_ID,
-        signal: never,
+        signal: neverAbortedSignal,
     });
-    return { ...result, asked };
+    return { ...result, attemptCount };
 };
 
-const kindOf = (result: AttemptResult<string>): string => {
+const getResultKind = (result: AttemptResult<string>): string => {
     if (result.kind !== "Answered") {
         return result.kind;
     }
@@ -59,20 +60,20 @@
 };
 
 describe("sendToNodes", () => {
-    it("asks the next node when one is down, and says which one answered", async () => {
-        const result = await run([
+    it("tries the next node when a node is down and returns the node that responded", async () => {
+        const result = await runSend([
             { kind: "NotSent", detail: "ECONNREFUSED" },
-            answered({ kind: "NotReady", detail: "" }),
+            createErrorResult({ kind: "NotReady", detail: "" }),
             { kind: "Answered", answer: either.right("table") },
             { kind: "Answered", answer: either.right("another") },
         ]);
         expect(result.answer).to.deep.equal(either.right("table"));
         expect(result.node?.port).to.equal(3);
-        expect(result.asked).to.equal(3);
+        expect(result.attemptCount).to.equal(3);
     });
 
-    it("names every node that was asked in vain", async () => {
-        const result = await run([
+    it("lists all failed attempts when no node could be reached", async () => {
+        const result = await runSend([
             { kind: "NotSent", detail: "ECONNREFUSED" },
             { kind: "NotSent", detail: "EHOSTUNREACH" },
         ]);
@@ -85,13 +86,13 @@
         }));
     });
 
-    it("does not report a change as refused after its answer was lost", async () => {
-        // Symptom: the operator reads "platform unavailable, nothing written", sends the change again under a new id,
-        // and overwrites what a colleague set in between. Sequence: node 1 accepts and its answer is lost; node 2
-        // can't reach the platform. Cause: the last node's error was taken for the outcome of all attempts.
-        const result = await run([
+    it("does not report a change as failed after a lost response", async () => {
+        // Guards against reporting that nothing was written, after which the operator sends the change under a new id
+        // and overwrites the change of another operator: node 1 accepts the change and its response is lost, and node 2
+        // cannot reach the platform. The error of the last node must not be used as the outcome of all attempts.
+        const result = await runSend([
             { kind: "AnswerLost", detail: "ECONNRESET" },
-            answered({ kind: "PlatformUnavailable", detail: "down" }),
+            createErrorResult({ kind: "PlatformUnavailable", detail: "down" }),
         ]);
         expect(result.answer).to.deep.equal(either.left({
             kind: "OutcomeUnknown",
@@ -100,13 +101,13 @@
         }));
     });
 
-    it("is truthful about changes for every sequence of attempts", async () => {
+    it("reports a correct outcome for every sequence of attempts", async () => {
         const uncertain = new Set(["AnswerLost", "OutcomeUnknown", "Internal"]);
         const decisive = new Set(["Accepted", "Conflict", "Invalid", "ChangeIdReused"]);
         const attempts = fc.array(attemptArbitrary, { minLength: 1, maxLength: 5 });
         await fc.assert(fc.asyncProperty(attempts, async (results) => {
-            const { answer, asked } = await run(results);
-            const kinds = results.slice(0, asked).map(kindOf);
+            const { answer, attemptCount } = await runSend(results);
+            const kinds = results.slice(0, attemptCount).map(getResultKind);
             const outcome = either.isRight(answer) ? "Accepted" : answer.left.kind;
             const last = kinds.at(-1) ?? "";
             if (decisive.has(last)) {
@@ -122,10 +123,10 @@
         }));
     });
 
-    it("asks nobody once the operator has interrupted", async () => {
+    it("sends no request after the operator has interrupted the command", async () => {
         const { answer } = await sendToNodes<string>({
             nodes: [{ address: "127.0.0.1", port: 1 }],
-            attempt: () => Promise.reject(new Error("must not be asked")),
+            attempt: () => Promise.reject(new Error("must not be called")),
             changeId: CHANGE_ID,
             signal: AbortSignal.abort(),
         });
--- a/packages/oleandergap-operator/src/client/askNodes.ts
+++ b/packages/oleandergap-operator/src/client/askNodes.ts
@@ -1,52 +1,53 @@
 /**
- * Asks nodes for something that may be asked twice, until one gives a final answer.
+ * Sends a repeatable request to nodes until one of them returns a final response.
  *
- * A frozen node takes a connection and stays silent for as long as one waits. Left to itself, every read would first
- * wait out that node's whole time limit. Requests are therefore hedged: after a short delay the next node is asked as
- * well, and the first final answer counts.
+ * A frozen node accepts a connection and never responds. Without a countermeasure, every read would first wait for that
+ * node's whole timeout. Requests are therefore hedged: after a short delay the client sends the request to the next
+ * node as well and uses the first final response.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { FailedAttempt } from "../schemas/operatorError.js";
 import { linkSignal } from "oleandergap-utils";
 import type { AttemptResult } from "./attempt.js";
-import { describeAttempt, isFinal, summarise, type NodesResult } from "./judgeAttempts.js";
+import { describeAttempt, isFinal, selectError, type NodesResult } from "./judgeAttempts.js";
 import { formatNodeAddress, type NodeAddress } from "./nodeAddress.js";
 
-/** Whom to ask, and how. */
-export interface AskNodesOptions<Answer> {
+/** Options of {@link queryNodes}. */
+export interface QueryNodesOptions<Data> {
+    /** Nodes in the order in which they are queried. */
     readonly nodes: readonly NodeAddress[];
-    /** Never rejects; ends early when its signal aborts. */
-    readonly attempt: (node: NodeAddress, signal: AbortSignal) => Promise<AttemptResult<Answer>>;
-    /** Silence of a node after which the next one is asked as well. */
+    /** Sends the request to one node. The promise never rejects and settles early when the signal aborts. */
+    readonly attempt: (node: NodeAddress, signal: AbortSignal) => Promise<AttemptResult<Data>>;
+    /** Time without a response from a node after which the request is also sent to the next node. */
     readonly hedgeDelayMs: Milliseconds;
     readonly clock: Clock;
     readonly signal: AbortSignal;
 }
 
-/** Never rejects. Attempts that are no longer needed are aborted. */
-export const askNodes = <Answer>(options: AskNodesOptions<Answer>): Promise<NodesResult<Answer>> => {
+/** Queries the nodes with hedging. The promise never rejects. Attempts that are no longer needed are aborted. */
+export const queryNodes = <Data>(options: QueryNodesOptions<Data>): Promise<NodesResult<Data>> => {
     const { nodes, attempt, hedgeDelayMs, clock, signal } = options;
-    const waiting = [...nodes];
-    const results: AttemptResult<Answer>[] = [];
-    const failed: FailedAttempt[] = [];
-    const attempts = linkSignal(signal);
-    let settled = false;
-    let pending = 0;
-    let cancelHedge: () => void = () => undefined;
+    const remainingNodes = [...nodes];
+    const results: AttemptResult<Data>[] = [];
+    const failedAttempts: FailedAttempt[] = [];
+    const attemptsAbort = linkSignal(signal);
+    let isSettled = false;
+    let pendingCount = 0;
+    let cancelHedgeTimer: () => void = () => undefined;
 
     return new Promise((resolve) => {
-        const finish = (result: NodesResult<Answer>): void => {
-            cancelHedge();
-            settled = true;
-            attempts.release();
-            attempts.abort();
+        const finish = (result: NodesResult<Data>): void => {
+            cancelHedgeTimer();
+            isSettled = true;
+            attemptsAbort.release();
+            attemptsAbort.abort();
             resolve(result);
         };
 
-        const receive = (node: NodeAddress, result: AttemptResult<Answer>): void => {
-            pending -= 1;
-            if (settled) {
+        const handleResult = (node: NodeAddress, result: AttemptResult<Data>): void => {
+            pendingCount -= 1;
+            if (isSettled) {
                 return;
             }
             if (result.kind === "Answered" && isFinal(result)) {
@@ -54,23 +55,23 @@
                 return;
             }
             results.push(result);
-            failed.push({ node: formatNodeAddress(node), detail: describeAttempt(result) });
-            askNext();
+            failedAttempts.push({ node: formatNodeAddress(node), detail: describeAttempt(result) });
+            queryNextNode();
         };
 
-        const askNext = (): void => {
-            cancelHedge();
-            const node = signal.aborted ? undefined : waiting.shift();
+        const queryNextNode = (): void => {
+            cancelHedgeTimer();
+            const node = signal.aborted ? undefined : remainingNodes.shift();
             if (node !== undefined) {
-                pending += 1;
-                cancelHedge = clock.after(hedgeDelayMs, askNext);
-                void attempt(node, attempts.signal).then((result) => receive(node, result));
+                pendingCount += 1;
+                cancelHedgeTimer = clock.after(hedgeDelayMs, queryNextNode);
+                void attempt(node, attemptsAbort.signal).then((result) => handleResult(node, result));
             }
-            else if (pending === 0) {
-                finish({ answer: either.left(summarise(results, failed)) });
+            else if (pendingCount === 0) {
+                finish({ answer: either.left(selectError(results, failedAttempts)) });
             }
         };
 
-        askNext();
+        queryNextNode();
     });
 };
--- a/packages/oleandergap-operator/src/client/judgeAttempts.ts
+++ b/packages/oleandergap-operator/src/client/judgeAttempts.ts
@@ -1,39 +1,39 @@
-/** What the attempts at several nodes amount to. */
+/** Classifies attempts at several nodes and combines them into one result. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { FailedAttempt, OperatorError } from "../schemas/operatorError.js";
 import type { AttemptResult } from "./attempt.js";
 import type { NodeAddress } from "./nodeAddress.js";
 
-/** What came of all attempts together. */
-export interface NodesResult<Answer> {
-    readonly answer: Either<OperatorError, Answer>;
-    /** The node that gave the final answer. */
+/** Combined result of the attempts at several nodes. */
+export interface NodesResult<Data> {
+    readonly answer: Either<OperatorError, Data>;
+    /** The node that returned the final response; absent when no node did. */
     readonly node?: NodeAddress;
 }
 
 type ErrorKind = OperatorError["kind"];
 
-/** Another node may do better: it may reach the platform, be ready, or know the outcome. */
-const WORTH_ANOTHER_NODE: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
+/** Errors after which another node may succeed: it may reach the platform, be ready or have the outcome. */
+const RETRYABLE_AT_ANOTHER_NODE: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
     "PlatformUnavailable", "NotReady", "OutcomeUnknown", "Internal", "NodeUnreachable",
 ]);
-/** The change may have been accepted in spite of the error. */
-const UNCERTAIN: ReadonlySet<ErrorKind> = new Set<ErrorKind>(["OutcomeUnknown", "Internal"]);
-/** The node looked at the change itself, by its id, before it refused. */
-const DECIDED: ReadonlySet<ErrorKind> = new Set<ErrorKind>(["Conflict", "Invalid", "ChangeIdReused"]);
+/** Errors after which the change may have been accepted nevertheless. */
+const UNCERTAIN_KINDS: ReadonlySet<ErrorKind> = new Set<ErrorKind>(["OutcomeUnknown", "Internal"]);
+/** Errors that a node returns only after it has looked up this change by its id. */
+const DEFINITIVE_KINDS: ReadonlySet<ErrorKind> = new Set<ErrorKind>(["Conflict", "Invalid", "ChangeIdReused"]);
 
-/** The change may have been accepted, as far as this attempt tells. */
+/** Returns whether the change may have been accepted, judging by this attempt alone. */
 export const isUncertain = (result: AttemptResult<unknown>): boolean =>
     result.kind === "AnswerLost" ||
-    result.kind === "Answered" && either.isLeft(result.answer) && UNCERTAIN.has(result.answer.left.kind);
+    result.kind === "Answered" && either.isLeft(result.answer) && UNCERTAIN_KINDS.has(result.answer.left.kind);
 
-/** No other node would say anything better. */
+/** Returns whether the attempt has a final response, one that no other node could improve on. */
 export const isFinal = (result: AttemptResult<unknown>): boolean =>
     result.kind === "Answered" &&
-    (either.isRight(result.answer) || !WORTH_ANOTHER_NODE.has(result.answer.left.kind));
+    (either.isRight(result.answer) || !RETRYABLE_AT_ANOTHER_NODE.has(result.answer.left.kind));
 
-/** One attempt in vain, in a word or two. */
+/** Describes an attempt without a final response in a few words. */
 export const describeAttempt = (result: AttemptResult<unknown>): string => {
     if (result.kind !== "Answered") {
         return result.detail;
@@ -41,16 +41,19 @@
     return either.isLeft(result.answer) ? result.answer.left.kind : "answered";
 };
 
-/** Whether a final answer speaks of the change itself, so that it holds even after another answer was lost. */
-export const isDecided = ({ answer }: { readonly answer: Either<OperatorError, unknown> }): boolean =>
-    either.isRight(answer) || DECIDED.has(answer.left.kind);
+/** Returns whether a final response is about this very change, so that it remains valid after a lost response. */
+export const isDefinitive = ({ answer }: { readonly answer: Either<OperatorError, unknown> }): boolean =>
+    either.isRight(answer) || DEFINITIVE_KINDS.has(answer.left.kind);
 
-/** The error to report when no node gave a final answer: the last one that a node named, else that none answered. */
-export const summarise = <Answer>(
-    results: readonly AttemptResult<Answer>[],
+/**
+ * Selects the error to report when no node returned a final response: the last error that a node returned, or
+ * `NodeUnreachable` when no node returned one.
+ */
+export const selectError = <Data>(
+    results: readonly AttemptResult<Data>[],
     failed: readonly FailedAttempt[],
 ): OperatorError => {
-    const named = results.flatMap((result) =>
+    const nodeErrors = results.flatMap((result) =>
         result.kind === "Answered" && either.isLeft(result.answer) ? [result.answer.left] : []);
-    return named.at(-1) ?? { kind: "NodeUnreachable", attempts: [...failed] };
+    return nodeErrors.at(-1) ?? { kind: "NodeUnreachable", attempts: [...failed] };
 };
--- a/packages/oleandergap-operator/src/client/nodeAddress.ts
+++ b/packages/oleandergap-operator/src/client/nodeAddress.ts
@@ -1,11 +1,11 @@
-/** Where a node listens for operators. */
+/** Addresses at which nodes accept operators' requests. */
 
-/** Address of a VM and its node's control port. */
+/** Address of a VM and control port of the node on this VM. */
 export interface NodeAddress {
     readonly address: string;
     readonly port: number;
 }
 
-/** `address:port`, with brackets around an IPv6 address. */
+/** Formats `address:port`, with brackets around an IPv6 address. */
 export const formatNodeAddress = ({ address, port }: NodeAddress): string =>
     address.includes(":") ? `[${address}]:${port}` : `${address}:${port}`;
--- a/packages/oleandergap-operator/src/client/operatorClient.ts
+++ b/packages/oleandergap-operator/src/client/operatorClient.ts
@@ -1,4 +1,4 @@
-/** Calls the operators' procedures at the first node of a list that can answer. */
+/** Client that calls the operators' procedures at the first available node of a list. */
 import { createTRPCClient, httpLink, type TRPCClient } from "@trpc/client";
 import * as either from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
@@ -16,48 +16,51 @@
     type ChangeOutcomeView, type DrainView, type HistoryView, type MembersView, type OperatorRowView,
     type OperatorTableView, type TargetsView, type ValidationView, type VersionsView,
 } from "../schemas/views.js";
-import { classifyFailure, readAnswer, type AttemptResult } from "./attempt.js";
-import { askNodes } from "./askNodes.js";
+import { classifyFailure, parseResponse, type AttemptResult } from "./attempt.js";
+import { queryNodes } from "./askNodes.js";
 import { formatNodeAddress, type NodeAddress } from "./nodeAddress.js";
 import type { NodesResult } from "./judgeAttempts.js";
 import { sendToNodes } from "./sendToNodes.js";
 
-/** What a client works with. */
+/** Options of {@link createOperatorClient}. */
 export interface OperatorClientOptions {
-    /** Nodes to ask, in this order; the one that answered last is asked first next time. */
+    /** Nodes in the order in which they are tried. The node that responded last is tried first by the next call. */
     readonly nodes: readonly NodeAddress[];
     readonly credential: string;
-    /** Longest wait for one node's answer. */
+    /** Maximum time to wait for the response of one node. */
     readonly timeoutMs: Milliseconds;
     readonly clock: Clock;
-    /** Aborts all calls, as when the operator interrupts the command. */
+    /** Aborts all calls, for example when the operator interrupts the command. */
     readonly signal: AbortSignal;
 }
 
-type Call<Answer> = TaskEither<OperatorError, Answer>;
+type ProcedureCall<Data> = TaskEither<OperatorError, Data>;
 
-/** One function for each procedure. None of them rejects. */
+/** Client with one function for each procedure. The returned tasks never reject. */
 export interface OperatorClient {
-    readonly getTable: (input: TableInput) => Call<OperatorTableView>;
-    readonly getRow: (input: RowInput) => Call<OperatorRowView>;
-    /** Repeats the same change id at the next node when an answer is lost, so that it is accepted at most once. */
-    readonly acceptChange: (input: ChangeInput) => Call<ChangeOutcomeView>;
-    readonly validateChange: (input: ValidateInput) => Call<ValidationView>;
-    readonly listHistory: (input: PageInput) => Call<HistoryView>;
-    readonly listAudit: (input: PageInput) => Call<AuditView>;
-    readonly listVersions: () => Call<VersionsView>;
-    readonly listMembers: () => Call<MembersView>;
-    readonly listTargets: () => Call<TargetsView>;
-    readonly drainTarget: (input: DrainInput) => Call<DrainView>;
+    readonly getTable: (input: TableInput) => ProcedureCall<OperatorTableView>;
+    readonly getRow: (input: RowInput) => ProcedureCall<OperatorRowView>;
+    /**
+     * Sends the change to the next node under the same change id when a response is lost, so that the change is
+     * accepted at most once.
+     */
+    readonly acceptChange: (input: ChangeInput) => ProcedureCall<ChangeOutcomeView>;
+    readonly validateChange: (input: ValidateInput) => ProcedureCall<ValidationView>;
+    readonly listHistory: (input: PageInput) => ProcedureCall<HistoryView>;
+    readonly listAudit: (input: PageInput) => ProcedureCall<AuditView>;
+    readonly listVersions: () => ProcedureCall<VersionsView>;
+    readonly listMembers: () => ProcedureCall<MembersView>;
+    readonly listTargets: () => ProcedureCall<TargetsView>;
+    readonly drainTarget: (input: DrainInput) => ProcedureCall<DrainView>;
 }
 
 type RouterClient = TRPCClient<OperatorRouter>;
 
-/** A redirect is refused: it would carry the credential to an address that the operator did not name. */
+/** Rejects redirects, which would send the credential to an address that the operator did not specify. */
 const fetchWithoutRedirect = (url: string, init: RequestInit): Promise<Response> =>
     fetch(url, { ...init, redirect: "error" });
 
-const connect = (node: NodeAddress, credential: string): RouterClient =>
+const createNodeClient = (node: NodeAddress, credential: string): RouterClient =>
     createTRPCClient<OperatorRouter>({
         links: [
             httpLink({
@@ -71,100 +74,102 @@
 interface Procedure<Schema extends z.ZodType> {
     readonly schema: Schema;
     readonly send: (client: RouterClient, signal: AbortSignal) => Promise<unknown>;
-    /** Of a change. Everything else may be asked of several nodes at once. */
+    /** Id of the change that the request sends. Requests without one can be sent to several nodes at once. */
     readonly changeId?: string;
 }
 
-/** Silence of a node after which the next one is asked as well. */
+/** Time without a response from a node after which a request is also sent to the next node. */
 const HEDGE_DELAY_MS = 2000;
 
-/** Creates a client; it holds no connection while it is idle. */
+/** Creates a client. An idle client keeps no connection open. */
 export const createOperatorClient = ({
     nodes, credential, timeoutMs, clock, signal,
 }: OperatorClientOptions): OperatorClient => {
-    let order = [...nodes];
+    let orderedNodes = [...nodes];
 
-    const attempt = async <Schema extends z.ZodType>(
+    const attemptRequest = async <Schema extends z.ZodType>(
         { schema, send }: Procedure<Schema>,
         node: NodeAddress,
-        abort: AbortSignal,
+        abortSignal: AbortSignal,
     ): Promise<AttemptResult<z.output<Schema>>> => {
-        const limit = startTimeLimit(clock, timeoutMs, abort);
+        const timeLimit = startTimeLimit(clock, timeoutMs, abortSignal);
         try {
-            return readAnswer(schema, await send(connect(node, credential), limit.signal));
+            return parseResponse(schema, await send(createNodeClient(node, credential), timeLimit.signal));
         }
         catch (error) {
-            return limit.hasPassed() ? { kind: "AnswerLost", detail: "no answer in time" } : classifyFailure(error);
+            return timeLimit.hasPassed() ? { kind: "AnswerLost", detail: "no answer in time" } : classifyFailure(error);
         }
         finally {
-            limit.cancel();
+            timeLimit.cancel();
         }
     };
 
-    const askOrSend = <Schema extends z.ZodType>(
+    const sendRequest = <Schema extends z.ZodType>(
         procedure: Procedure<Schema>,
     ): Promise<NodesResult<z.output<Schema>>> => {
         const { changeId } = procedure;
-        const attemptAt = (node: NodeAddress, abort: AbortSignal): Promise<AttemptResult<z.output<Schema>>> =>
-            attempt(procedure, node, abort);
+        const attemptAtNode = (node: NodeAddress, abortSignal: AbortSignal): Promise<AttemptResult<z.output<Schema>>> =>
+            attemptRequest(procedure, node, abortSignal);
         return changeId === undefined ?
-            askNodes({ nodes: order, attempt: attemptAt, hedgeDelayMs: HEDGE_DELAY_MS, clock, signal }) :
-            sendToNodes({ nodes: order, attempt: (node) => attemptAt(node, signal), changeId, signal });
+            queryNodes({ nodes: orderedNodes, attempt: attemptAtNode, hedgeDelayMs: HEDGE_DELAY_MS, clock, signal }) :
+            sendToNodes({ nodes: orderedNodes, attempt: (node) => attemptAtNode(node, signal), changeId, signal });
     };
 
-    const call = <Schema extends z.ZodType>(procedure: Procedure<Schema>): Call<z.output<Schema>> => async () => {
-        // Sent on, a text that can't stand in a header would come back inside the HTTP library's error message.
+    const callProcedure = <Schema extends z.ZodType>(
+        procedure: Procedure<Schema>,
+    ): ProcedureCall<z.output<Schema>> => async () => {
+        // The HTTP library would include a text that is not a valid header value in its error message.
         if (!isWellFormedCredential(credential)) {
             return either.left({ kind: "Unauthenticated" });
         }
-        const { answer, node } = await askOrSend(procedure);
+        const { answer, node } = await sendRequest(procedure);
         if (node !== undefined) {
-            order = [node, ...order.filter((other) => other !== node)];
+            orderedNodes = [node, ...orderedNodes.filter((other) => other !== node)];
         }
         return answer;
     };
 
     return {
-        getTable: (input) => call({
+        getTable: (input) => callProcedure({
             schema: tableViewSchema,
-            send: (client, abort) => client.table.get.query(input, { signal: abort }),
+            send: (client, abortSignal) => client.table.get.query(input, { signal: abortSignal }),
         }),
-        getRow: (input) => call({
+        getRow: (input) => callProcedure({
             schema: rowViewSchema,
-            send: (client, abort) => client.table.row.query(input, { signal: abort }),
+            send: (client, abortSignal) => client.table.row.query(input, { signal: abortSignal }),
         }),
-        acceptChange: (input) => call({
+        acceptChange: (input) => callProcedure({
             schema: changeOutcomeSchema,
-            send: (client, abort) => client.change.accept.mutate(input, { signal: abort }),
+            send: (client, abortSignal) => client.change.accept.mutate(input, { signal: abortSignal }),
             changeId: input.changeId,
         }),
-        validateChange: (input) => call({
+        validateChange: (input) => callProcedure({
             schema: validationViewSchema,
-            send: (client, abort) => client.change.validate.mutate(input, { signal: abort }),
+            send: (client, abortSignal) => client.change.validate.mutate(input, { signal: abortSignal }),
         }),
-        listHistory: (input) => call({
+        listHistory: (input) => callProcedure({
             schema: historyViewSchema,
-            send: (client, abort) => client.history.list.query(input, { signal: abort }),
+            send: (client, abortSignal) => client.history.list.query(input, { signal: abortSignal }),
         }),
-        listAudit: (input) => call({
+        listAudit: (input) => callProcedure({
             schema: auditViewSchema,
-            send: (client, abort) => client.audit.list.query(input, { signal: abort }),
+            send: (client, abortSignal) => client.audit.list.query(input, { signal: abortSignal }),
         }),
-        listVersions: () => call({
+        listVersions: () => callProcedure({
             schema: versionsViewSchema,
-            send: (client, abort) => client.fleet.versions.query({}, { signal: abort }),
+            send: (client, abortSignal) => client.fleet.versions.query({}, { signal: abortSignal }),
         }),
-        listMembers: () => call({
+        listMembers: () => callProcedure({
             schema: membersViewSchema,
-            send: (client, abort) => client.fleet.members.query({}, { signal: abort }),
+            send: (client, abortSignal) => client.fleet.members.query({}, { signal: abortSignal }),
         }),
-        listTargets: () => call({
+        listTargets: () => callProcedure({
             schema: targetsViewSchema,
-            send: (client, abort) => client.fleet.targets.query({}, { signal: abort }),
+            send: (client, abortSignal) => client.fleet.targets.query({}, { signal: abortSignal }),
         }),
-        drainTarget: (input) => call({
+        drainTarget: (input) => callProcedure({
             schema: drainViewSchema,
-            send: (client, abort) => client.target.drain.mutate(input, { signal: abort }),
+            send: (client, abortSignal) => client.target.drain.mutate(input, { signal: abortSignal }),
         }),
     };
 };
--- a/packages/oleandergap-operator/src/client/sendToNodes.ts
+++ b/packages/oleandergap-operator/src/client/sendToNodes.ts
@@ -1,37 +1,39 @@
 /**
- * Sends a change to nodes in order, one at a time, until one gives a final answer.
+ * Sends a change to nodes in order, one at a time, until one returns a final response.
  *
- * A change whose answer was lost may have been accepted. Reporting it as failed would make the operator send it again
- * under a new change id and overwrite what others did in between; so once one attempt is uncertain, the result is
- * either what a node says of this very change id, or an unknown outcome.
+ * A change whose response was lost may have been accepted. If it were reported as failed, the operator would send it
+ * again under a new change id and overwrite changes that others made in the meantime. Once the outcome of one attempt
+ * is uncertain, the result is therefore either a response that a node gives for this change id or an unknown outcome.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { FailedAttempt, OperatorError } from "../schemas/operatorError.js";
 import type { AttemptResult } from "./attempt.js";
 import {
-    describeAttempt, isDecided, isFinal, isUncertain, summarise, type NodesResult,
+    describeAttempt, isDefinitive, isFinal, isUncertain, selectError, type NodesResult,
 } from "./judgeAttempts.js";
 import { formatNodeAddress, type NodeAddress } from "./nodeAddress.js";
 
-/** Whom to send a change to, and how. */
-export interface SendToNodesOptions<Answer> {
+/** Options of {@link sendToNodes}. */
+export interface SendToNodesOptions<Data> {
+    /** Nodes in the order in which they are tried. */
     readonly nodes: readonly NodeAddress[];
-    readonly attempt: (node: NodeAddress) => Promise<AttemptResult<Answer>>;
-    /** The change's id, which makes repeats safe. */
+    /** Sends the change to one node. The promise never rejects. */
+    readonly attempt: (node: NodeAddress) => Promise<AttemptResult<Data>>;
+    /** Id of the change. Nodes deduplicate by it, so that repeating the request is safe. */
     readonly changeId: string;
     readonly signal: AbortSignal;
 }
 
-const toUnknownOutcome = (changeId: string, failed: readonly FailedAttempt[]): OperatorError => ({
+const createUnknownOutcome = (changeId: string, failedAttempts: readonly FailedAttempt[]): OperatorError => ({
     kind: "OutcomeUnknown",
     changeId,
-    detail: failed.map(({ node, detail }) => `${node}: ${detail}`).join("; "),
+    detail: failedAttempts.map(({ node, detail }) => `${node}: ${detail}`).join("; "),
 });
 
-/** Never rejects. */
-export const sendToNodes = async <Answer>(options: SendToNodesOptions<Answer>): Promise<NodesResult<Answer>> => {
+/** Sends the change to the nodes. The promise never rejects. */
+export const sendToNodes = async <Data>(options: SendToNodesOptions<Data>): Promise<NodesResult<Data>> => {
     const { nodes, attempt, changeId, signal } = options;
-    const results: AttemptResult<Answer>[] = [];
+    const results: AttemptResult<Data>[] = [];
     const failed: FailedAttempt[] = [];
     for (const node of nodes) {
         if (signal.aborted) {
@@ -40,7 +42,7 @@
         const result = await attempt(node);
         const mayBeAccepted = results.some(isUncertain);
         if (result.kind === "Answered" && isFinal(result)) {
-            if (isDecided(result) || !mayBeAccepted) {
+            if (isDefinitive(result) || !mayBeAccepted) {
                 return { answer: result.answer, node };
             }
         }
@@ -48,7 +50,7 @@
         failed.push({ node: formatNodeAddress(node), detail: describeAttempt(result) });
     }
     const error = results.some(isUncertain) ?
-        toUnknownOutcome(changeId, failed) :
-        summarise(results, failed);
+        createUnknownOutcome(changeId, failed) :
+        selectError(results, failed);
     return { answer: either.left(error) };
 };
--- a/packages/oleandergap-operator/src/credentials/credentialCache.ts
+++ b/packages/oleandergap-operator/src/credentials/credentialCache.ts
@@ -1,25 +1,25 @@
-/** Credentials that were found good, by hash. Holds no credential itself. */
+/** Cache of confirmed credentials by hash. The credentials themselves are not stored. */
 import type { Milliseconds } from "oleandergap-types";
 import type { OperatorIdentity } from "./identity.js";
 
-/** A credential that the platform has confirmed. */
-export interface KnownCredential {
+/** Identity of a credential that the platform has confirmed. */
+export interface ConfirmedCredential {
     readonly identity: OperatorIdentity;
-    /** Monotonic time at which the read that confirmed the credential was sent. */
+    /** Monotonic time in milliseconds at which the read that confirmed the credential was sent. */
     readonly confirmedAt: Milliseconds;
 }
 
-/** The credentials that were confirmed last, by hash. */
+/** The most recently confirmed credentials by hash. */
 export interface CredentialCache {
-    readonly get: (hash: string) => KnownCredential | undefined;
-    /** Remembers a confirmation, unless a later one is already known. */
-    readonly confirm: (hash: string, known: KnownCredential) => void;
-    readonly forget: (hash: string) => void;
+    readonly get: (hash: string) => ConfirmedCredential | undefined;
+    /** Stores a confirmation unless the cache already has a later one. */
+    readonly confirm: (hash: string, confirmed: ConfirmedCredential) => void;
+    readonly remove: (hash: string) => void;
 }
 
-/** Keeps the `capacity` credentials that were confirmed last. */
+/** Creates a cache of the `capacity` most recently confirmed credentials. */
 export const createCredentialCache = (capacity: number): CredentialCache => {
-    const entries = new Map<string, KnownCredential>();
+    const entries = new Map<string, ConfirmedCredential>();
 
     const evictOldest = (): void => {
         const oldest = entries.keys().next();
@@ -30,16 +30,16 @@
 
     return {
         get: (hash) => entries.get(hash),
-        confirm: (hash, known) => {
-            const earlier = entries.get(hash);
-            if (earlier !== undefined && earlier.confirmedAt > known.confirmedAt) {
+        confirm: (hash, confirmed) => {
+            const cached = entries.get(hash);
+            if (cached !== undefined && cached.confirmedAt > confirmed.confirmedAt) {
                 return;
             }
             entries.delete(hash);
-            entries.set(hash, known);
+            entries.set(hash, confirmed);
             evictOldest();
         },
-        forget: (hash) => {
+        remove: (hash) => {
             entries.delete(hash);
         },
     };
--- a/packages/oleandergap-operator/src/credentials/credentialChecker.ts
+++ b/packages/oleandergap-operator/src/credentials/credentialChecker.ts
@@ -1,10 +1,10 @@
 /**
- * Finds the identity behind a credential.
+ * Looks up the identity that belongs to a credential.
  *
- * A refusal takes one read of the platform whether the credential is missing, malformed, unknown or revoked, so that
- * neither the answer nor its time tells which. A credential that was confirmed a moment ago is trusted without a read;
- * while the platform is down, it goes on being trusted for reads up to the grace time. A change is always checked by
- * a fresh read, so that a revoked credential can't change anything from the moment its row is gone.
+ * A rejection takes one read from the platform whether the credential is missing, malformed, unknown or revoked, so
+ * that neither the response nor its latency reveals the reason. A recently confirmed credential is accepted without a
+ * read. While the platform is unavailable, a confirmed credential remains accepted for reads up to the grace time. A
+ * change always requires a new read, so that a revoked credential cannot change anything once its row has been deleted.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
@@ -12,42 +12,45 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock, PlatformError, TableRow, TableService } from "oleandergap-types";
 import { formatOperatorKey, hashCredential, isWellFormedCredential } from "./credential.js";
-import { createCredentialCache, type KnownCredential } from "./credentialCache.js";
+import { createCredentialCache, type ConfirmedCredential } from "./credentialCache.js";
 import { operatorIdentitySchema, type OperatorIdentity } from "./identity.js";
-import { createKeyedBudget } from "../keyedBudget.js";
+import { createKeyedRateLimiter } from "../keyedBudget.js";
 import type { OperatorError } from "../schemas/operatorError.js";
 import { operatorOptionsSchema, type OperatorOptions } from "../options.js";
 import { raceAbort, startTimeLimit } from "oleandergap-utils";
 
-/** Credentials remembered at a node. */
+/** Maximum number of credentials that a node caches. */
 const CACHE_CAPACITY = 256;
-/** Client addresses whose budgets are remembered. */
-const ADDRESS_CAPACITY = 256;
-/** Checks at once that a fresh client address may cause, in seconds' worth of its rate. */
+/** Maximum number of client addresses that the rate limiter tracks. */
+const RATE_LIMITER_CAPACITY = 256;
+/** Burst of checks allowed to a new client address, as the number of seconds at its rate. */
 const BURST_SECONDS = 2;
 
-/** Why nobody was found behind a credential. */
-export type CredentialRefusal = Extract<
+/** Reason why no identity was found for a credential. */
+export type CredentialError = Extract<
     OperatorError,
     { kind: "Unauthenticated" | "PlatformUnavailable" | "OverBudget" }
 >;
 
-/** One credential, who presents it, and what for. */
+/** Credential to check, with the client that presented it and the purpose. */
 export interface CredentialQuery {
-    /** The credential as presented; empty when there was none. */
+    /** The credential as received; empty when the request had none. */
     readonly credential: string;
-    /** Address of the client; it carries the budget for credentials that this node doesn't know. */
+    /** Address of the client. Checks of credentials that are not cached are rate-limited by it. */
     readonly clientAddress: string;
-    /** `change` demands a fresh confirmation; `read` accepts one within the fresh or, in an outage, the grace time. */
+    /**
+     * `change` requires a new confirmation. `read` accepts a cached one within `credentialFreshMs`, or within
+     * `credentialGraceMs` during an outage.
+     */
     readonly purpose: "read" | "change";
 }
 
 /** Checks credentials against the rows of the platform. */
 export interface CredentialChecker {
-    readonly check: (query: CredentialQuery, signal: AbortSignal) => TaskEither<CredentialRefusal, OperatorIdentity>;
+    readonly check: (query: CredentialQuery, signal: AbortSignal) => TaskEither<CredentialError, OperatorIdentity>;
 }
 
-/** What a checker works with. */
+/** Dependencies of {@link createCredentialChecker}. */
 export interface CredentialCheckerDependencies {
     readonly tableService: Pick<TableService, "read">;
     readonly clock: Clock;
@@ -55,33 +58,36 @@
     readonly options?: OperatorOptions;
 }
 
-const unauthenticated: CredentialRefusal = { kind: "Unauthenticated" };
-const outage: CredentialRefusal = { kind: "PlatformUnavailable", detail: "the credential cannot be checked now" };
+const unauthenticatedError: CredentialError = { kind: "Unauthenticated" };
+const platformUnavailableError: CredentialError = {
+    kind: "PlatformUnavailable",
+    detail: "the credential cannot be checked now",
+};
 
-const toRefusal = (error: PlatformError): CredentialRefusal =>
-    error.kind === "OverBudget" ? error : outage;
+const toCredentialError = (error: PlatformError): CredentialError =>
+    error.kind === "OverBudget" ? error : platformUnavailableError;
 
-/** Creates the checker of one node; what it remembers is lost with the process. */
+/** Creates the checker of one node. Its cache and rate limiter are kept in memory and lost when the process ends. */
 export const createCredentialChecker = ({
     tableService, clock, logger, options = operatorOptionsSchema.parse({}),
 }: CredentialCheckerDependencies): CredentialChecker => {
     const cache = createCredentialCache(CACHE_CAPACITY);
-    const budget = createKeyedBudget({
+    const rateLimiter = createKeyedRateLimiter({
         clock,
         ratePerSecond: options.unknownCredentialsPerSecond,
         burst: Math.max(1, options.unknownCredentialsPerSecond * BURST_SECONDS),
-        capacity: ADDRESS_CAPACITY,
+        capacity: RATE_LIMITER_CAPACITY,
     });
 
     const readRow = async (key: string, signal: AbortSignal): Promise<Either<PlatformError, readonly TableRow[]>> => {
-        const limit = startTimeLimit(clock, options.credentialTimeoutMs, signal);
+        const timeLimit = startTimeLimit(clock, options.credentialTimeoutMs, signal);
         const onAbort = (): Either<PlatformError, never> =>
             either.left({ kind: "Unavailable", detail: "no answer in time" });
         try {
-            return await raceAbort(tableService.read([key], limit.signal)(), limit.signal, onAbort);
+            return await raceAbort(tableService.read([key], timeLimit.signal)(), timeLimit.signal, onAbort);
         }
         finally {
-            limit.cancel();
+            timeLimit.cancel();
         }
     };
 
@@ -92,35 +98,35 @@
         }
         const identity = operatorIdentitySchema.safeParse(row.value);
         if (!identity.success) {
-            logger.error("A credential row is not readable and is treated as unknown.");
+            logger.error("A credential row is malformed and is treated as unknown.");
         }
         return identity.data;
     };
 
-    const ageOf = (known: KnownCredential | undefined): number =>
-        known === undefined ? Number.POSITIVE_INFINITY : clock.monotonic() - known.confirmedAt;
+    const getAge = (cached: ConfirmedCredential | undefined): number =>
+        cached === undefined ? Number.POSITIVE_INFINITY : clock.monotonic() - cached.confirmedAt;
 
     const confirm = async (
         query: CredentialQuery,
         hash: string,
         signal: AbortSignal,
-    ): Promise<Either<CredentialRefusal, OperatorIdentity>> => {
+    ): Promise<Either<CredentialError, OperatorIdentity>> => {
         const key = formatOperatorKey(hash);
         const sentAt = clock.monotonic();
         const rows = await readRow(key, signal);
-        const known = cache.get(hash);
+        const cached = cache.get(hash);
         if (either.isLeft(rows)) {
-            const mayUseGrace = query.purpose === "read" && ageOf(known) <= options.credentialGraceMs;
-            return known !== undefined && mayUseGrace ?
-                either.right(known.identity) :
-                either.left(toRefusal(rows.left));
+            const isWithinGraceTime = query.purpose === "read" && getAge(cached) <= options.credentialGraceMs;
+            return cached !== undefined && isWithinGraceTime ?
+                either.right(cached.identity) :
+                either.left(toCredentialError(rows.left));
         }
-        // A malformed credential is read like any other, so that its refusal takes as long; the row never counts.
+        // The row of a malformed credential is read as well, so that its rejection takes equally long, but is not used.
         const identity = parseRow(rows.right, key);
         if (identity === undefined || !isWellFormedCredential(query.credential)) {
-            cache.forget(hash);
-            logger.warn("A credential is refused.", { client: query.clientAddress });
-            return either.left(unauthenticated);
+            cache.remove(hash);
+            logger.warn("A credential was rejected.", { client: query.clientAddress });
+            return either.left(unauthenticatedError);
         }
         cache.confirm(hash, { identity, confirmedAt: sentAt });
         return either.right(identity);
@@ -129,13 +135,14 @@
     return {
         check: (query, signal) => async () => {
             const hash = hashCredential(query.credential);
-            const known = cache.get(hash);
-            if (known !== undefined && query.purpose === "read" && ageOf(known) < options.credentialFreshMs) {
-                return either.right(known.identity);
+            const cached = cache.get(hash);
+            if (cached !== undefined && query.purpose === "read" && getAge(cached) < options.credentialFreshMs) {
+                return either.right(cached.identity);
             }
-            if (known === undefined) {
-                // Guesses cost the platform reads; without a bound per address one client could use up its capacity.
-                const retryAfterMs = budget.take(query.clientAddress);
+            if (cached === undefined) {
+                // Each guessed credential costs a read. Without a limit per client address, one client could exhaust
+                // the capacity of the platform.
+                const retryAfterMs = rateLimiter.acquire(query.clientAddress);
                 if (retryAfterMs > 0) {
                     return either.left({ kind: "OverBudget", retryAfterMs });
                 }
--- a/packages/oleandergap-operator/src/handler.ts
+++ b/packages/oleandergap-operator/src/handler.ts
@@ -1,6 +1,6 @@
 /**
- * Serves the operators' router over Node's http under a path prefix. Authentication comes before everything else: a
- * request without a good credential is refused before its path, method or body is looked at.
+ * Serves the operators' router with Node's HTTP server under a path prefix. Authentication is the first step: a request
+ * without a valid credential is rejected before its path, method or body is inspected.
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { nodeHTTPRequestHandler } from "@trpc/server/adapters/node-http";
@@ -13,35 +13,35 @@
 } from "oleandergap-types";
 import type { OperatorContext, OperatorServices } from "./procedures/context.js";
 import { readBearerCredential } from "./credentials/credential.js";
-import type { CredentialChecker, CredentialRefusal } from "./credentials/credentialChecker.js";
-import { createKeyedBudget } from "./keyedBudget.js";
+import type { CredentialChecker, CredentialError } from "./credentials/credentialChecker.js";
+import { createKeyedRateLimiter } from "./keyedBudget.js";
 import { OVER_BUDGET_STATUS, UNAUTHORIZED_STATUS, UNAVAILABLE_STATUS } from "./schemas/operatorError.js";
 import { operatorOptionsSchema, type OperatorOptions } from "./options.js";
 import { operatorRouter } from "./procedures/router.js";
 import { describeError, startTimeLimit } from "oleandergap-utils";
 
-/** Path under which the operators' procedures are mounted on the control port. */
+/** Path prefix of the operators' procedures on the control port. */
 export const OPERATOR_PATH_PREFIX = "/operator/";
 
-/** Partners whose budgets are remembered. */
-const PARTNER_CAPACITY = 64;
-/** Requests at once that a partner may send, in seconds' worth of its rate. */
+/** Maximum number of partners that the rate limiter tracks. */
+const RATE_LIMITER_CAPACITY = 64;
+/** Burst of requests allowed to a partner, as the number of seconds at its rate. */
 const BURST_SECONDS = 2;
 
-/** What a handler works with. */
+/** Dependencies of {@link createOperatorHandler}. */
 export interface OperatorHandlerDependencies {
     readonly services: OperatorServices;
     readonly credentials: CredentialChecker;
     readonly options?: OperatorOptions;
-    /** Aborts the requests that still run when the node gives up waiting for them. */
+    /** Aborts the requests in flight when the node stops waiting for them during shutdown. */
     readonly signal: AbortSignal;
 }
 
-/** Handles requests whose path starts with {@link OPERATOR_PATH_PREFIX}; never throws and never rejects. */
+/** Handles requests whose path starts with {@link OPERATOR_PATH_PREFIX}. It never throws. */
 export type OperatorHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-const toStatus = (refusal: CredentialRefusal): number => {
-    switch (refusal.kind) {
+const toHttpStatus = (error: CredentialError): number => {
+    switch (error.kind) {
         case "Unauthenticated":
             return UNAUTHORIZED_STATUS;
         case "OverBudget":
@@ -51,39 +51,39 @@
     }
 };
 
-const setRetryAfter = (response: ServerResponse, retryAfterMs: Milliseconds): void => {
+const setRetryAfterHeaders = (response: ServerResponse, retryAfterMs: Milliseconds): void => {
     response.setHeader(RETRY_AFTER_HEADER, String(Math.ceil(retryAfterMs / MILLISECONDS_PER_SECOND)));
     response.setHeader(RETRY_AFTER_MS_HEADER, String(retryAfterMs));
 };
 
-/** Answers in the shape of a trpc error, so that the client reads both alike. */
-const sendRefusal = (request: IncomingMessage, response: ServerResponse, refusal: CredentialRefusal): void => {
-    if (refusal.kind === "OverBudget") {
-        setRetryAfter(response, refusal.retryAfterMs);
+/** Sends the error in the format of a tRPC error, so that the client can parse both in the same way. */
+const sendCredentialError = (request: IncomingMessage, response: ServerResponse, error: CredentialError): void => {
+    if (error.kind === "OverBudget") {
+        setRetryAfterHeaders(response, error.retryAfterMs);
     }
-    const httpStatus = toStatus(refusal);
-    const data = { code: refusal.kind, httpStatus, operatorError: refusal };
+    const httpStatus = toHttpStatus(error);
+    const data = { code: error.kind, httpStatus, operatorError: error };
     response.writeHead(httpStatus, { "content-type": "application/json", connection: "close" });
-    response.end(JSON.stringify({ error: { code: 0, message: refusal.kind, data } }));
+    response.end(JSON.stringify({ error: { code: 0, message: error.kind, data } }));
     request.resume();
 };
 
-const findProcedurePath = (request: IncomingMessage): string =>
+const getProcedurePath = (request: IncomingMessage): string =>
     (request.url ?? "").slice(OPERATOR_PATH_PREFIX.length).split("?")[0] ?? "";
 
-/** Creates the handler of one node. */
+/** Creates the request handler of one node. */
 export const createOperatorHandler = ({
     services, credentials, signal, options = operatorOptionsSchema.parse({}),
 }: OperatorHandlerDependencies): OperatorHandler => {
     const { clock, logger } = services;
-    const budget = createKeyedBudget({
+    const rateLimiter = createKeyedRateLimiter({
         clock,
         ratePerSecond: options.requestsPerSecond,
         burst: Math.max(1, options.requestsPerSecond * BURST_SECONDS),
-        capacity: PARTNER_CAPACITY,
+        capacity: RATE_LIMITER_CAPACITY,
     });
 
-    const serve = async (
+    const serveProcedure = async (
         request: IncomingMessage,
         response: ServerResponse,
         context: OperatorContext,
@@ -92,7 +92,7 @@
             router: operatorRouter,
             req: request,
             res: response,
-            path: findProcedurePath(request),
+            path: getProcedurePath(request),
             createContext: () => Promise.resolve(context),
             maxBodySize: options.maxBodyBytes,
             allowBatching: false,
@@ -104,7 +104,7 @@
         });
     };
 
-    const authenticate = async (
+    const authenticateRequest = async (
         request: IncomingMessage,
         response: ServerResponse,
         requestSignal: AbortSignal,
@@ -113,12 +113,12 @@
         const clientAddress = request.socket.remoteAddress ?? "";
         const identity = await credentials.check({ credential, clientAddress, purpose: "read" }, requestSignal)();
         if (either.isLeft(identity)) {
-            sendRefusal(request, response, identity.left);
+            sendCredentialError(request, response, identity.left);
             return undefined;
         }
-        const retryAfterMs = budget.take(identity.right.partner);
+        const retryAfterMs = rateLimiter.acquire(identity.right.partner);
         if (retryAfterMs > 0) {
-            sendRefusal(request, response, { kind: "OverBudget", retryAfterMs });
+            sendCredentialError(request, response, { kind: "OverBudget", retryAfterMs });
             return undefined;
         }
         const confirmIdentity: OperatorContext["confirmIdentity"] = (confirmSignal) =>
@@ -126,24 +126,24 @@
         return { ...services, identity: identity.right, confirmIdentity, signal: requestSignal };
     };
 
-    const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-        const limit = startTimeLimit(clock, options.requestTimeoutMs, signal);
+    const handleRequest = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+        const timeLimit = startTimeLimit(clock, options.requestTimeoutMs, signal);
         try {
-            const context = await authenticate(request, response, limit.signal);
+            const context = await authenticateRequest(request, response, timeLimit.signal);
             if (context !== undefined) {
-                await serve(request, response, context);
+                await serveProcedure(request, response, context);
             }
         }
         catch (error) {
-            logger.error("A request broke off.", { detail: describeError(error) });
+            logger.error("A request was aborted by an unexpected error.", { detail: describeError(error) });
             response.destroy();
         }
         finally {
-            limit.cancel();
+            timeLimit.cancel();
         }
     };
 
     return (request, response) => {
-        void handle(request, response);
+        void handleRequest(request, response);
     };
 };
--- a/packages/oleandergap-operator/src/index.ts
+++ b/packages/oleandergap-operator/src/index.ts
@@ -1,4 +1,4 @@
-/** The operators' interface: procedures, credentials and client. */
+/** Operators' interface: procedures, credentials and client. */
 export type { OperatorServices } from "./procedures/context.js";
 export { formatNodeAddress, type NodeAddress } from "./client/nodeAddress.js";
 export * from "./client/operatorClient.js";
--- a/packages/oleandergap-operator/src/keyedBudget.ts
+++ b/packages/oleandergap-operator/src/keyedBudget.ts
@@ -1,28 +1,31 @@
-/** One token bucket per key, so that a flood under one key uses up only its own budget. */
+/** Rate limiter with one token bucket per key, so that excessive requests for one key do not affect other keys. */
 import type { Clock } from "oleandergap-types";
 import { createTokenBucket, type TokenBucket } from "oleandergap-utils";
 
-/** How much each key may take. */
-export interface KeyedBudgetOptions {
+/** Limits that apply to each key. */
+export interface KeyedRateLimiterOptions {
     readonly clock: Clock;
+    /** Sustained rate of each key, in requests per second. */
     readonly ratePerSecond: number;
-    /** Requests at once that a fresh key may send. */
+    /** Number of requests that a new key may send in one burst. */
     readonly burst: number;
-    /** Most keys that are remembered; the one unused for longest is forgotten first. */
+    /** Maximum number of keys that are tracked. The least recently used key is evicted first. */
     readonly capacity: number;
 }
 
-/** The budgets of all keys. */
-export interface KeyedBudget {
-    /** Takes one request from the key's budget: 0 when granted, else the milliseconds until the next one. */
-    readonly take: (key: string) => number;
+/** Rate limiter with a separate limit for each key. */
+export interface KeyedRateLimiter {
+    /** Takes one token of the key. Returns 0 when it was available, or the milliseconds until the next token. */
+    readonly acquire: (key: string) => number;
 }
 
-/** Creates budgets that are all full. */
-export const createKeyedBudget = ({ clock, ratePerSecond, burst, capacity }: KeyedBudgetOptions): KeyedBudget => {
+/** Creates a rate limiter whose buckets are initially full. */
+export const createKeyedRateLimiter = ({
+    clock, ratePerSecond, burst, capacity,
+}: KeyedRateLimiterOptions): KeyedRateLimiter => {
     const buckets = new Map<string, TokenBucket>();
 
-    const findBucket = (key: string): TokenBucket => {
+    const getOrCreateBucket = (key: string): TokenBucket => {
         const bucket = buckets.get(key) ?? createTokenBucket({ clock, ratePerSecond: () => ratePerSecond, burst });
         buckets.delete(key);
         buckets.set(key, bucket);
@@ -34,8 +37,8 @@
     };
 
     return {
-        take: (key) => {
-            const bucket = findBucket(key);
+        acquire: (key) => {
+            const bucket = getOrCreateBucket(key);
             return bucket.tryTake() ? 0 : Math.ceil(bucket.timeToNext());
         },
     };
--- a/packages/oleandergap-operator/src/ports.ts
+++ b/packages/oleandergap-operator/src/ports.ts
@@ -1,4 +1,7 @@
-/** What the operators' interface needs of the rest of a node. The module that wires a node supplies it. */
+/**
+ * Interfaces that the operators' interface requires from the rest of a node. The module that wires a node provides
+ * them.
+ */
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import type { ChangeService } from "oleandergap-configuration";
 import type {
@@ -6,52 +9,57 @@
 } from "oleandergap-types";
 
 /**
- * Accepting changes and reading what was accepted; every call needs the platform. The wiring may announce the new head
+ * Accepts changes and reads accepted ones. Every call needs the platform. The node's wiring may announce the new head
  * to other nodes when `accept` succeeds.
  */
 export type ChangePort = ChangeService;
 
-/** Versions of the table, in force at this node and accepted at the platform. */
+/** Access to the versions of the table: those in force at this node and those accepted at the platform. */
 export interface TablePort {
     /** False until this node has recovered its configuration. */
     readonly isReady: () => boolean;
+    /** Returns the version that this node serves from. */
     readonly inForce: (partner: PartnerName) => PartnerDocument;
+    /** Reads the newest accepted version from the platform. */
     readonly accepted: (partner: PartnerName, signal: AbortSignal) => TaskEither<PlatformError, PartnerDocument>;
-    /** The accepted heads of all partners, in one read. */
+    /** Reads the accepted heads of all partners from the platform in one read. */
     readonly acceptedHeads: (signal: AbortSignal) => TaskEither<PlatformError, readonly Head[]>;
 }
 
-/** What one node has applied, as far as this node could learn. */
+/** Versions that a node has applied, or the reason why they could not be determined. */
 export type AppliedHeads =
     | { readonly kind: "Known"; readonly heads: readonly Head[] }
     | { readonly kind: "Unknown"; readonly detail: string };
 
-/** A node together with the versions that it serves from. */
+/** Node with the versions that it serves from. */
 export interface FleetNode {
     readonly member: Member;
     readonly applied: AppliedHeads;
 }
 
-/** The fleet as seen from this node. */
+/** State of the fleet as seen from this node. */
 export interface FleetReport {
     readonly nodes: readonly FleetNode[];
-    /** Zones that could not be asked. Their nodes are missing from `nodes`. */
+    /** Zones that could not be queried. Their nodes are missing from `nodes`. */
     readonly unknownZones: readonly { readonly zone: ZoneName; readonly detail: string }[];
 }
 
-/** Why a target was not drained. */
+/** Reason why a target was not drained. */
 export type DrainError =
-    /** The node has no target of this service any more. */
+    /** The node no longer has a target of this service. */
     | { readonly kind: "NoSuchTarget" }
     | { readonly kind: "NodeUnreachable"; readonly detail: string };
 
-/** Asking the other nodes. */
+/** Requests to the other nodes of the fleet. */
 export interface FleetPort {
-    /** Members of all zones; `withHeads` also asks what each has applied. Never fails: gaps are in the report. */
+    /**
+     * Reports the members of all zones and, with `withHeads`, the versions that each member has applied. It never
+     * fails: the report lists what could not be determined.
+     */
     readonly report: (query: { readonly withHeads: boolean }, signal: AbortSignal) => Promise<FleetReport>;
     /**
-     * Asks a node to drain its target, provided that the target still belongs to `service`: between the check and the
-     * drain another partner's target may have taken the place.
+     * Requests a node to drain its target, provided that the target still belongs to `service`. Between the ownership
+     * check and the drain, a target of another partner may have replaced it.
      */
     readonly drain: (
         request: { readonly nodeId: NodeId; readonly service: ServiceReference },
--- a/packages/oleandergap-operator/src/procedures/change.ts
+++ b/packages/oleandergap-operator/src/procedures/change.ts
@@ -1,17 +1,17 @@
-/** Accepting and checking changes to the operator's own table. */
+/** Procedures that accept and validate changes to the table of the operator's partner. */
 import { randomUUID } from "node:crypto";
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import * as taskEither from "fp-ts/lib/TaskEither.js";
 import { pipe } from "fp-ts/lib/function.js";
 import type { ChangeOutcome, ChangePreview } from "oleandergap-configuration";
-import { toChangeFailure } from "./changeFailure.js";
+import { convertChangeError } from "./changeFailure.js";
 import type { OperatorContext } from "./context.js";
 import { changeInputSchema, validateInputSchema, type ChangeInput, type ValidateInput } from "../schemas/inputs.js";
 import type { OperatorError } from "../schemas/operatorError.js";
 import { procedure, router } from "./trpc.js";
 import type { ChangeOutcomeView, ValidationView } from "../schemas/views.js";
-import { platformTooSlow, withinTime } from "./withinTime.js";
+import { platformTimeoutError, withDeadline } from "./withinTime.js";
 
 const toOutcomeView = ({ kind, changeId, head, isRepeat }: ChangeOutcome): ChangeOutcomeView => ({
     kind,
@@ -37,11 +37,11 @@
         return identity;
     }
     const { partner, operator } = identity.right;
-    const accepted = pipe(
+    const accepting = pipe(
         changeService.accept({ partner, operator, ...input }, signal),
-        taskEither.bimap(toChangeFailure, toOutcomeView),
+        taskEither.bimap(convertChangeError, toOutcomeView),
     );
-    const outcome = await withinTime(signal, accepted, {
+    const outcome = await withDeadline(signal, accepting, {
         kind: "OutcomeUnknown",
         changeId: input.changeId,
         detail: "the platform did not confirm it in time",
@@ -61,14 +61,14 @@
 ): Promise<Either<OperatorError, ValidationView>> => {
     const preview = pipe(
         changeService.validate({ ...identity, ...input, changeId: randomUUID() }, signal),
-        taskEither.bimap(toChangeFailure, toValidationView),
+        taskEither.bimap(convertChangeError, toValidationView),
     );
-    return withinTime(signal, preview, platformTooSlow);
+    return withDeadline(signal, preview, platformTimeoutError);
 };
 
 /** `change.accept` and `change.validate`. */
 export const changeRouter = router({
     accept: procedure.input(changeInputSchema).mutation(({ ctx, input }) => acceptChange(ctx, input)),
-    // A query by nature, but its edits outgrow what fits into a URL.
+    // Semantically a query, but sent as a mutation because the edits can exceed the maximum length of a URL.
     validate: procedure.input(validateInputSchema).mutation(({ ctx, input }) => validateChange(ctx, input)),
 });
--- a/packages/oleandergap-operator/src/procedures/changeFailure.ts
+++ b/packages/oleandergap-operator/src/procedures/changeFailure.ts
@@ -1,4 +1,4 @@
-/** How a failed change, or a failed look at the record of changes, is told to an operator. */
+/** Conversion of errors of changes and of reads of the change history into operators' errors. */
 import { formatTableProblem, type CellConflict, type ChangeError, type TableProblem } from "oleandergap-configuration";
 import type { CellConflictView, OperatorError, TableProblemView } from "../schemas/operatorError.js";
 
@@ -14,8 +14,8 @@
     problem: formatTableProblem(problem),
 });
 
-/** The same failure in the words of the operators' interface. */
-export const toChangeFailure = (error: ChangeError): OperatorError => {
+/** Converts an error of the change service into an error of the operators' interface. */
+export const convertChangeError = (error: ChangeError): OperatorError => {
     switch (error.kind) {
         case "BadRequest":
             return { kind: "BadRequest", issues: [{ path: "", problem: error.detail }] };
--- a/packages/oleandergap-operator/src/procedures/context.ts
+++ b/packages/oleandergap-operator/src/procedures/context.ts
@@ -1,12 +1,12 @@
-/** What each procedure receives besides its input. */
+/** Context that each procedure receives in addition to its input. */
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import type { Logger } from "oleandergap-logger";
 import type { Clock } from "oleandergap-types";
-import type { CredentialRefusal } from "../credentials/credentialChecker.js";
+import type { CredentialError } from "../credentials/credentialChecker.js";
 import type { OperatorIdentity } from "../credentials/identity.js";
 import type { ChangePort, FleetPort, TablePort } from "../ports.js";
 
-/** The parts of the node that the procedures work with; the same for all requests. */
+/** Services of the node that the procedures use. They are shared by all requests. */
 export interface OperatorServices {
     readonly changeService: ChangePort;
     readonly tables: TablePort;
@@ -15,12 +15,12 @@
     readonly logger: Logger;
 }
 
-/** What one request is handled with. */
+/** Context of one request. */
 export interface OperatorContext extends OperatorServices {
-    /** The authenticated operator. There is no context without one. */
+    /** The authenticated operator. A context is created only after authentication. */
     readonly identity: OperatorIdentity;
-    /** Confirms the credential afresh at the platform; demanded before a change. */
-    readonly confirmIdentity: (signal: AbortSignal) => TaskEither<CredentialRefusal, OperatorIdentity>;
-    /** Aborts when the time for the request is over or the node stops. */
+    /** Confirms the credential with a new read from the platform. This is required before a change. */
+    readonly confirmIdentity: (signal: AbortSignal) => TaskEither<CredentialError, OperatorIdentity>;
+    /** Aborts when the request times out or the node stops. */
     readonly signal: AbortSignal;
 }
--- a/packages/oleandergap-operator/src/procedures/fleet.ts
+++ b/packages/oleandergap-operator/src/procedures/fleet.ts
@@ -1,4 +1,4 @@
-/** Views of the fleet. */
+/** Procedures that report the state of the fleet. */
 import * as either from "fp-ts/lib/Either.js";
 import * as taskEither from "fp-ts/lib/TaskEither.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
@@ -8,14 +8,14 @@
 import type { OperatorContext } from "./context.js";
 import { toMembersView, toTargetsView, toVersionsView } from "./fleetViews.js";
 import type { OperatorError } from "../schemas/operatorError.js";
-import { toReadFailure } from "./platformFailure.js";
+import { convertPlatformReadError } from "./platformFailure.js";
 import type { FleetReport } from "../ports.js";
 import { startTimeLimit } from "oleandergap-utils";
 import { procedure, router } from "./trpc.js";
 import type { VersionsView } from "../schemas/views.js";
-import { fleetTooSlow, platformTooSlow, withinTime } from "./withinTime.js";
+import { fleetTimeoutError, platformTimeoutError, withDeadline } from "./withinTime.js";
 
-/** Longest wait for the platform's view of the newest versions; the fleet's view is shown without it. */
+/** Maximum time to wait for the accepted heads from the platform. The view of the fleet is returned without them. */
 const ACCEPTED_HEADS_TIMEOUT_MS = 1000;
 
 const noInputSchema = z.strictObject({}).default({});
@@ -23,12 +23,12 @@
 const readReport = ({ fleet, signal }: OperatorContext): TaskEither<OperatorError, FleetReport> =>
     taskEither.fromTask(() => fleet.report({ withHeads: false }, signal));
 
-/** Undefined while the platform is down: the fleet can be viewed all the same. */
+/** Returns undefined while the platform is unavailable, because the view of the fleet does not depend on it. */
 const readAcceptedHeads = async ({ clock, signal, tables }: OperatorContext): Promise<readonly Head[] | undefined> => {
-    const limit = startTimeLimit(clock, ACCEPTED_HEADS_TIMEOUT_MS, signal);
-    const task = pipe(tables.acceptedHeads(limit.signal), taskEither.mapLeft(toReadFailure));
-    const accepted = await withinTime(limit.signal, task, platformTooSlow);
-    limit.cancel();
+    const timeLimit = startTimeLimit(clock, ACCEPTED_HEADS_TIMEOUT_MS, signal);
+    const task = pipe(tables.acceptedHeads(timeLimit.signal), taskEither.mapLeft(convertPlatformReadError));
+    const accepted = await withDeadline(timeLimit.signal, task, platformTimeoutError);
+    timeLimit.cancel();
     return either.isRight(accepted) ? accepted.right : undefined;
 };
 
@@ -43,13 +43,13 @@
 /** `fleet.versions`, `fleet.members` and `fleet.targets`. */
 export const fleetRouter = router({
     versions: procedure.input(noInputSchema).query(({ ctx }) =>
-        withinTime(ctx.signal, readVersions(ctx), fleetTooSlow)),
+        withDeadline(ctx.signal, readVersions(ctx), fleetTimeoutError)),
     members: procedure.input(noInputSchema).query(({ ctx }) => {
         const view = pipe(readReport(ctx), taskEither.map((report) => toMembersView(ctx.identity.partner, report)));
-        return withinTime(ctx.signal, view, fleetTooSlow);
+        return withDeadline(ctx.signal, view, fleetTimeoutError);
     }),
     targets: procedure.input(noInputSchema).query(({ ctx }) => {
         const view = pipe(readReport(ctx), taskEither.map((report) => toTargetsView(ctx.identity.partner, report)));
-        return withinTime(ctx.signal, view, fleetTooSlow);
+        return withDeadline(ctx.signal, view, fleetTimeoutError);
     }),
 });
--- a/packages/oleandergap-operator/src/procedures/fleetViews.ts
+++ b/packages/oleandergap-operator/src/procedures/fleetViews.ts
@@ -1,7 +1,8 @@
 /**
- * What an operator may see of the fleet. Both partners share the nodes, so both see every node, its zone, its state and
- * which versions it has applied: without these neither could tell whether a change is in force. Which service another
- * partner's target serves, and its size, stay with that partner.
+ * Views of the fleet, limited to what an operator may see. Both partners share the nodes, so operators of both see
+ * every node with its zone, its state and the versions that it has applied; without these they could not determine
+ * whether a change is in force. The service and the size of a target are visible only to operators of the partner that
+ * owns it.
  */
 import type { Head, Member, PartnerName, Sequence } from "oleandergap-types";
 import type { AppliedHeads, FleetNode, FleetReport } from "../ports.js";
@@ -9,11 +10,11 @@
 
 const compareText = (left: string, right: string): number => left < right ? -1 : Number(left > right);
 
-const byZoneAndNode = (left: FleetNode, right: FleetNode): number =>
+const compareByZoneAndNode = (left: FleetNode, right: FleetNode): number =>
     compareText(left.member.zone, right.member.zone) || compareText(left.member.id, right.member.id);
 
-/** The highest sequence of each partner among `heads`. */
-export const findNewest = (heads: readonly Head[]): ReadonlyMap<PartnerName, Sequence> => {
+/** Returns the highest sequence of each partner among `heads`. */
+export const findNewestSequences = (heads: readonly Head[]): ReadonlyMap<PartnerName, Sequence> => {
     const newest = new Map<PartnerName, Sequence>();
     for (const head of heads) {
         newest.set(head.partner, Math.max(head.sequence, newest.get(head.partner) ?? 0));
@@ -21,38 +22,38 @@
     return newest;
 };
 
-const toAppliedView = (applied: AppliedHeads, newest: ReadonlyMap<PartnerName, Sequence>): AppliedView => {
+const toAppliedView = (applied: AppliedHeads, newestSequences: ReadonlyMap<PartnerName, Sequence>): AppliedView => {
     if (applied.kind === "Unknown") {
         return applied;
     }
-    const sequences = findNewest(applied.heads);
-    const versions = [...newest].map(([partner, latest]) => {
-        const sequence = sequences.get(partner) ?? 0;
+    const appliedSequences = findNewestSequences(applied.heads);
+    const versions = [...newestSequences].map(([partner, latest]) => {
+        const sequence = appliedSequences.get(partner) ?? 0;
         return { partner, sequence, lag: latest - sequence };
     });
     return { kind: "Known", versions };
 };
 
-const headsOf = (node: FleetNode): readonly Head[] => node.applied.kind === "Known" ? node.applied.heads : [];
+const getHeads = (node: FleetNode): readonly Head[] => node.applied.kind === "Known" ? node.applied.heads : [];
 
-/** `acceptedHeads` are what the platform says, or undefined when it can't be asked. */
+/** Creates the view of the versions. `acceptedHeads` come from the platform; undefined when it cannot be reached. */
 export const toVersionsView = (
     partner: PartnerName,
     report: FleetReport,
     acceptedHeads: readonly Head[] | undefined,
 ): VersionsView => {
-    const newest = findNewest([...acceptedHeads ?? [], ...report.nodes.flatMap(headsOf)]);
+    const newestSequences = findNewestSequences([...acceptedHeads ?? [], ...report.nodes.flatMap(getHeads)]);
     const toNodeVersion = ({ member, applied }: FleetNode): NodeVersion => ({
         nodeId: member.id,
         zone: member.zone,
         state: member.state,
-        applied: toAppliedView(applied, newest),
+        applied: toAppliedView(applied, newestSequences),
     });
     return {
         partner,
-        newest: [...newest].map(([name, sequence]) => ({ partner: name, sequence })),
+        newest: [...newestSequences].map(([name, sequence]) => ({ partner: name, sequence })),
         confirmedByPlatform: acceptedHeads !== undefined,
-        nodes: [...report.nodes].sort(byZoneAndNode).map(toNodeVersion),
+        nodes: [...report.nodes].sort(compareByZoneAndNode).map(toNodeVersion),
         unknownZones: [...report.unknownZones],
     };
 };
@@ -73,9 +74,9 @@
         { ...view, targetPartner: member.target.partner };
 };
 
-/** All nodes; the service of a target only when it is `partner`'s own. */
+/** Creates the view of all nodes. The service of a target is included only when `partner` owns the target. */
 export const toMembersView = (partner: PartnerName, report: FleetReport): MembersView => ({
-    members: [...report.nodes].sort(byZoneAndNode).map((node) => toMemberView(partner, node.member)),
+    members: [...report.nodes].sort(compareByZoneAndNode).map((node) => toMemberView(partner, node.member)),
     unknownZones: [...report.unknownZones],
 });
 
@@ -87,9 +88,9 @@
     return [{ nodeId: member.id, zone: member.zone, state: member.state, service, slots, leaving, since }];
 };
 
-/** The targets of `partner` alone. */
+/** Creates the view of the targets that `partner` owns. */
 export const toTargetsView = (partner: PartnerName, report: FleetReport): TargetsView => ({
     partner,
-    targets: [...report.nodes].sort(byZoneAndNode).flatMap((node) => toTargetViews(partner, node)),
+    targets: [...report.nodes].sort(compareByZoneAndNode).flatMap((node) => toTargetViews(partner, node)),
     unknownZones: [...report.unknownZones],
 });
--- a/packages/oleandergap-operator/src/procedures/platformFailure.ts
+++ b/packages/oleandergap-operator/src/procedures/platformFailure.ts
@@ -1,9 +1,9 @@
-/** How a failed read of the platform is told to an operator. */
+/** Conversion of errors of reads from the platform into operators' errors. */
 import type { PlatformError } from "oleandergap-types";
 import type { OperatorError } from "../schemas/operatorError.js";
 
-/** For reads only: a read whose outcome is unknown has simply failed. */
-export const toReadFailure = (error: PlatformError): OperatorError =>
+/** Converts the error of a read. It is not suitable for writes: a read with an unknown outcome counts as failed. */
+export const convertPlatformReadError = (error: PlatformError): OperatorError =>
     error.kind === "OverBudget" ?
         { kind: "OverBudget", retryAfterMs: error.retryAfterMs } :
         { kind: "PlatformUnavailable", detail: error.detail };
--- a/packages/oleandergap-operator/src/procedures/record.ts
+++ b/packages/oleandergap-operator/src/procedures/record.ts
@@ -1,13 +1,13 @@
-/** Reading what was accepted: the versions and the audit trail of the operator's own partner. */
+/** Procedures that list the accepted versions and the audit trail of the operator's partner. */
 import * as taskEither from "fp-ts/lib/TaskEither.js";
 import { pipe } from "fp-ts/lib/function.js";
 import type { AuditEntry, Page } from "oleandergap-configuration";
 import type { Delta, PartnerName } from "oleandergap-types";
-import { toChangeFailure } from "./changeFailure.js";
+import { convertChangeError } from "./changeFailure.js";
 import { pageInputSchema } from "../schemas/inputs.js";
 import { procedure, router } from "./trpc.js";
 import type { AuditView, HistoryView } from "../schemas/views.js";
-import { platformTooSlow, withinTime } from "./withinTime.js";
+import { platformTimeoutError, withDeadline } from "./withinTime.js";
 
 const toHistoryView = (partner: PartnerName) => ({ entries, before }: Page<Delta>): HistoryView => ({
     partner,
@@ -27,8 +27,8 @@
     list: procedure.input(pageInputSchema).query(({ ctx, input }) => {
         const { partner } = ctx.identity;
         const page = ctx.changeService.history(partner, input, ctx.signal);
-        const view = pipe(page, taskEither.bimap(toChangeFailure, toHistoryView(partner)));
-        return withinTime(ctx.signal, view, platformTooSlow);
+        const view = pipe(page, taskEither.bimap(convertChangeError, toHistoryView(partner)));
+        return withDeadline(ctx.signal, view, platformTimeoutError);
     }),
 });
 
@@ -37,7 +37,7 @@
     list: procedure.input(pageInputSchema).query(({ ctx, input }) => {
         const { partner } = ctx.identity;
         const page = ctx.changeService.audit(partner, input, ctx.signal);
-        const view = pipe(page, taskEither.bimap(toChangeFailure, toAuditView(partner)));
-        return withinTime(ctx.signal, view, platformTooSlow);
+        const view = pipe(page, taskEither.bimap(convertChangeError, toAuditView(partner)));
+        return withDeadline(ctx.signal, view, platformTimeoutError);
     }),
 });
--- a/packages/oleandergap-operator/src/procedures/router.ts
+++ b/packages/oleandergap-operator/src/procedures/router.ts
@@ -1,4 +1,4 @@
-/** The operators' router: every procedure that the command line can call. */
+/** Operators' router with every procedure that the command line can call. */
 import { changeRouter } from "./change.js";
 import { fleetRouter } from "./fleet.js";
 import { auditRouter, historyRouter } from "./record.js";
@@ -6,7 +6,7 @@
 import { targetRouter } from "./target.js";
 import { router } from "./trpc.js";
 
-/** All procedures, by the names that the client calls them. */
+/** All procedures under the names by which the client calls them. */
 export const operatorRouter = router({
     table: tableRouter,
     change: changeRouter,
@@ -16,5 +16,5 @@
     target: targetRouter,
 });
 
-/** The type that the client is derived from. */
+/** Router type from which the type of the tRPC client is derived. */
 export type OperatorRouter = typeof operatorRouter;
--- a/packages/oleandergap-operator/src/procedures/table.ts
+++ b/packages/oleandergap-operator/src/procedures/table.ts
@@ -1,4 +1,4 @@
-/** Reading the operator's own table. */
+/** Procedures that read the table of the operator's partner. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import * as taskEither from "fp-ts/lib/TaskEither.js";
@@ -7,20 +7,20 @@
 import type { OperatorContext } from "./context.js";
 import { rowInputSchema, tableInputSchema, type TableSource } from "../schemas/inputs.js";
 import type { OperatorError } from "../schemas/operatorError.js";
-import { toReadFailure } from "./platformFailure.js";
+import { convertPlatformReadError } from "./platformFailure.js";
 import { procedure, router } from "./trpc.js";
 import type { OperatorRowView, OperatorTableView } from "../schemas/views.js";
-import { platformTooSlow, withinTime } from "./withinTime.js";
+import { platformTimeoutError, withDeadline } from "./withinTime.js";
 
 const readDocument = async (
     { tables, identity, signal }: OperatorContext,
     source: TableSource,
 ): Promise<Either<OperatorError, PartnerDocument>> => {
     if (source === "accepted") {
-        const accepted = pipe(tables.accepted(identity.partner, signal), taskEither.mapLeft(toReadFailure));
-        return withinTime(signal, accepted, platformTooSlow);
+        const accepted = pipe(tables.accepted(identity.partner, signal), taskEither.mapLeft(convertPlatformReadError));
+        return withDeadline(signal, accepted, platformTimeoutError);
     }
-    // A node that has not recovered yet would show an empty table, which reads like a loss of all rows.
+    // A node that has not recovered its configuration has an empty table, which would look as if all rows were lost.
     return tables.isReady() ?
         either.right(tables.inForce(identity.partner)) :
         either.left({ kind: "NotReady", detail: "the node has not recovered its configuration yet" });
@@ -34,15 +34,17 @@
     cells: document.cells,
 });
 
-/** The cells of a service's row and of the limit that it names, or undefined when there is no such row. */
+/**
+ * Returns the cells of a service's row and of the limit that the row names, or undefined when the row does not exist.
+ */
 export const selectRow = (cells: Cells, service: ServiceName): Cells | undefined => {
     const rowPrefix = `services/${service}/`;
     const limitName = cells[`${rowPrefix}limit`];
     const limitPrefix = limitName === undefined ? undefined : `limits/${limitName}/`;
-    const belongs = (cell: CellAddress): boolean =>
+    const isSelected = (cell: CellAddress): boolean =>
         cell.startsWith(rowPrefix) || limitPrefix !== undefined && cell.startsWith(limitPrefix);
     const hasRow = Object.keys(cells).some((cell) => cell.startsWith(rowPrefix));
-    return hasRow ? Object.fromEntries(Object.entries(cells).filter(([cell]) => belongs(cell))) : undefined;
+    return hasRow ? Object.fromEntries(Object.entries(cells).filter(([cell]) => isSelected(cell))) : undefined;
 };
 
 const toRowView = (service: ServiceName) => (view: OperatorTableView): Either<OperatorError, OperatorRowView> => {
--- a/packages/oleandergap-operator/src/procedures/target.ts
+++ b/packages/oleandergap-operator/src/procedures/target.ts
@@ -1,4 +1,4 @@
-/** Draining targets. Only the partner that owns a target's service may drain it. */
+/** Procedure that drains targets. Only operators of the partner that owns a target may drain it. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { NodeId, PartnerName, ServiceReference } from "oleandergap-types";
@@ -8,7 +8,7 @@
 import type { DrainError, FleetReport } from "../ports.js";
 import { procedure, router } from "./trpc.js";
 import type { DrainView } from "../schemas/views.js";
-import { fleetTooSlow, withinTime } from "./withinTime.js";
+import { fleetTimeoutError, withDeadline } from "./withinTime.js";
 
 const findOwnTarget = (
     report: FleetReport,
@@ -24,7 +24,7 @@
         either.left({ kind: "Forbidden", detail: `the target at node ${nodeId} belongs to another partner` });
 };
 
-const toOperatorError = (nodeId: NodeId) => (error: DrainError): OperatorError =>
+const convertDrainError = (nodeId: NodeId) => (error: DrainError): OperatorError =>
     error.kind === "NoSuchTarget" ?
         { kind: "NotFound", detail: `the target at node ${nodeId} has left or was replaced` } :
         { kind: "NodeUnreachable", attempts: [{ node: nodeId, detail: error.detail }] };
@@ -39,7 +39,7 @@
         return service;
     }
     const drained = await fleet.drain({ nodeId, service: service.right }, signal)();
-    logger.info("A drain was asked for.", {
+    logger.info("A drain was requested.", {
         partner: identity.partner,
         operator: identity.operator,
         nodeId,
@@ -47,13 +47,13 @@
     });
     return either.isRight(drained) ?
         either.right({ nodeId, service: service.right.service }) :
-        either.left(toOperatorError(nodeId)(drained.left));
+        either.left(convertDrainError(nodeId)(drained.left));
 };
 
 /** `target.drain`. */
 export const targetRouter = router({
     drain: procedure.input(drainInputSchema).mutation(
         ({ ctx, input }): Promise<Either<OperatorError, DrainView>> =>
-            withinTime(ctx.signal, () => drainTarget(ctx, input.nodeId), fleetTooSlow),
+            withDeadline(ctx.signal, () => drainTarget(ctx, input.nodeId), fleetTimeoutError),
     ),
 });
--- a/packages/oleandergap-operator/src/procedures/trpc.ts
+++ b/packages/oleandergap-operator/src/procedures/trpc.ts
@@ -1,4 +1,4 @@
-/** The trpc instance of the operators' interface, and how its own errors are shown. */
+/** The tRPC instance of the operators' interface, and the format of errors that tRPC itself raises. */
 import { initTRPC, type TRPCError } from "@trpc/server";
 import { ZodError } from "zod";
 import type { OperatorContext } from "./context.js";
@@ -7,8 +7,11 @@
 const listIssues = (error: ZodError): readonly InputIssue[] =>
     error.issues.map((issue) => ({ path: issue.path.map(String).join("."), problem: issue.message }));
 
-/** Errors that trpc itself found, before or outside a procedure. Messages of unexpected faults stay in the log. */
-const toOperatorError = (error: TRPCError): OperatorError => {
+/**
+ * Converts an error that tRPC raised before or outside a procedure. Messages of unexpected errors are written to the
+ * log only and are not sent to the client.
+ */
+const convertTrpcError = (error: TRPCError): OperatorError => {
     if (error.cause instanceof ZodError) {
         return { kind: "BadRequest", issues: [...listIssues(error.cause)] };
     }
@@ -27,11 +30,11 @@
     errorFormatter: ({ shape, error }) => ({
         code: shape.code,
         message: shape.data.code,
-        data: { code: shape.data.code, httpStatus: shape.data.httpStatus, operatorError: toOperatorError(error) },
+        data: { code: shape.data.code, httpStatus: shape.data.httpStatus, operatorError: convertTrpcError(error) },
     }),
 });
 
-/** Groups procedures under names. */
+/** Creates a router, which groups procedures by name. */
 export const router = trpc.router;
-/** A procedure that needs an authenticated operator. */
+/** Builder of procedures. Their context always has an authenticated operator. */
 export const procedure = trpc.procedure;
--- a/packages/oleandergap-operator/src/schemas/operatorError.ts
+++ b/packages/oleandergap-operator/src/schemas/operatorError.ts
@@ -1,8 +1,8 @@
-/** Every way in which an operator's request can fail, as it travels from the node to the client. */
+/** Errors of operators' requests, in the format in which nodes send them to the client. */
 import { cellAddressSchema, cellValueSchema } from "oleandergap-types";
 import { z } from "zod";
 
-/** A cell that did not hold what the change expected. An absent value stands for an empty cell. */
+/** Cell whose value differed from the value that the change expected. An absent value means an empty cell. */
 const cellConflictSchema = z.object({
     cell: cellAddressSchema,
     expected: cellValueSchema.optional(),
@@ -11,54 +11,54 @@
 });
 export type CellConflictView = z.infer<typeof cellConflictSchema>;
 
-/** One reason why the resulting table would be refused; `cell` is empty when it concerns no single cell. */
+/** One reason why the resulting table would be rejected. `cell` is empty when the reason is not about a single cell. */
 const tableProblemSchema = z.object({ cell: z.string(), problem: z.string() });
 export type TableProblemView = z.infer<typeof tableProblemSchema>;
 
-/** One wrong part of a request's input. */
+/** One invalid part of the input of a request. */
 const inputIssueSchema = z.object({ path: z.string(), problem: z.string() });
 export type InputIssue = z.infer<typeof inputIssueSchema>;
 
-/** One node that a client asked in vain. */
+/** Failed attempt at one node. */
 const failedAttemptSchema = z.object({ node: z.string(), detail: z.string() });
 export type FailedAttempt = z.infer<typeof failedAttemptSchema>;
 
-/** A tagged union; `kind` tells them apart. */
+/** All errors, as a union discriminated by `kind`. */
 export const operatorErrorSchema = z.discriminatedUnion("kind", [
-    /** The credential is missing, malformed, unknown or revoked; which of them is not told. */
+    /** The credential is missing, malformed, unknown or revoked. The response does not reveal which. */
     z.object({ kind: z.literal("Unauthenticated") }),
-    /** The credential is good, but not for this. */
+    /** The credential is valid but does not permit the request. */
     z.object({ kind: z.literal("Forbidden"), detail: z.string() }),
-    /** The request itself is wrong and would be refused again. */
+    /** The request is malformed. Repeating it cannot succeed. */
     z.object({ kind: z.literal("BadRequest"), issues: z.array(inputIssueSchema) }),
     z.object({ kind: z.literal("NotFound"), detail: z.string() }),
-    /** A cell holds something else than the change expects. Nothing was written. */
+    /** A cell has a different value than the change expects. Nothing was written. */
     z.object({ kind: z.literal("Conflict"), conflicts: z.array(cellConflictSchema) }),
-    /** The resulting table would be refused by every node. Nothing was written. */
+    /** Every node would reject the resulting table. Nothing was written. */
     z.object({ kind: z.literal("Invalid"), problems: z.array(tableProblemSchema) }),
-    /** The change id was used before for a different change. Nothing was written now. */
+    /** The change id has already been used for a different change. This request wrote nothing. */
     z.object({ kind: z.literal("ChangeIdReused"), changeId: z.string() }),
-    /** The change may or may not be accepted; repeating it with the same id gives its one outcome. */
+    /** The change may or may not have been accepted. Repeating it with the same id returns its single outcome. */
     z.object({ kind: z.literal("OutcomeUnknown"), changeId: z.string(), detail: z.string() }),
-    /** The platform could not be reached; nothing was written. */
+    /** The platform could not be reached. Nothing was written. */
     z.object({ kind: z.literal("PlatformUnavailable"), detail: z.string() }),
     z.object({ kind: z.literal("OverBudget"), retryAfterMs: z.number().nonnegative() }),
-    /** Other changes of the same partner were faster each time. Nothing was written. */
+    /** Each attempt failed because of a concurrent change of the same partner. Nothing was written. */
     z.object({ kind: z.literal("Contended"), retryAfterMs: z.number().nonnegative() }),
-    /** The platform's rows contradict each other; a person has to look. Nothing was written. */
+    /** The rows at the platform are inconsistent and need manual inspection. Nothing was written. */
     z.object({ kind: z.literal("Damaged"), detail: z.string() }),
-    /** The node has no configuration to speak of yet; another one may. */
+    /** The node has not recovered its configuration yet. Another node may be ready. */
     z.object({ kind: z.literal("NotReady"), detail: z.string() }),
-    /** A node that the request needs gave no answer, or none that could be read. */
+    /** A node that the request needs did not respond, or its response could not be parsed. */
     z.object({ kind: z.literal("NodeUnreachable"), attempts: z.array(failedAttemptSchema) }),
-    /** A fault in the node itself; its log says more. */
+    /** An unexpected error in the node. The node's log has the details. */
     z.object({ kind: z.literal("Internal"), detail: z.string() }),
 ]);
 export type OperatorError = z.infer<typeof operatorErrorSchema>;
 
-/** HTTP status of a refused credential. */
+/** HTTP status for a rejected credential. */
 export const UNAUTHORIZED_STATUS = 401;
-/** Too many requests; `retry-after` says when to come back. */
+/** HTTP status for too many requests. The `retry-after` header gives the time until a retry. */
 export const OVER_BUDGET_STATUS = 429;
-/** The credential could not be checked. */
+/** HTTP status for a credential that could not be checked. */
 export const UNAVAILABLE_STATUS = 503;
--- a/packages/oleandergap-operator/src/schemas/views.ts
+++ b/packages/oleandergap-operator/src/schemas/views.ts
@@ -1,6 +1,6 @@
 /**
- * Answers of the procedures. The client checks each answer against these schemas, since a node of another release or
- * something that is no node at all may stand at the address.
+ * Responses of the procedures. The client validates each response against these schemas, since a node of another
+ * release or a server that is not a node may respond at the address.
  */
 import {
     addressSchema,
@@ -18,7 +18,7 @@
 import { z } from "zod";
 import { tableSourceSchema } from "./inputs.js";
 
-/** One version of the operator's own table. */
+/** One version of the table of the operator's partner. */
 export const tableViewSchema = z.object({
     partner: partnerNameSchema,
     source: tableSourceSchema,
@@ -28,88 +28,88 @@
 });
 export type OperatorTableView = z.infer<typeof tableViewSchema>;
 
-/** A service's row together with the cells of the limit that it names. */
+/** Row of a service with the cells of the limit that the row names. */
 export const rowViewSchema = tableViewSchema.extend({ service: serviceNameSchema });
 export type OperatorRowView = z.infer<typeof rowViewSchema>;
 
-/** What became of a change that was not refused. */
+/** Outcome of a change that was not rejected. */
 export const changeOutcomeSchema = z.object({
-    /** `Unchanged`: all cells already held what was asked for, and no version was made. */
+    /** `Unchanged`: all cells already had the requested values, and no version was created. */
     kind: z.enum(["Accepted", "Unchanged"]),
     changeId: z.string(),
     partner: partnerNameSchema,
-    /** The version that holds the change. */
+    /** The version that contains the change. */
     sequence: sequenceSchema,
     digest: digestSchema,
-    /** True when this change id had been accepted before, and this is that first outcome. */
+    /** True when this change id had already been accepted and this is the outcome of the first request. */
     repeated: z.boolean(),
 });
 export type ChangeOutcomeView = z.infer<typeof changeOutcomeSchema>;
 
-/** What a change would lead to if it were accepted now. */
+/** Effect that a change would have if it were accepted now. */
 export const validationViewSchema = z.object({
     partner: partnerNameSchema,
-    /** The accepted version that the change was checked on. */
+    /** The accepted version against which the change was validated. */
     baseSequence: sequenceSchema,
-    /** What would change; cells that already hold the value are left out. */
+    /** Cells that would change. Cells that already have the requested value are omitted. */
     changes: z.array(cellChangeSchema),
 });
 export type ValidationView = z.infer<typeof validationViewSchema>;
 
-/** The `before` that leads to the next page; absent at the end. */
-const nextPage = { before: sequenceSchema.optional() };
+/** Field with the value of `before` for the request of the next page. It is absent on the last page. */
+const nextPageFields = { before: sequenceSchema.optional() };
 
-/** An accepted version and the cells that it changed. */
+/** Accepted version with the cells that it changed. */
 const historyEntrySchema = z.object({
     sequence: sequenceSchema,
     digest: digestSchema,
     changes: z.array(cellChangeSchema),
 });
-/** A page of versions, newest first. */
+/** Page of versions from newest to oldest. */
 export const historyViewSchema = z.object({
     partner: partnerNameSchema,
     entries: z.array(historyEntrySchema),
-    ...nextPage,
+    ...nextPageFields,
 });
 export type HistoryView = z.infer<typeof historyViewSchema>;
 
-/** Who changed which cells, and when. */
+/** Entry of the audit trail: an accepted change with its operator and time. */
 const auditEntrySchema = z.object({
     sequence: sequenceSchema,
-    /** Wall-clock time of the acceptance, in milliseconds since the Unix epoch. */
+    /** Wall-clock time at which the change was accepted, in milliseconds since the Unix epoch. */
     at: z.number(),
     operator: z.string(),
     changeId: z.string(),
     changes: z.array(cellChangeSchema),
 });
-/** A page of the audit trail, newest first. */
+/** Page of the audit trail from newest to oldest. */
 export const auditViewSchema = z.object({
     partner: partnerNameSchema,
     entries: z.array(auditEntrySchema),
-    ...nextPage,
+    ...nextPageFields,
 });
 export type AuditView = z.infer<typeof auditViewSchema>;
 
-/** A zone whose nodes could not be asked. */
+/** Zone whose nodes could not be queried, with the reason. */
 const unknownZoneSchema = z.object({ zone: zoneNameSchema, detail: z.string() });
 export type UnknownZone = z.infer<typeof unknownZoneSchema>;
 
-/** The version of one partner in force at a node. */
+/** Version of one partner that is in force at a node. */
 const partnerSequenceSchema = z.object({
     partner: partnerNameSchema,
     sequence: sequenceSchema,
-    /** Versions behind the newest one known. */
+    /** Number of versions that the node is behind the newest known version. */
     lag: z.number().int().nonnegative(),
 });
 
-/** What a node has applied, or why nobody could say. */
+/** Versions that a node has applied, or the reason why they could not be determined. */
 const appliedViewSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("Known"), versions: z.array(partnerSequenceSchema) }),
     z.object({ kind: z.literal("Unknown"), detail: z.string() }),
 ]);
 export type AppliedView = z.infer<typeof appliedViewSchema>;
 
-/** A node and the versions in force there. */
+/** Node with the versions that are in force there. */
 const nodeVersionSchema = z.object({
     nodeId: nodeIdSchema,
     zone: zoneNameSchema,
@@ -118,51 +118,52 @@
 });
 export type NodeVersion = z.infer<typeof nodeVersionSchema>;
 
-/** The versions in force in the whole fleet. */
+/** Versions that are in force in the whole fleet. */
 export const versionsViewSchema = z.object({
-    /** Partner of the operator who asked. */
+    /** Partner of the operator who sent the request. */
     partner: partnerNameSchema,
-    /** The newest version known of each partner, and whether the platform confirmed it just now. */
+    /** Newest known version of each partner. */
     newest: z.array(z.object({ partner: partnerNameSchema, sequence: sequenceSchema })),
+    /** Whether the accepted versions were read from the platform for this response. */
     confirmedByPlatform: z.boolean(),
     nodes: z.array(nodeVersionSchema),
     unknownZones: z.array(unknownZoneSchema),
 });
 export type VersionsView = z.infer<typeof versionsViewSchema>;
 
-/** A node as operators see it. */
+/** Node as shown to operators. */
 const memberViewSchema = z.object({
     nodeId: nodeIdSchema,
     zone: zoneNameSchema,
     address: addressSchema,
     controlPort: portSchema,
     state: memberStateSchema,
-    /** Owner of the node's target; absent when the node has none. */
+    /** Partner that owns the node's target; absent when the node has no target. */
     targetPartner: partnerNameSchema.optional(),
-    /** Told to the owner alone. */
+    /** Service of the target. Only operators of the owning partner receive it. */
     targetService: serviceNameSchema.optional(),
 });
 export type MemberView = z.infer<typeof memberViewSchema>;
-/** All nodes that could be found. */
+/** All nodes that are known. Nodes of unknown zones are missing. */
 export const membersViewSchema = z.object({
     members: z.array(memberViewSchema),
     unknownZones: z.array(unknownZoneSchema),
 });
 export type MembersView = z.infer<typeof membersViewSchema>;
 
-/** One of the operator's own targets. */
+/** Target that the operator's partner owns. */
 const targetViewSchema = z.object({
     nodeId: nodeIdSchema,
     zone: zoneNameSchema,
     service: serviceNameSchema,
     slots: z.number().int(),
     leaving: z.boolean(),
-    /** Wall-clock time of the first announcement, in milliseconds since the Unix epoch. */
+    /** Wall-clock time at which the target was first announced, in milliseconds since the Unix epoch. */
     since: z.number(),
     state: memberStateSchema,
 });
 export type TargetView = z.infer<typeof targetViewSchema>;
-/** The operator's own targets that could be found. */
+/** All known targets that the operator's partner owns. Targets in unknown zones are missing. */
 export const targetsViewSchema = z.object({
     partner: partnerNameSchema,
     targets: z.array(targetViewSchema),
@@ -170,6 +171,6 @@
 });
 export type TargetsView = z.infer<typeof targetsViewSchema>;
 
-/** The target that leaves. */
+/** Target that is being drained. */
 export const drainViewSchema = z.object({ nodeId: nodeIdSchema, service: serviceNameSchema });
 export type DrainView = z.infer<typeof drainViewSchema>;
