--- a/packages/oleandergap-cli/bin/oleandergap.js
+++ b/packages/oleandergap-cli/bin/oleandergap.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// Committed, so that npm can link the command at installation, before the build has made what it loads.
+// This file is committed so that npm can link the command during installation, before the build has created main.js.
 import "../lib/main.js";
--- a/packages/oleandergap-cli/src/__tests__/bench.ts
+++ b/packages/oleandergap-cli/src/__tests__/bench.ts
@@ -1,4 +1,4 @@
-/** A node's operator interface on a loopback socket, over a platform in memory, and a command line that asks it. */
+/** Test harness: a node's operator interface on a loopback socket with an in-memory platform, and a command line. */
 import { chmod, mkdtemp, rm, writeFile } from "node:fs/promises";
 import { createServer } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -17,52 +17,61 @@
 import { createSeededRandom, createSystemClock } from "oleandergap-utils";
 import { runCommandLine } from "../program.js";
 
-interface FailingTable extends TableService {
-    /** When set, the answer of every call. */
+interface FakeTableService extends TableService {
+    /** When set, every call fails with this error. */
     failure: PlatformError | undefined;
 }
 
-/** Answers as `service` does until a failure is set. */
-const createFailingTable = (service: TableService): FailingTable => {
-    const unlessFailed = <Answer>(call: TaskEither<PlatformError, Answer>): TaskEither<PlatformError, Answer> =>
+/** Creates a table service that delegates to `service` unless a failure is set. */
+const createFakeTableService = (service: TableService): FakeTableService => {
+    const callUnlessFailed = <Result>(call: TaskEither<PlatformError, Result>): TaskEither<PlatformError, Result> =>
         () => table.failure === undefined ? call() : Promise.resolve(either.left(table.failure));
-    const table: FailingTable = {
+    const table: FakeTableService = {
         failure: undefined,
-        read: (keys, signal) => unlessFailed(service.read(keys, signal)),
-        scan: (scan, signal) => unlessFailed(service.scan(scan, signal)),
-        transact: (operations, signal) => unlessFailed(service.transact(operations, signal)),
+        read: (keys, signal) => callUnlessFailed(service.read(keys, signal)),
+        scan: (scan, signal) => callUnlessFailed(service.scan(scan, signal)),
+        transact: (operations, signal) => callUnlessFailed(service.transact(operations, signal)),
     };
     return table;
 };
 
+/** Exit code and output of one command. */
 export interface CommandResult {
     readonly exitCode: number;
     readonly out: string;
     readonly error: string;
 }
 
-export interface Bench {
+/** A running node with its files, and functions that run command lines against it. */
+export interface Harness {
+    /** Temporary folder that contains all files of the harness. */
     readonly folder: string;
     readonly credential: string;
-    /** Path of the settings file that leads to this bench. */
+    /** Path of the settings file for this harness. */
     readonly settings: string;
-    readonly table: FailingTable;
+    readonly table: FakeTableService;
+    /** Fleet report that the node returns. */
     report: FleetReport;
-    /** Runs before a change is looked at. */
+    /** Runs before a change is processed. */
     beforeAccept: () => Promise<void>;
-    /** Runs before an accepted change is answered; may keep the answer from leaving. */
-    beforeAnswer: () => Promise<void>;
+    /**
+     * Runs before the response to an accepted change is sent. It can prevent the response by throwing or by waiting.
+     */
+    beforeResponse: () => Promise<void>;
+    /** Ids of the nodes whose targets were drained. */
     readonly drained: string[];
+    /** Writes a file in the folder and returns its path. The default mode permits access only by the owner. */
     readonly writeFile: (name: string, content: string, mode?: number) => Promise<string>;
-    /** Runs a command line with the bench's settings. */
-    readonly run: (...words: readonly string[]) => Promise<CommandResult>;
-    /** Runs it with nothing but what `words` say. */
-    readonly runBare: (...words: readonly string[]) => Promise<CommandResult>;
-    /** Everything that any command wrote. */
-    readonly written: string[];
+    /** Runs a command line with the settings file of the harness. */
+    readonly run: (...commandArguments: readonly string[]) => Promise<CommandResult>;
+    /** Runs a command line without a settings file. */
+    readonly runWithoutSettings: (...commandArguments: readonly string[]) => Promise<CommandResult>;
+    /** Output of all commands so far. */
+    readonly writtenTexts: string[];
     readonly close: () => Promise<void>;
 }
 
+/** Creates an alive node, with a target of halloway's `service` when it is given. */
 export const createMember = (id: string, zone: string, service?: string): Member => {
     const member: Member = {
         id, zone, address: "127.0.0.1", controlPort: 17082, gatePort: 17081, incarnation: 1, state: "alive", revision: 0,
@@ -72,33 +81,34 @@
         { ...member, target: { partner: "halloway", service, slots: 12, leaving: false, since: 0 } };
 };
 
-export const startBench = async (): Promise<Bench> => {
+/** Starts a node and creates the files of the harness. */
+export const startHarness = async (): Promise<Harness> => {
     const clock = createSystemClock();
     const logger = createLogger("test");
-    const rows = createMemoryTableService();
-    const table = createFailingTable(rows);
+    const memoryTable = createMemoryTableService();
+    const table = createFakeTableService(memoryTable);
     const folder = await mkdtemp(join(tmpdir(), "oleandergap-cli-"));
     const credential = generateCredential();
     const operatorKey = formatOperatorKey(hashCredential(credential));
     const value = { partner: "halloway", operator: "jordan" };
-    rows.state.transact([{ kind: "Put", key: operatorKey, condition: { kind: "Absent" }, value }]);
+    memoryTable.state.transact([{ kind: "Put", key: operatorKey, condition: { kind: "Absent" }, value }]);
 
     const objectStore = createMemoryObjectStore();
     const changeService = createChangeService({
         tableService: table, objectStore, clock, random: createSeededRandom(1), logger,
     });
     const source = createConfigurationSource({ tableService: table, objectStore });
-    const slowToAnswer: ChangePort = {
+    const changePort: ChangePort = {
         ...changeService,
         accept: (request, signal) => async () => {
-            await bench.beforeAccept();
+            await harness.beforeAccept();
             const outcome = await changeService.accept(request, signal)();
-            await bench.beforeAnswer();
+            await harness.beforeResponse();
             return outcome;
         },
     };
     const services: OperatorServices = {
-        changeService: slowToAnswer,
+        changeService: changePort,
         tables: {
             isReady: () => true,
             inForce: (partner) => ({ partner, sequence: 0, digest: "0".repeat(64), cells: {} }),
@@ -106,51 +116,51 @@
             acceptedHeads: (signal) => source.readHeads(["halloway", "kushiro"], signal),
         },
         fleet: {
-            report: () => Promise.resolve(bench.report),
+            report: () => Promise.resolve(harness.report),
             drain: ({ nodeId }) => async () => {
-                bench.drained.push(nodeId);
+                harness.drained.push(nodeId);
                 return either.right(undefined);
             },
         },
         clock,
         logger,
     };
-    const stop = new AbortController();
+    const stopController = new AbortController();
     const options = operatorOptionsSchema.parse({ requestsPerSecond: 10_000, unknownCredentialsPerSecond: 1000 });
     const credentials = createCredentialChecker({ tableService: table, clock, logger, options });
-    const handler = createOperatorHandler({ services, credentials, options, signal: stop.signal });
+    const handler = createOperatorHandler({ services, credentials, options, signal: stopController.signal });
     const server = createServer(handler);
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
     const { port } = server.address() as AddressInfo;
 
-    const writeBenchFile: Bench["writeFile"] = async (name, content, mode = 0o600) => {
+    const writeHarnessFile: Harness["writeFile"] = async (name, content, mode = 0o600) => {
         const file = join(folder, name);
         await writeFile(file, content);
         await chmod(file, mode);
         return file;
     };
-    await writeBenchFile("credential", `${credential}\n`);
-    const settings = await writeBenchFile("settings.yaml", [
+    await writeHarnessFile("credential", `${credential}\n`);
+    const settings = await writeHarnessFile("settings.yaml", [
         "nodes:", "  - address: 127.0.0.1", `    port: ${port}`, "credentialFile: credential", "timeoutMs: 5000", "",
     ].join("\n"));
 
-    // Waits between two looks at the fleet pass at once.
-    let skipped = 0;
-    const skippingClock: Clock = {
+    // Sleeping advances this clock without waiting, so that polling the fleet takes no time.
+    let skippedMs = 0;
+    const sleeplessClock: Clock = {
         ...clock,
-        monotonic: () => clock.monotonic() + skipped,
+        monotonic: () => clock.monotonic() + skippedMs,
         sleep: async (delay) => {
-            skipped += delay;
+            skippedMs += delay;
         },
     };
-    let changes = 0;
+    let changeCount = 0;
     const execute = async (
-        words: readonly string[],
+        commandArguments: readonly string[],
         variables: Record<string, string>,
     ): Promise<CommandResult> => {
         let out = "";
         let error = "";
-        const exitCode = await runCommandLine(words, {
+        const exitCode = await runCommandLine(commandArguments, {
             variables,
             writeOut: (text) => {
                 out += text;
@@ -158,33 +168,33 @@
             writeError: (text) => {
                 error += text;
             },
-            clock: skippingClock,
-            createChangeId: () => `change-${String(++changes).padStart(4, "0")}`,
+            clock: sleeplessClock,
+            createChangeId: () => `change-${String(++changeCount).padStart(4, "0")}`,
             signal: new AbortController().signal,
         });
-        bench.written.push(out, error);
+        harness.writtenTexts.push(out, error);
         return { exitCode, out, error };
     };
 
-    const bench: Bench = {
+    const harness: Harness = {
         folder,
         credential,
         settings,
         table,
         report: { nodes: [], unknownZones: [] },
         beforeAccept: () => Promise.resolve(),
-        beforeAnswer: () => Promise.resolve(),
+        beforeResponse: () => Promise.resolve(),
         drained: [],
-        writeFile: writeBenchFile,
-        run: (...words) => execute(words, { OLEANDERGAP_SETTINGS: settings }),
-        runBare: (...words) => execute(words, {}),
-        written: [],
+        writeFile: writeHarnessFile,
+        run: (...commandArguments) => execute(commandArguments, { OLEANDERGAP_SETTINGS: settings }),
+        runWithoutSettings: (...commandArguments) => execute(commandArguments, {}),
+        writtenTexts: [],
         close: async () => {
-            stop.abort();
+            stopController.abort();
             server.close();
             server.closeAllConnections();
             await rm(folder, { recursive: true });
         },
     };
-    return bench;
+    return harness;
 };
--- a/packages/oleandergap-cli/src/__tests__/cellNotation.test.ts
+++ b/packages/oleandergap-cli/src/__tests__/cellNotation.test.ts
@@ -22,21 +22,21 @@
 );
 
 describe("parseCell", () => {
-    it("reads the short form of service cells and whole addresses of the others", () => {
+    it("parses the short form of service cells and full addresses of other cells", () => {
         expect(parseCell("grant-filer.weights.hall-a")).to.deep.equal(either.right("services/grant-filer/weights/hall-a"));
         expect(parseCell("grant-filer.limit")).to.deep.equal(either.right("services/grant-filer/limit"));
         expect(parseCell("limits/filing/queue")).to.deep.equal(either.right("limits/filing/queue"));
         expect(formatCell("zones/hall-a/enabled")).to.equal("zones/hall-a/enabled");
     });
 
-    it("reads back every address that it wrote", () => {
+    it("parses every formatted address back to the same address", () => {
         fc.assert(fc.property(address, (cell) => {
             fc.pre(cellAddressSchema.safeParse(cell).success);
             expect(parseCell(formatCell(cell))).to.deep.equal(either.right(cell));
         }));
     });
 
-    it("gives an address or a problem for any text, and never throws", () => {
+    it("returns a valid address or an error for any text and never throws", () => {
         fc.assert(fc.property(fc.string({ unit: "binary" }), (text) => {
             const parsed = parseCell(text);
             expect(either.isLeft(parsed) || cellAddressSchema.safeParse(parsed.right).success).to.equal(true);
@@ -45,7 +45,7 @@
 });
 
 describe("parseAssignment", () => {
-    it("reads back every assignment that it wrote, in text that is safe to show", () => {
+    it("parses every formatted assignment back to the same assignment, and the text has no unsafe characters", () => {
         fc.assert(fc.property(address, value, (cell, cellValue) => {
             fc.pre(cellAddressSchema.safeParse(cell).success);
             const text = formatAssignment({ cell, value: cellValue });
@@ -54,7 +54,7 @@
         }), { numRuns: 500 });
     });
 
-    it("refuses a missing value, a missing cell, and numbers that no cell can hold", () => {
+    it("rejects a missing value, a missing cell and invalid values", () => {
         for (const text of ["grant-filer.limit", "grant-filer.limit=", "=5", "a.b=1e999", "a.b=\"open", "a.b=\"a\" b"]) {
             expect(either.isLeft(parseAssignment(text)), text).to.equal(true);
         }
@@ -62,7 +62,7 @@
 });
 
 describe("parseExpectation", () => {
-    it("reads an empty cell and values alike", () => {
+    it("parses expectations of empty cells and of values", () => {
         expect(parseExpectation("a.limit=")).to.deep.equal(either.right({ cell: "services/a/limit" }));
         expect(formatExpectation({ cell: "services/a/limit" })).to.equal("a.limit=");
         expect(parseExpectation("a.limit=\"\"")).to.deep.equal(either.right({ cell: "services/a/limit", value: "" }));
--- a/packages/oleandergap-cli/src/__tests__/main.test.ts
+++ b/packages/oleandergap-cli/src/__tests__/main.test.ts
@@ -1,52 +1,55 @@
 import { spawn, type ChildProcessWithoutNullStreams } from "node:child_process";
 import { fileURLToPath } from "node:url";
 import { expect } from "chai";
-import { startBench, type Bench, type CommandResult } from "./bench.js";
+import { startHarness, type Harness, type CommandResult } from "./bench.js";
 
-const program = fileURLToPath(new URL("../../bin/oleandergap.js", import.meta.url));
+const programPath = fileURLToPath(new URL("../../bin/oleandergap.js", import.meta.url));
 
 interface RunningCommand {
     readonly process: ChildProcessWithoutNullStreams;
     readonly ended: Promise<CommandResult>;
 }
 
-const start = (settings: string, words: readonly string[]): RunningCommand => {
-    const child = spawn(process.execPath, [program, ...words], { env: { OLEANDERGAP_SETTINGS: settings } });
+const startCommand = (settings: string, commandArguments: readonly string[]): RunningCommand => {
+    const childProcess = spawn(
+        process.execPath,
+        [programPath, ...commandArguments],
+        { env: { OLEANDERGAP_SETTINGS: settings } },
+    );
     let out = "";
     let error = "";
-    child.stdout.on("data", (chunk) => {
+    childProcess.stdout.on("data", (chunk) => {
         out += String(chunk);
     });
-    child.stderr.on("data", (chunk) => {
+    childProcess.stderr.on("data", (chunk) => {
         error += String(chunk);
     });
     const ended = new Promise<CommandResult>((resolve) => {
-        child.once("close", (code) => resolve({ exitCode: code ?? -1, out, error }));
+        childProcess.once("close", (code) => resolve({ exitCode: code ?? -1, out, error }));
     });
-    return { process: child, ended };
+    return { process: childProcess, ended };
 };
 
 describe("oleandergap", () => {
-    let bench: Bench;
+    let harness: Harness;
 
     beforeEach(async () => {
-        bench = await startBench();
+        harness = await startHarness();
     });
 
-    afterEach(() => bench.close());
+    afterEach(() => harness.close());
 
-    it("works as a process of its own and ends at once", async () => {
-        const { exitCode, out, error } = await start(bench.settings, ["members", "--json"]).ended;
+    it("runs as a separate process and exits without delay", async () => {
+        const { exitCode, out, error } = await startCommand(harness.settings, ["members", "--json"]).ended;
         expect(exitCode, error).to.equal(0);
         expect(JSON.parse(out)).to.have.property("ok", true);
     });
 
-    it("says how to learn the outcome when it is interrupted within a change", async () => {
-        // Symptom: after Ctrl-C the operator takes the change for not made, and it is in force a second later.
-        // Sequence: the node has the change in hand; the operator interrupts the command.
-        // Cause: the interrupted command ended without a word on what it had already sent.
-        const interrupted = start(bench.settings, ["set", "zones/hall-a/enabled=1"]);
-        bench.beforeAnswer = () => {
+    it("shows how to get the outcome when it is interrupted during a change", async () => {
+        // Guards against an unreported change: the operator interrupts the command while the node handles the change,
+        // assumes that it was not made, and it is in force shortly afterwards.
+        const interrupted = startCommand(harness.settings, ["set", "zones/hall-a/enabled=1"]);
+        harness.beforeResponse = () => {
             interrupted.process.kill("SIGINT");
             return new Promise(() => undefined);
         };
@@ -54,6 +57,6 @@
         expect(exitCode).to.equal(7);
         const cell = "zones/hall-a/enabled";
         expect(error).to.include(`oleandergap set ${cell}=1 --expect ${cell}= --change-id `);
-        expect((await bench.run("get", "--accepted", "--cells")).out).to.include(`${cell}=1`);
+        expect((await harness.run("get", "--accepted", "--cells")).out).to.include(`${cell}=1`);
     });
 });
--- a/packages/oleandergap-cli/src/changes/changeFile.ts
+++ b/packages/oleandergap-cli/src/changes/changeFile.ts
@@ -1,4 +1,4 @@
-/** Reads a change from a YAML file: cells to set, cells to empty, and what they are expected to hold. */
+/** Reads a change from a YAML file: cells to set, cells to empty and expected current values. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { pipe } from "fp-ts/lib/function.js";
@@ -12,18 +12,18 @@
 import { parseRemovals } from "../notation/parseAll.js";
 import { reportFailure, reportNotationError, type CommandReport } from "../report/report.js";
 
-/** Keys are cells in the command line's notation. */
+/** Schema of a change file. Keys are cells in the notation of the command line. */
 export const changeFileSchema = z.strictObject({
-    /** What the cells are to hold. */
+    /** New values of cells. */
     set: z.record(z.string(), cellValueSchema).default({}),
     /** Cells to empty. */
     unset: z.array(z.string()).max(MAX_CELLS_PER_CHANGE).default([]),
-    /** What cells are expected to hold; for other cells it is what a fresh read shows. */
+    /** Expected current values of cells. For other cells, the values from a new read are expected. */
     expect: z.record(z.string(), cellValueSchema).default({}),
 });
 type ChangeFileContent = z.infer<typeof changeFileSchema>;
 
-/** The content of a change file, with whole addresses. */
+/** Content of a change file with full cell addresses. */
 export interface ChangeFile {
     readonly edits: readonly Edit[];
     readonly expectations: readonly Expectation[];
@@ -33,7 +33,7 @@
     either.traverseArray(([text, value]: readonly [string, string | number]) =>
         either.map((cell: string): Expectation => ({ cell, value }))(parseCell(text)))(Object.entries(cells));
 
-const parseContent = ({ set, unset, expect }: ChangeFileContent): Either<NotationError, ChangeFile> => pipe(
+const parseChangeFile = ({ set, unset, expect }: ChangeFileContent): Either<NotationError, ChangeFile> => pipe(
     either.Do,
     either.apS("assigned", parseCells(set)),
     either.apS("removed", parseRemovals(unset)),
@@ -41,14 +41,14 @@
     either.map(({ assigned, removed, expectations }) => ({ edits: [...assigned, ...removed], expectations })),
 );
 
-/** Reads and checks `file`; what is wrong with it comes back as a finished report. */
+/** Reads and validates `file`. Errors are returned as a complete command report. */
 export const readChangeFile = async (file: string): Promise<Either<CommandReport, ChangeFile>> => {
     const content = await loadSettings(changeFileSchema, file)();
     if (either.isLeft(content)) {
-        // The sentences speak of a settings file, which this is not.
+        // The messages of the settings loader mention a settings file, but this file is a change file.
         const text = formatSettingsError(content.left).replace(/settings file/i, "change file");
         const [message = "", ...more] = text.split("\n");
         return either.left(reportFailure(EXIT_USAGE, { kind: "ChangeFile", message }, more));
     }
-    return either.mapLeft(reportNotationError)(parseContent(content.right));
+    return either.mapLeft(reportNotationError)(parseChangeFile(content.right));
 };
--- a/packages/oleandergap-cli/src/changes/edits.ts
+++ b/packages/oleandergap-cli/src/changes/edits.ts
@@ -1,4 +1,4 @@
-/** Puts the edits of one change together: what each cell is to hold, and what it is expected to hold now. */
+/** Edits of one change: the new value of each cell and its expected current value. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { ChangeInput } from "oleandergap-operator";
@@ -6,7 +6,7 @@
 import type { Expectation } from "../notation/assignment.js";
 import { createNotationError, formatCell, type NotationError } from "../notation/cellNotation.js";
 
-/** A cell that is to change; an absent value empties it. */
+/** Change of one cell. An absent value empties the cell. */
 export interface Edit {
     readonly cell: CellAddress;
     readonly value?: CellValue;
@@ -14,49 +14,49 @@
 
 type CellEdit = ChangeInput["edits"][number];
 
-/** An edit whose expectation is stated, so that a change in between is found as a conflict. */
-export interface GuardedEdit extends CellEdit {
+/** Edit with the expected current value of its cell, so that a concurrent change is detected as a conflict. */
+export interface ConditionalEdit extends CellEdit {
     readonly expected: NonNullable<CellEdit["expected"]>;
 }
 
-const findRepeated = (cells: readonly CellAddress[]): CellAddress | undefined =>
+const findDuplicate = (cells: readonly CellAddress[]): CellAddress | undefined =>
     cells.find((cell, index) => cells.indexOf(cell) !== index);
 
-/** Refuses a cell that stands twice, and an expectation of a cell that is not edited. */
-export const checkEdits = (
+/** Rejects duplicate cells and expectations for cells that are not edited. */
+export const validateEdits = (
     edits: readonly Edit[],
     expectations: readonly Expectation[],
 ): Either<NotationError, void> => {
-    const edited = edits.map((edit) => edit.cell);
-    const expected = expectations.map((expectation) => expectation.cell);
-    const repeated = findRepeated(edited) ?? findRepeated(expected);
-    if (repeated !== undefined) {
-        return either.left(createNotationError(formatCell(repeated), "the cell stands twice"));
+    const editedCells = edits.map((edit) => edit.cell);
+    const expectedCells = expectations.map((expectation) => expectation.cell);
+    const duplicate = findDuplicate(editedCells) ?? findDuplicate(expectedCells);
+    if (duplicate !== undefined) {
+        return either.left(createNotationError(formatCell(duplicate), "the cell is listed twice"));
     }
-    const stray = expected.find((cell) => !edited.includes(cell));
-    return stray === undefined ?
+    const unmatchedCell = expectedCells.find((cell) => !editedCells.includes(cell));
+    return unmatchedCell === undefined ?
         either.right(undefined) :
-        either.left(createNotationError(formatCell(stray), "an expectation of a cell that is not changed"));
+        either.left(createNotationError(formatCell(unmatchedCell), "an expected value is given for a cell that is not changed"));
 };
 
-const toExpected = (value: CellValue | undefined): GuardedEdit["expected"] =>
+const toExpectedState = (value: CellValue | undefined): ConditionalEdit["expected"] =>
     value === undefined ? { kind: "Empty" } : { kind: "Value", value };
 
 const readCell = (cells: Cells, cell: CellAddress): CellValue | undefined =>
     Object.hasOwn(cells, cell) ? cells[cell] : undefined;
 
-/** Each edit expects what was stated for it, or else what `current` shows. */
-export const guardEdits = (
+/** Adds to each edit its stated expected value or, when none is stated, the value of the cell in `current`. */
+export const addExpectedValues = (
     edits: readonly Edit[],
     expectations: readonly Expectation[],
     current: Cells,
-): readonly GuardedEdit[] =>
+): readonly ConditionalEdit[] =>
     edits.map((edit) => {
-        const stated = expectations.find((expectation) => expectation.cell === edit.cell);
-        const expected = stated === undefined ? readCell(current, edit.cell) : stated.value;
-        return { ...edit, expected: toExpected(expected) };
+        const statedExpectation = expectations.find((expectation) => expectation.cell === edit.cell);
+        const expected = statedExpectation === undefined ? readCell(current, edit.cell) : statedExpectation.value;
+        return { ...edit, expected: toExpectedState(expected) };
     });
 
-/** What the edit expects the cell to hold; undefined for an empty cell. */
-export const getExpectedValue = ({ expected }: GuardedEdit): CellValue | undefined =>
+/** Returns the value that the edit expects its cell to have; undefined for an empty cell. */
+export const getExpectedValue = ({ expected }: ConditionalEdit): CellValue | undefined =>
     expected.kind === "Value" ? expected.value : undefined;
--- a/packages/oleandergap-cli/src/changes/sendChange.ts
+++ b/packages/oleandergap-cli/src/changes/sendChange.ts
@@ -1,4 +1,4 @@
-/** Sends one change and reports what became of it. Shared by `set`, `unset` and `apply`. */
+/** Sends one change and reports its outcome. The commands `set`, `unset` and `apply` share this module. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { pipe } from "fp-ts/lib/function.js";
@@ -7,22 +7,22 @@
 import { formatGlobalOptions } from "../settings/globalOptions.js";
 import { formatExpectation, type Expectation } from "../notation/assignment.js";
 import type { ChangeOptions } from "./changeOptions.js";
-import { checkEdits, getExpectedValue, guardEdits, type Edit, type GuardedEdit } from "./edits.js";
+import { validateEdits, getExpectedValue, addExpectedValues, type Edit, type ConditionalEdit } from "./edits.js";
 import { quoteShellWord } from "../notation/shellWord.js";
 import { formatChanges } from "../output/changeLines.js";
-import { reportDone, reportNotationError, reportOperatorError, type CommandReport } from "../report/report.js";
+import { reportSuccess, reportNotationError, reportOperatorError, type CommandReport } from "../report/report.js";
 import type { CommandSession } from "../runCommand.js";
 import { waitUntilInForce } from "../fleet/waitUntilInForce.js";
 
-/** A change as the operator asks for it, before it is known what the cells hold. */
+/** Change as requested by the operator, before the current values of the cells are read. */
 export interface PlannedChange {
     readonly edits: readonly Edit[];
     readonly expectations: readonly Expectation[];
-    /** The command and its arguments, to show how to repeat it. */
-    readonly words: readonly string[];
+    /** The command with its arguments, used to show how to repeat it. */
+    readonly commandArguments: readonly string[];
 }
 
-const toChange = (edit: GuardedEdit): CellChange => {
+const toCellChange = (edit: ConditionalEdit): CellChange => {
     const before = getExpectedValue(edit);
     return {
         cell: edit.cell,
@@ -31,82 +31,86 @@
     };
 };
 
-const toExpectationWords = (edit: GuardedEdit): readonly string[] => {
+const toExpectArguments = (edit: ConditionalEdit): readonly string[] => {
     const value = getExpectedValue(edit);
     const expectation: Expectation = { cell: edit.cell, ...value === undefined ? {} : { value } };
     return ["--expect", quoteShellWord(formatExpectation(expectation))];
 };
 
 /**
- * The command line that repeats a change under its id. It states what each cell was expected to hold: a new read could
- * show the change's own effect, and the repeat would no longer be the same change.
+ * Formats the command line that repeats a change under its id. It includes the value that each cell was expected to
+ * have: a new read could already return the values that this change wrote, and the repeat would be a different change.
  */
-const formatRepeat = (
+const formatRepeatCommand = (
     { globalOptions }: CommandSession,
-    { words }: PlannedChange,
-    edits: readonly GuardedEdit[],
+    { commandArguments }: PlannedChange,
+    edits: readonly ConditionalEdit[],
     changeId: string,
 ): string => [
     "oleandergap",
     ...formatGlobalOptions(globalOptions),
-    ...words.map(quoteShellWord),
-    ...edits.flatMap(toExpectationWords),
+    ...commandArguments.map(quoteShellWord),
+    ...edits.flatMap(toExpectArguments),
     "--change-id",
     changeId,
 ].join(" ");
 
-const reportChangeError = (error: OperatorError, repeat: string): CommandReport => {
+const reportChangeError = (error: OperatorError, repeatCommand: string): CommandReport => {
     const report = reportOperatorError(error);
     if (error.kind !== "OutcomeUnknown" || report.kind !== "Failed") {
         return report;
     }
-    const lines = [...report.lines, "To learn its one outcome, or to make it, repeat exactly this:", `  ${repeat}`];
-    return { ...report, lines, error: { ...report.error, ...{ repeatCommand: repeat } } };
+    const lines = [
+        ...report.lines,
+        "To get its outcome, or to make the change if it was not accepted, run exactly this command:",
+        `  ${repeatCommand}`,
+    ];
+    return { ...report, lines, error: { ...report.error, ...{ repeatCommand } } };
 };
 
 const formatOutcome = ({ kind, partner, sequence, changeId, repeated }: ChangeOutcomeView): string => {
     const when = repeated ? "earlier, under the same change id" : `change ${changeId}`;
     return kind === "Accepted" ?
         `Accepted as version ${sequence} of ${partner} (${when}).` :
-        `Nothing to change: version ${sequence} of ${partner} already holds these values (${when}).`;
+        `Nothing to change: version ${sequence} of ${partner} already has these values (${when}).`;
 };
 
-/** What the cells hold now; asked only when some edit has no stated expectation. */
-const guardByRead = async (
+/** Adds the expected values to the edits. Reads the table only when an edit has no stated expectation. */
+const resolveExpectedValues = async (
     { client }: CommandSession,
     { edits, expectations }: PlannedChange,
-): Promise<Either<OperatorError, readonly GuardedEdit[]>> => {
+): Promise<Either<OperatorError, readonly ConditionalEdit[]>> => {
     if (edits.length === expectations.length) {
-        return either.right(guardEdits(edits, expectations, {}));
+        return either.right(addExpectedValues(edits, expectations, {}));
     }
     const table = await client.getTable({ source: "accepted" })();
-    return pipe(table, either.map(({ cells }) => guardEdits(edits, expectations, cells)));
+    return pipe(table, either.map(({ cells }) => addExpectedValues(edits, expectations, cells)));
 };
 
-/** Accepts the change and, if asked to, waits until it is in force on every node. */
+/** Sends the change and, with the option `wait`, waits until it is in force on every node. */
 export const sendChange = async (
     session: CommandSession,
-    planned: PlannedChange,
+    plannedChange: PlannedChange,
     options: ChangeOptions,
 ): Promise<CommandReport> => {
-    const checked = checkEdits(planned.edits, planned.expectations);
-    if (either.isLeft(checked)) {
-        return reportNotationError(checked.left);
+    const validated = validateEdits(plannedChange.edits, plannedChange.expectations);
+    if (either.isLeft(validated)) {
+        return reportNotationError(validated.left);
     }
-    const guarded = await guardByRead(session, planned);
-    if (either.isLeft(guarded)) {
-        return reportOperatorError(guarded.left);
+    const conditionalEdits = await resolveExpectedValues(session, plannedChange);
+    if (either.isLeft(conditionalEdits)) {
+        return reportOperatorError(conditionalEdits.left);
     }
-    const edits = guarded.right;
+    const edits = conditionalEdits.right;
     const changeId = options.changeId ?? session.environment.createChangeId();
     const outcome = await session.client.acceptChange({ changeId, edits: [...edits] })();
     if (either.isLeft(outcome)) {
-        return reportChangeError(outcome.left, formatRepeat(session, planned, edits, changeId));
+        return reportChangeError(outcome.left, formatRepeatCommand(session, plannedChange, edits, changeId));
     }
-    const changes = edits.map(toChange).filter(({ before, after }) => before !== after);
+    const changes = edits.map(toCellChange).filter(({ before, after }) => before !== after);
     const lines = [formatOutcome(outcome.right), ...formatChanges(changes)];
     const result = { ...outcome.right, changes };
     return options.wait === true ?
         waitUntilInForce(session, { ...outcome.right, result, lines, timeoutSeconds: options.timeout }) :
-        reportDone(result, lines);
+        reportSuccess(result, lines);
 };
--- a/packages/oleandergap-cli/src/commands/apply.ts
+++ b/packages/oleandergap-cli/src/commands/apply.ts
@@ -1,4 +1,4 @@
-/** `apply`: makes the change that a file describes. */
+/** Command `apply`: makes the change that a file describes. */
 import { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import { pipe } from "fp-ts/lib/function.js";
@@ -14,7 +14,7 @@
     readonly file: string;
 }
 
-/** What the command line says of a cell goes before what the file says. */
+/** Merges the expectations. For a cell with both, the command line takes precedence over the file. */
 const mergeExpectations = (
     fromFile: readonly Expectation[],
     fromOptions: readonly Expectation[],
@@ -31,11 +31,15 @@
     const { edits } = content.right;
     const expectations = pipe(
         parseExpectations(options.expect ?? []),
-        either.map((stated) => mergeExpectations(content.right.expectations, stated)),
+        either.map((fromCommandLine) => mergeExpectations(content.right.expectations, fromCommandLine)),
     );
     return either.isLeft(expectations) ?
         reportNotationError(expectations.left) :
-        sendChange(session, { edits, expectations: expectations.right, words: ["apply", "-f", options.file] }, options);
+        sendChange(
+            session,
+            { edits, expectations: expectations.right, commandArguments: ["apply", "-f", options.file] },
+            options,
+        );
 };
 
 const EXAMPLES = `
@@ -59,4 +63,4 @@
         .requiredOption("-f, --file <file>", "file with the cells to change")
         .addHelpText("after", EXAMPLES)
         .action((options: ApplyOptions, command: Command) =>
-            runner.withClient(command, (session) => applyFile(session, options)));
+            runner.runWithClient(command, (session) => applyFile(session, options)));
--- a/packages/oleandergap-cli/src/commands/audit.ts
+++ b/packages/oleandergap-cli/src/commands/audit.ts
@@ -1,35 +1,37 @@
-/** `audit`: who changed what and when, newest first. */
+/** Command `audit`: lists the audit trail from newest to oldest. */
 import { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import type { AuditView } from "oleandergap-operator";
 import { formatChange } from "../output/changeLines.js";
 import { formatColumns } from "../output/formatColumns.js";
-import { reportDone, reportOperatorError, type CommandReport } from "../report/report.js";
+import { reportSuccess, reportOperatorError, type CommandReport } from "../report/report.js";
 import type { CommandRunner, CommandSession } from "../runCommand.js";
 import { addPageOptions, formatNextPage, type PageOptions } from "./pageOptions.js";
 
 type AuditEntry = AuditView["entries"][number];
 
-/** One line for each cell; what is the same for the whole change stands on its first line. */
+/**
+ * Returns one row for each cell. The columns that are the same for the whole change are filled in the first row only.
+ */
 const toRows = ({ sequence, at, operator, changeId, changes }: AuditEntry): readonly (readonly string[])[] =>
     changes.map((change, index) => index === 0 ?
         [formatTime(at), String(sequence), operator, changeId, formatChange(change)] :
         ["", "", "", "", formatChange(change)]);
 
-/** ISO 8601 in UTC; a time that no calendar holds is shown as the number it is. */
+/** Formats a time as ISO 8601 in UTC, or as a plain number when it is outside the range of dates. */
 const formatTime = (at: number): string => {
     const time = new Date(at);
     return Number.isNaN(time.getTime()) ? String(at) : time.toISOString();
 };
 
 const listAudit = async ({ client }: CommandSession, page: PageOptions): Promise<CommandReport> => {
-    const answer = await client.listAudit(page)();
-    if (either.isLeft(answer)) {
-        return reportOperatorError(answer.left);
+    const response = await client.listAudit(page)();
+    if (either.isLeft(response)) {
+        return reportOperatorError(response.left);
     }
-    const rows = answer.right.entries.flatMap(toRows);
+    const rows = response.right.entries.flatMap(toRows);
     const lines = formatColumns(["time (utc)", "version", "operator", "change", "cell: old -> new"], rows);
-    return reportDone(answer.right, [...lines, ...formatNextPage("audit", answer.right)]);
+    return reportSuccess(response.right, [...lines, ...formatNextPage("audit", response.right)]);
 };
 
 /** The subcommand `audit` with its arguments, options and help. */
@@ -37,4 +39,4 @@
     addPageOptions(new Command("audit"))
         .description("Show who changed which cell of your table, when, from what to what; newest first.")
         .action((options: PageOptions, command: Command) =>
-            runner.withClient(command, (session) => listAudit(session, options)));
+            runner.runWithClient(command, (session) => listAudit(session, options)));
--- a/packages/oleandergap-cli/src/commands/createCredential.ts
+++ b/packages/oleandergap-cli/src/commands/createCredential.ts
@@ -1,9 +1,9 @@
-/** `create-credential`: makes a credential and the row that the platform's administrators enter for it. */
+/** Command `create-credential`: creates a credential and the row that the platform's administrators add for it. */
 import { writeFile } from "node:fs/promises";
 import { Command } from "commander";
 import { formatOperatorKey, generateCredential, hashCredential, operatorIdentitySchema } from "oleandergap-operator";
 import { EXIT_FAILURE, EXIT_USAGE } from "../report/exitCodes.js";
-import { reportDone, reportFailure, type CommandReport } from "../report/report.js";
+import { reportSuccess, reportFailure, type CommandReport } from "../report/report.js";
 import type { CommandRunner } from "../runCommand.js";
 
 interface CreateCredentialOptions {
@@ -12,10 +12,13 @@
     readonly out: string;
 }
 
-/** Readable and writable by its owner alone. */
+/** File mode that permits reading and writing only by the owner. */
 const OWNER_ONLY_MODE = 0o600;
 
-/** An existing file is never replaced: it may be the only copy of a credential in use. */
+/**
+ * Writes the credential to a new file. Returns an error code, or undefined on success. An existing file is never
+ * overwritten, because it may be the only copy of a credential in use.
+ */
 const writeNewFile = async (file: string, credential: string): Promise<string | undefined> => {
     try {
         await writeFile(file, `${credential}\n`, { mode: OWNER_ONLY_MODE, flag: "wx" });
@@ -30,7 +33,7 @@
     const identity = operatorIdentitySchema.safeParse({ partner, operator });
     if (!identity.success) {
         const problems = identity.error.issues.map(({ path, message }) => `  ${path.join(".")}: ${message}`);
-        return reportFailure(EXIT_USAGE, { kind: "Usage", message: "The names are refused:" }, problems);
+        return reportFailure(EXIT_USAGE, { kind: "Usage", message: "The names are invalid:" }, problems);
     }
     const credential = generateCredential();
     const problem = await writeNewFile(out, credential);
@@ -38,21 +41,21 @@
         return reportFailure(EXIT_FAILURE, { kind: "File", message: `The file ${out} cannot be written (${problem}).` });
     }
     const row = { key: formatOperatorKey(hashCredential(credential)), value: identity.data };
-    return reportDone({ file: out, row }, [
-        `The credential is in ${out}; only you can read it.`,
-        "It works once the platform's administrators have put this row into the table service:",
+    return reportSuccess({ file: out, row }, [
+        `The credential is in ${out}. Only you can read this file.`,
+        "It becomes valid when the platform's administrators add this row to the table service:",
         `  key:   ${row.key}`,
         `  value: ${JSON.stringify(row.value)}`,
-        "The row holds a hash and is no secret. Deleting it revokes the credential.",
+        "The row contains only a hash and is not secret. Deleting the row revokes the credential.",
     ]);
 };
 
 /** The subcommand `create-credential` with its arguments, options and help. */
 export const createCreateCredentialCommand = (runner: CommandRunner): Command =>
     new Command("create-credential")
-        .description("Create a credential file, and show the row that makes it valid.")
-        .requiredOption("--partner <name>", "partner whose table it may edit")
-        .requiredOption("--operator <name>", "name for the audit trail")
+        .description("Create a credential file and show the table row that makes the credential valid.")
+        .requiredOption("--partner <name>", "partner whose table the operator may edit")
+        .requiredOption("--operator <name>", "name of the operator in the audit trail")
         .requiredOption("--out <file>", "file to create")
         .action((options: CreateCredentialOptions, command: Command) =>
-            runner.withoutClient(command, () => createCredential(options)));
+            runner.runWithoutClient(command, () => createCredential(options)));
--- a/packages/oleandergap-cli/src/commands/get.ts
+++ b/packages/oleandergap-cli/src/commands/get.ts
@@ -1,9 +1,9 @@
-/** `get`: shows the table or one row. */
+/** Command `get`: shows the table or one row. */
 import { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import type { OperatorError, OperatorTableView, TableSource } from "oleandergap-operator";
 import { formatCellList, formatTableGrid } from "../output/tableLines.js";
-import { reportDone, reportOperatorError, type CommandReport } from "../report/report.js";
+import { reportSuccess, reportOperatorError, type CommandReport } from "../report/report.js";
 import type { CommandRunner, CommandSession } from "../runCommand.js";
 
 interface GetOptions {
@@ -12,7 +12,7 @@
 }
 
 const formatHeading = ({ partner, sequence, source }: OperatorTableView): string =>
-    `${partner}, version ${sequence}, ${source === "accepted" ? "accepted" : "in force at the node asked"}`;
+    `${partner}, version ${sequence}, ${source === "accepted" ? "accepted" : "in force at the queried node"}`;
 
 const getTable = async (
     { client }: CommandSession,
@@ -20,16 +20,16 @@
     { accepted, cells }: GetOptions,
 ): Promise<CommandReport> => {
     const source: TableSource = accepted === true ? "accepted" : "inForce";
-    const answer: either.Either<OperatorError, OperatorTableView> = service === undefined ?
+    const response: either.Either<OperatorError, OperatorTableView> = service === undefined ?
         await client.getTable({ source })() :
         await client.getRow({ source, service })();
-    if (either.isLeft(answer)) {
-        return reportOperatorError(answer.left);
+    if (either.isLeft(response)) {
+        return reportOperatorError(response.left);
     }
-    const view = answer.right;
+    const view = response.right;
     const isList = cells === true || service !== undefined;
     const lines = isList ? formatCellList(view.cells) : formatTableGrid(view.cells);
-    return reportDone(view, [formatHeading(view), "", ...lines]);
+    return reportSuccess(view, [formatHeading(view), "", ...lines]);
 };
 
 /** The subcommand `get` with its arguments, options and help. */
@@ -37,7 +37,7 @@
     new Command("get")
         .description("Show your table, or one row of it with its limit.")
         .argument("[service]", "row to show, for example grant-filer")
-        .option("--accepted", "the newest accepted version, read from the platform, instead of the one in force")
-        .option("--cells", "list the cells in the notation that set takes")
+        .option("--accepted", "show the newest accepted version, read from the platform, instead of the version in force")
+        .option("--cells", "list the cells in the notation that set accepts")
         .action((service: string | undefined, options: GetOptions, command: Command) =>
-            runner.withClient(command, (session) => getTable(session, service, options)));
+            runner.runWithClient(command, (session) => getTable(session, service, options)));
--- a/packages/oleandergap-cli/src/commands/history.ts
+++ b/packages/oleandergap-cli/src/commands/history.ts
@@ -1,21 +1,21 @@
-/** `history`: the accepted versions of the own table, newest first. */
+/** Command `history`: lists the accepted versions of the partner's table from newest to oldest. */
 import { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import { formatChanges } from "../output/changeLines.js";
-import { reportDone, reportOperatorError, type CommandReport } from "../report/report.js";
+import { reportSuccess, reportOperatorError, type CommandReport } from "../report/report.js";
 import type { CommandRunner, CommandSession } from "../runCommand.js";
 import { addPageOptions, formatNextPage, type PageOptions } from "./pageOptions.js";
 
 const listHistory = async ({ client }: CommandSession, page: PageOptions): Promise<CommandReport> => {
-    const answer = await client.listHistory(page)();
-    if (either.isLeft(answer)) {
-        return reportOperatorError(answer.left);
+    const response = await client.listHistory(page)();
+    if (either.isLeft(response)) {
+        return reportOperatorError(response.left);
     }
-    const lines = answer.right.entries.flatMap(({ sequence, digest, changes }) => [
+    const lines = response.right.entries.flatMap(({ sequence, digest, changes }) => [
         `version ${sequence}  ${digest}`,
         ...formatChanges(changes),
     ]);
-    return reportDone(answer.right, [...lines, ...formatNextPage("history", answer.right)]);
+    return reportSuccess(response.right, [...lines, ...formatNextPage("history", response.right)]);
 };
 
 /** The subcommand `history` with its arguments, options and help. */
@@ -23,4 +23,4 @@
     addPageOptions(new Command("history"))
         .description("Show the accepted versions of your table, newest first, with the cells that each changed.")
         .action((options: PageOptions, command: Command) =>
-            runner.withClient(command, (session) => listHistory(session, options)));
+            runner.runWithClient(command, (session) => listHistory(session, options)));
--- a/packages/oleandergap-cli/src/commands/set.ts
+++ b/packages/oleandergap-cli/src/commands/set.ts
@@ -1,4 +1,4 @@
-/** `set`: sets one cell, or several in one change. */
+/** Command `set`: sets one or more cells in one change. */
 import { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import { pipe } from "fp-ts/lib/function.js";
@@ -20,7 +20,7 @@
     );
     return either.isLeft(parsed) ?
         reportNotationError(parsed.left) :
-        sendChange(session, { ...parsed.right, words: ["set", ...assignments] }, options);
+        sendChange(session, { ...parsed.right, commandArguments: ["set", ...assignments] }, options);
 };
 
 const EXAMPLES = `
@@ -29,14 +29,14 @@
   $ oleandergap set grant-filer.weights.hall-a=0 grant-filer.weights.hall-b=100 --wait
   $ oleandergap set limits/filing/concurrency=24 --expect limits/filing/concurrency=12
 
-All cells of one command change together or not at all. By default each cell must still hold what a
-read just before the change shows; if somebody was faster, you see a conflict and nothing changes.`;
+All cells of one command change together or not at all. By default, the command reads the table first and
+expects each cell to keep this value; after a concurrent change it reports a conflict and changes nothing.`;
 
 /** The subcommand `set` with its arguments, options and help. */
 export const createSetCommand = (runner: CommandRunner): Command =>
     addChangeOptions(new Command("set"))
-        .description("Set one cell, or several in one change.")
+        .description("Set one or more cells in one change.")
         .argument("<cell=value...>", "cells and their new values")
         .addHelpText("after", EXAMPLES)
         .action((assignments: readonly string[], options: ChangeOptions, command: Command) =>
-            runner.withClient(command, (session) => setCells(session, assignments, options)));
+            runner.runWithClient(command, (session) => setCells(session, assignments, options)));
--- a/packages/oleandergap-cli/src/commands/unset.ts
+++ b/packages/oleandergap-cli/src/commands/unset.ts
@@ -1,4 +1,4 @@
-/** `unset`: empties one cell, or several in one change. */
+/** Command `unset`: empties one or more cells in one change. */
 import { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import { pipe } from "fp-ts/lib/function.js";
@@ -20,7 +20,7 @@
     );
     return either.isLeft(parsed) ?
         reportNotationError(parsed.left) :
-        sendChange(session, { ...parsed.right, words: ["unset", ...cells] }, options);
+        sendChange(session, { ...parsed.right, commandArguments: ["unset", ...cells] }, options);
 };
 
 const EXAMPLES = `
@@ -31,8 +31,8 @@
 /** The subcommand `unset` with its arguments, options and help. */
 export const createUnsetCommand = (runner: CommandRunner): Command =>
     addChangeOptions(new Command("unset"))
-        .description("Empty one cell, or several in one change.")
+        .description("Empty one or more cells in one change.")
         .argument("<cell...>", "cells to empty")
         .addHelpText("after", EXAMPLES)
         .action((cells: readonly string[], options: ChangeOptions, command: Command) =>
-            runner.withClient(command, (session) => unsetCells(session, cells, options)));
+            runner.runWithClient(command, (session) => unsetCells(session, cells, options)));
--- a/packages/oleandergap-cli/src/commands/validate.ts
+++ b/packages/oleandergap-cli/src/commands/validate.ts
@@ -1,16 +1,16 @@
-/** `validate`: checks a change against the accepted table without making it. */
+/** Command `validate`: validates a change against the accepted table without making it. */
 import { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { pipe } from "fp-ts/lib/function.js";
-import { collect } from "../changes/changeOptions.js";
+import { collectValues } from "../changes/changeOptions.js";
 import { readChangeFile, type ChangeFile } from "../changes/changeFile.js";
 import { EXIT_USAGE } from "../report/exitCodes.js";
-import { checkEdits, type Edit } from "../changes/edits.js";
+import { validateEdits, type Edit } from "../changes/edits.js";
 import { parseAssignments, parseRemovals } from "../notation/parseAll.js";
 import { formatChanges } from "../output/changeLines.js";
 import {
-    reportDone, reportFailure, reportNotationError, reportOperatorError, type CommandReport,
+    reportSuccess, reportFailure, reportNotationError, reportOperatorError, type CommandReport,
 } from "../report/report.js";
 import type { CommandRunner, CommandSession } from "../runCommand.js";
 
@@ -23,9 +23,9 @@
     assignments: readonly string[],
     { unset = [], file }: ValidateOptions,
 ): Promise<Either<CommandReport, readonly Edit[]>> => {
-    const noFile: ChangeFile = { edits: [], expectations: [] };
-    const fromFile = file === undefined ? either.right(noFile) : await readChangeFile(file);
-    const fromWords = pipe(
+    const emptyFile: ChangeFile = { edits: [], expectations: [] };
+    const fromFile = file === undefined ? either.right(emptyFile) : await readChangeFile(file);
+    const fromArguments = pipe(
         either.Do,
         either.apS("assigned", parseAssignments(assignments)),
         either.apS("removed", parseRemovals(unset)),
@@ -34,12 +34,12 @@
     return pipe(
         either.Do,
         either.apS("file", fromFile),
-        either.apS("words", fromWords),
-        either.map(({ file: { edits }, words }) => [...edits, ...words.assigned, ...words.removed]),
-        either.chainFirst((edits) => either.mapLeft(reportNotationError)(checkEdits(edits, []))),
+        either.apS("commandLine", fromArguments),
+        either.map(({ file: { edits }, commandLine }) => [...edits, ...commandLine.assigned, ...commandLine.removed]),
+        either.chainFirst((edits) => either.mapLeft(reportNotationError)(validateEdits(edits, []))),
         either.filterOrElse(
             (edits) => edits.length > 0,
-            () => reportFailure(EXIT_USAGE, { kind: "Usage", message: "Name a change: CELL=VALUE, --unset or --file." }),
+            () => reportFailure(EXIT_USAGE, { kind: "Usage", message: "Specify a change with CELL=VALUE, --unset or --file." }),
         ),
     );
 };
@@ -53,15 +53,15 @@
     if (either.isLeft(edits)) {
         return edits.left;
     }
-    const answer = await client.validateChange({ edits: [...edits.right] })();
-    if (either.isLeft(answer)) {
-        return reportOperatorError(answer.left);
+    const response = await client.validateChange({ edits: [...edits.right] })();
+    if (either.isLeft(response)) {
+        return reportOperatorError(response.left);
     }
-    const { partner, baseSequence, changes } = answer.right;
+    const { partner, baseSequence, changes } = response.right;
     const heading = changes.length === 0 ?
-        `Valid, and nothing would change on version ${baseSequence} of ${partner}.` :
-        `Valid on version ${baseSequence} of ${partner}. Nothing was changed; this would be:`;
-    return reportDone(answer.right, [heading, ...formatChanges(changes)]);
+        `Valid. Nothing would change in version ${baseSequence} of ${partner}.` :
+        `Valid on version ${baseSequence} of ${partner}. Nothing was changed. These cells would change:`;
+    return reportSuccess(response.right, [heading, ...formatChanges(changes)]);
 };
 
 const EXAMPLES = `
@@ -72,10 +72,10 @@
 /** The subcommand `validate` with its arguments, options and help. */
 export const createValidateCommand = (runner: CommandRunner): Command =>
     new Command("validate")
-        .description("Check a change without making it.")
+        .description("Validate a change without making it.")
         .argument("[cell=value...]", "cells and their new values")
-        .option("--unset <cell>", "a cell to empty (repeatable)", collect)
+        .option("--unset <cell>", "cell to empty (repeatable)", collectValues)
         .option("-f, --file <file>", "file with the cells to change, as for apply")
         .addHelpText("after", EXAMPLES)
         .action((assignments: readonly string[], options: ValidateOptions, command: Command) =>
-            runner.withClient(command, (session) => validateChange(session, assignments, options)));
+            runner.runWithClient(command, (session) => validateChange(session, assignments, options)));
--- a/packages/oleandergap-cli/src/commands/versions.ts
+++ b/packages/oleandergap-cli/src/commands/versions.ts
@@ -1,39 +1,39 @@
-/** `versions`: which version each node serves from, and whether one is in force everywhere. */
+/** Command `versions`: shows the version that each node serves from and whether a version is in force on every node. */
 import { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import type { NodeVersion, VersionsView } from "oleandergap-operator";
 import type { PartnerName, Sequence } from "oleandergap-types";
 import { DEFAULT_WAIT_SECONDS } from "../changes/changeOptions.js";
-import { findSequence, formatConvergence, measureConvergence } from "../fleet/convergence.js";
+import { findAppliedSequence, formatConvergence, measureConvergence } from "../fleet/convergence.js";
 import { formatColumns } from "../output/formatColumns.js";
 import { formatUnknownZones } from "../output/zoneLines.js";
-import { reportDone, reportOperatorError, type CommandReport } from "../report/report.js";
+import { reportSuccess, reportOperatorError, type CommandReport } from "../report/report.js";
 import type { CommandRunner, CommandSession } from "../runCommand.js";
 import { waitUntilInForce } from "../fleet/waitUntilInForce.js";
 import { createNumberParser, parseSeconds } from "../settings/parseNumber.js";
 
 interface VersionsOptions {
-    /** True without a number: the newest version. */
+    /** Version to wait for; true when the option has no number, which selects the newest version. */
     readonly wait?: Sequence | true;
     readonly timeout: number;
 }
 
 const UNKNOWN = "unknown";
 
-const findNewest = ({ newest }: VersionsView, partner: PartnerName): Sequence =>
+const findNewestSequence = ({ newest }: VersionsView, partner: PartnerName): Sequence =>
     newest.find((head) => head.partner === partner)?.sequence ?? 0;
 
 const formatSequence = (node: NodeVersion, partner: PartnerName, newest: Sequence): string => {
-    const sequence = findSequence(node, partner);
+    const sequence = findAppliedSequence(node, partner);
     if (sequence === undefined) {
         return UNKNOWN;
     }
     return sequence < newest ? `${sequence} (${newest - sequence} behind)` : String(sequence);
 };
 
-/** Without the platform's word, the newest version known may not be the newest accepted. */
-const formatCaution = ({ confirmedByPlatform }: VersionsView): readonly string[] =>
-    confirmedByPlatform ? [] : ["The platform could not be asked; newer versions may have been accepted."];
+/** Returns a warning when the platform did not confirm the newest known version, since it may not be the newest. */
+const formatUnconfirmedWarning = ({ confirmedByPlatform }: VersionsView): readonly string[] =>
+    confirmedByPlatform ? [] : ["The platform could not be reached; newer versions may have been accepted."];
 
 const formatVersions = (view: VersionsView): readonly string[] => {
     const partners = view.newest.map(({ partner }) => partner).sort();
@@ -41,7 +41,7 @@
         node.nodeId,
         node.zone,
         node.state,
-        ...partners.map((partner) => formatSequence(node, partner, findNewest(view, partner))),
+        ...partners.map((partner) => formatSequence(node, partner, findNewestSequence(view, partner))),
         node.applied.kind === "Unknown" ? node.applied.detail : "",
     ]);
     return [
@@ -49,45 +49,45 @@
         ...formatUnknownZones(view.unknownZones),
         "",
         ...partners.flatMap((partner) =>
-            formatConvergence(measureConvergence(view, partner, findNewest(view, partner))).slice(0, 1)),
-        ...formatCaution(view),
+            formatConvergence(measureConvergence(view, partner, findNewestSequence(view, partner))).slice(0, 1)),
+        ...formatUnconfirmedWarning(view),
     ];
 };
 
 const showVersions = async (session: CommandSession, { wait, timeout }: VersionsOptions): Promise<CommandReport> => {
-    const answer = await session.client.listVersions()();
-    if (either.isLeft(answer)) {
-        return reportOperatorError(answer.left);
+    const response = await session.client.listVersions()();
+    if (either.isLeft(response)) {
+        return reportOperatorError(response.left);
     }
-    const view = answer.right;
+    const view = response.right;
     if (wait === undefined) {
-        return reportDone(view, formatVersions(view));
+        return reportSuccess(view, formatVersions(view));
     }
     const { partner, confirmedByPlatform } = view;
     const isNewest = wait === true;
     return waitUntilInForce(session, {
         partner,
-        sequence: isNewest ? findNewest(view, partner) : wait,
+        sequence: isNewest ? findNewestSequence(view, partner) : wait,
         timeoutSeconds: timeout,
         result: isNewest ? { confirmedByPlatform } : {},
-        lines: isNewest ? formatCaution(view) : [],
+        lines: isNewest ? formatUnconfirmedWarning(view) : [],
     });
 };
 
 const EXAMPLES = `
 Examples:
   $ oleandergap versions
-  $ oleandergap versions --wait            until your newest version is in force on every node
+  $ oleandergap versions --wait            wait until your newest version is in force on every node
   $ oleandergap versions --wait 42 --timeout 10
 
-A node or a zone that could not be asked is unknown; with --wait it counts as not in force.`;
+A node or a zone that could not be queried is unknown. With --wait, it counts as not in force.`;
 
 /** The subcommand `versions` with its arguments, options and help. */
 export const createVersionsCommand = (runner: CommandRunner): Command =>
     new Command("versions")
-        .description("Show which version each node serves from, and how far the newest has spread.")
+        .description("Show the version that each node serves from, and on how many nodes the newest is in force.")
         .option("--wait [version]", "wait until your version is in force on every node", createNumberParser(0))
-        .option("--timeout <seconds>", "longest wait with --wait", parseSeconds, DEFAULT_WAIT_SECONDS)
+        .option("--timeout <seconds>", "maximum time to wait with --wait", parseSeconds, DEFAULT_WAIT_SECONDS)
         .addHelpText("after", EXAMPLES)
         .action((options: VersionsOptions, command: Command) =>
-            runner.withClient(command, (session) => showVersions(session, options)));
+            runner.runWithClient(command, (session) => showVersions(session, options)));
--- a/packages/oleandergap-cli/src/environment.ts
+++ b/packages/oleandergap-cli/src/environment.ts
@@ -1,18 +1,18 @@
-/** What the command line takes from its process; tests supply their own. */
+/** Process environment of the command line. Tests provide their own. */
 import type { Clock } from "oleandergap-types";
 
-/** The outside of one run of the command line. */
+/** Everything that one run of the command line uses from its process. */
 export interface Environment {
     /** Environment variables. */
     readonly variables: Readonly<Record<string, string | undefined>>;
     readonly writeOut: (text: string) => void;
     readonly writeError: (text: string) => void;
     readonly clock: Clock;
-    /** A new change id at each call. */
+    /** Returns a new change id on each call. */
     readonly createChangeId: () => string;
     /** Aborts when the operator interrupts the command. */
     readonly signal: AbortSignal;
 }
 
-/** Variable that names the settings file when `--settings` does not. */
+/** Environment variable with the path of the settings file, used when `--settings` is not given. */
 export const SETTINGS_VARIABLE = "OLEANDERGAP_SETTINGS";
--- a/packages/oleandergap-cli/src/fleet/waitUntilInForce.ts
+++ b/packages/oleandergap-cli/src/fleet/waitUntilInForce.ts
@@ -1,72 +1,79 @@
-/** Asks the fleet again and again until a version is in force on every node. */
+/** Polls the fleet until a version is in force on every node. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { OperatorError } from "oleandergap-operator";
 import { MILLISECONDS_PER_SECOND, type Milliseconds, type PartnerName, type Sequence } from "oleandergap-types";
 import { formatConvergence, measureConvergence, type Convergence } from "./convergence.js";
 import { EXIT_FAILURE, EXIT_UNREACHABLE } from "../report/exitCodes.js";
-import { reportDone, reportFailure, reportOperatorError, type CommandReport } from "../report/report.js";
+import { reportSuccess, reportFailure, reportOperatorError, type CommandReport } from "../report/report.js";
 import type { CommandSession } from "../runCommand.js";
 
-const FIRST_PAUSE_MS = 200;
-/** Each look asks every node of the fleet, so later looks come less often. */
-const LONGEST_PAUSE_MS = 2000;
-const PAUSE_GROWTH = 1.5;
+const INITIAL_POLL_INTERVAL_MS = 200;
+/** Upper bound of the increasing poll interval. The interval increases because each poll queries every node. */
+const MAX_POLL_INTERVAL_MS = 2000;
+const POLL_INTERVAL_GROWTH_FACTOR = 1.5;
 
-/** A version to wait for, and what to report besides. */
+/** Version to wait for, and further content of the report. */
 export interface WaitRequest {
     readonly partner: PartnerName;
     readonly sequence: Sequence;
     readonly timeoutSeconds: number;
-    /** What is reported besides, for programs and for people. */
+    /** Further fields of the JSON output. */
     readonly result: object;
+    /** Lines that precede the result of the wait in the text output. */
     readonly lines: readonly string[];
 }
 
-const measureOnce = async (
+const measureCurrentConvergence = async (
     { client }: CommandSession,
     { partner, sequence }: WaitRequest,
 ): Promise<Either<OperatorError, Convergence>> =>
     either.map((view: Parameters<typeof measureConvergence>[0]) =>
         measureConvergence(view, partner, sequence))(await client.listVersions()());
 
-/** An error that a later look need not meet. */
-const mayPass = ({ kind }: OperatorError): boolean =>
+/** Returns whether the error is transient, so that a later poll may succeed. */
+const isTransient = ({ kind }: OperatorError): boolean =>
     kind === "NodeUnreachable" || kind === "NotReady" || kind === "OverBudget" || kind === "PlatformUnavailable";
 
 const formatSeconds = (duration: Milliseconds): string => `${(duration / MILLISECONDS_PER_SECOND).toFixed(1)} s`;
 
-const reportTimeout = (request: WaitRequest, last: Either<OperatorError, Convergence>): CommandReport => {
-    const message = `Not known to be in force everywhere after ${request.timeoutSeconds} s.`;
-    if (either.isLeft(last)) {
-        const error = { ...request.result, kind: "NotInForce", message, cause: last.left };
+const reportTimeout = (request: WaitRequest, lastResult: Either<OperatorError, Convergence>): CommandReport => {
+    const message = `Not confirmed to be in force on every node after ${request.timeoutSeconds} s.`;
+    if (either.isLeft(lastResult)) {
+        const error = { ...request.result, kind: "NotInForce", message, cause: lastResult.left };
         return reportFailure(EXIT_UNREACHABLE, error, request.lines);
     }
-    const error = { ...request.result, kind: "NotInForce", message, convergence: last.right };
-    return reportFailure(EXIT_FAILURE, error, [...request.lines, ...formatConvergence(last.right)]);
+    const error = { ...request.result, kind: "NotInForce", message, convergence: lastResult.right };
+    return reportFailure(EXIT_FAILURE, error, [...request.lines, ...formatConvergence(lastResult.right)]);
 };
 
-/** Fails when the version is not known to be in force everywhere in time. Never rejects. */
+/**
+ * Polls the fleet until the version is in force on every node. Reports a failure when this is not confirmed before the
+ * timeout. The promise never rejects.
+ */
 export const waitUntilInForce = async (session: CommandSession, request: WaitRequest): Promise<CommandReport> => {
     const { clock, signal } = session.environment;
     const startedAt = clock.monotonic();
     const deadline = startedAt + request.timeoutSeconds * MILLISECONDS_PER_SECOND;
-    let pause = FIRST_PAUSE_MS;
+    let pollIntervalMs = INITIAL_POLL_INTERVAL_MS;
     for (;;) {
-        const measured = await measureOnce(session, request);
-        if (either.isLeft(measured) && !mayPass(measured.left)) {
-            return reportOperatorError(measured.left);
+        const result = await measureCurrentConvergence(session, request);
+        if (either.isLeft(result) && !isTransient(result.left)) {
+            return reportOperatorError(result.left);
         }
-        const waited = clock.monotonic() - startedAt;
-        if (either.isRight(measured) && measured.right.converged) {
-            const seen = `Seen after ${formatSeconds(waited)}.`;
-            const lines = [...request.lines, ...formatConvergence(measured.right), seen];
-            return reportDone({ ...request.result, convergence: measured.right, waitedMs: Math.round(waited) }, lines);
+        const elapsedMs = clock.monotonic() - startedAt;
+        if (either.isRight(result) && result.right.converged) {
+            const elapsedLine = `Confirmed after ${formatSeconds(elapsedMs)}.`;
+            const lines = [...request.lines, ...formatConvergence(result.right), elapsedLine];
+            return reportSuccess(
+                { ...request.result, convergence: result.right, waitedMs: Math.round(elapsedMs) },
+                lines,
+            );
         }
-        if (signal.aborted || clock.monotonic() + pause > deadline) {
-            return reportTimeout(request, measured);
+        if (signal.aborted || clock.monotonic() + pollIntervalMs > deadline) {
+            return reportTimeout(request, result);
         }
-        await clock.sleep(pause, signal);
-        pause = Math.min(pause * PAUSE_GROWTH, LONGEST_PAUSE_MS);
+        await clock.sleep(pollIntervalMs, signal);
+        pollIntervalMs = Math.min(pollIntervalMs * POLL_INTERVAL_GROWTH_FACTOR, MAX_POLL_INTERVAL_MS);
     }
 };
--- a/packages/oleandergap-cli/src/index.ts
+++ b/packages/oleandergap-cli/src/index.ts
@@ -1,4 +1,4 @@
-/** The operators' command line. */
+/** Command line for operators. */
 export type { Environment } from "./environment.js";
 export * from "./report/exitCodes.js";
 export { runCommandLine } from "./program.js";
--- a/packages/oleandergap-cli/src/main.ts
+++ b/packages/oleandergap-cli/src/main.ts
@@ -1,18 +1,18 @@
 #!/usr/bin/env node
-/** The `oleandergap` command. */
+/** Entry point of the `oleandergap` command. */
 import { randomUUID } from "node:crypto";
 import { createSystemClock } from "oleandergap-utils";
 import type { Environment } from "./environment.js";
 import { runCommandLine } from "./program.js";
 
-const interrupt = new AbortController();
+const interruptController = new AbortController();
 process.once("SIGINT", () => {
-    interrupt.abort();
+    interruptController.abort();
 });
 process.once("SIGTERM", () => {
-    interrupt.abort();
+    interruptController.abort();
 });
-// A reader such as `head` may close the pipe early; that is no fault.
+// A reader such as `head` may close the pipe early. This is not an error.
 process.stdout.on("error", () => undefined);
 
 const environment: Environment = {
@@ -25,7 +25,7 @@
     },
     clock: createSystemClock(),
     createChangeId: randomUUID,
-    signal: interrupt.signal,
+    signal: interruptController.signal,
 };
 
 process.exitCode = await runCommandLine(process.argv.slice(2), environment);
--- a/packages/oleandergap-cli/src/notation/assignment.ts
+++ b/packages/oleandergap-cli/src/notation/assignment.ts
@@ -1,4 +1,4 @@
-/** `CELL=VALUE`: a cell together with what it is to hold, or is expected to hold. */
+/** Notation `CELL=VALUE`: a cell with its new value or its expected current value. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { pipe } from "fp-ts/lib/function.js";
@@ -6,13 +6,13 @@
 import { createNotationError, formatCell, parseCell, type NotationError } from "./cellNotation.js";
 import { formatValue, parseValue } from "./valueNotation.js";
 
-/** What a cell is to hold. */
+/** Cell with its new value. */
 export interface Assignment {
     readonly cell: CellAddress;
     readonly value: CellValue;
 }
 
-/** An absent value stands for an empty cell. */
+/** Cell with its expected current value. An absent value means an empty cell. */
 export interface Expectation {
     readonly cell: CellAddress;
     readonly value?: CellValue;
@@ -20,14 +20,14 @@
 
 const SEPARATOR = "=";
 
-const split = (text: string): Either<NotationError, readonly [cell: string, value: string]> => {
+const splitAssignment = (text: string): Either<NotationError, readonly [cell: string, value: string]> => {
     const position = text.indexOf(SEPARATOR);
     return position < 0 ?
         either.left(createNotationError(text, "write CELL=VALUE, for example grant-filer.weights.hall-a=50")) :
         either.right([text.slice(0, position), text.slice(position + SEPARATOR.length)]);
 };
 
-const parseSplit = ([cell, value]: readonly [string, string]): Either<NotationError, Assignment> => pipe(
+const parseParts = ([cell, value]: readonly [string, string]): Either<NotationError, Assignment> => pipe(
     parseCell(cell),
     either.chain((address) => pipe(
         parseValue(value),
@@ -35,28 +35,28 @@
     )),
 );
 
-/** Reads `CELL=VALUE`; a missing value is refused. */
+/** Parses `CELL=VALUE`. A missing value is rejected. */
 export const parseAssignment = (text: string): Either<NotationError, Assignment> => pipe(
-    split(text),
+    splitAssignment(text),
     either.filterOrElse(
         ([, value]) => value !== "",
-        () => createNotationError(text, "a value is missing; use unset to empty a cell, or =\"\" for an empty text"),
+        () => createNotationError(text, "a value is missing; use unset to empty a cell, or =\"\" to set an empty text"),
     ),
-    either.chain(parseSplit),
+    either.chain(parseParts),
 );
 
-/** `CELL=` stands for an empty cell. */
+/** Parses `CELL=VALUE`, or `CELL=` for an empty cell. */
 export const parseExpectation = (text: string): Either<NotationError, Expectation> => pipe(
-    split(text),
+    splitAssignment(text),
     either.chain(([cell, value]): Either<NotationError, Expectation> => value === "" ?
         either.map((address: CellAddress) => ({ cell: address }))(parseCell(cell)) :
-        parseSplit([cell, value])),
+        parseParts([cell, value])),
 );
 
-/** The notation that {@link parseAssignment} reads back. */
+/** Formats an assignment so that {@link parseAssignment} can parse it. */
 export const formatAssignment = ({ cell, value }: Assignment): string =>
     `${formatCell(cell)}${SEPARATOR}${formatValue(value)}`;
 
-/** The notation that {@link parseExpectation} reads back. */
+/** Formats an expectation so that {@link parseExpectation} can parse it. */
 export const formatExpectation = ({ cell, value }: Expectation): string =>
     value === undefined ? `${formatCell(cell)}${SEPARATOR}` : formatAssignment({ cell, value });
--- a/packages/oleandergap-cli/src/notation/cellNotation.ts
+++ b/packages/oleandergap-cli/src/notation/cellNotation.ts
@@ -1,32 +1,32 @@
 /**
- * How cells are written on the command line and in files.
+ * Notation of cells on the command line and in files.
  *
  * `SERVICE.COLUMN` and `SERVICE.weights.ZONE` are short for `services/SERVICE/COLUMN` and
- * `services/SERVICE/weights/ZONE`; every other cell is written with its whole address. Names hold neither dots nor
- * slashes, so the two forms can't be confused.
+ * `services/SERVICE/weights/ZONE`. Every other cell is written with its full address. Names contain neither dots nor
+ * slashes, so the two forms are unambiguous.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { cellAddressSchema, type CellAddress } from "oleandergap-types";
 
-/** What is wrong with a notation, as a sentence for the operator. */
+/** Text that could not be parsed, with a description of the problem for the operator. */
 export interface NotationError {
     readonly kind: "BadNotation";
     readonly text: string;
     readonly problem: string;
 }
 
-/** Says what is wrong with `text`. */
+/** Creates the error for `text`. */
 export const createNotationError = (text: string, problem: string): NotationError =>
     ({ kind: "BadNotation", text, problem });
 
-const SERVICE_SHEET = "services";
+const SERVICES_SHEET = "services";
 const SHORT_FORM_PATTERN = /^[A-Za-z0-9-]+(\.[A-Za-z0-9-]+){1,2}$/;
-const SHORT_FORM_PARTS: ReadonlySet<number> = new Set([2, 3]);
+const SHORT_FORM_PART_COUNTS: ReadonlySet<number> = new Set([2, 3]);
 
-/** Reads either form into the whole address. */
+/** Parses the short form or the full address and returns the full address. */
 export const parseCell = (text: string): Either<NotationError, CellAddress> => {
-    const address = SHORT_FORM_PATTERN.test(text) ? `${SERVICE_SHEET}/${text.replaceAll(".", "/")}` : text;
+    const address = SHORT_FORM_PATTERN.test(text) ? `${SERVICES_SHEET}/${text.replaceAll(".", "/")}` : text;
     const result = cellAddressSchema.safeParse(address);
     return result.success ?
         either.right(result.data) :
@@ -36,8 +36,8 @@
         ));
 };
 
-/** The shortest form that {@link parseCell} reads back. */
+/** Formats an address in the shortest form that {@link parseCell} can parse. */
 export const formatCell = (address: CellAddress): string => {
     const [sheet, ...parts] = address.split("/");
-    return sheet === SERVICE_SHEET && SHORT_FORM_PARTS.has(parts.length) ? parts.join(".") : address;
+    return sheet === SERVICES_SHEET && SHORT_FORM_PART_COUNTS.has(parts.length) ? parts.join(".") : address;
 };
--- a/packages/oleandergap-cli/src/notation/parseAll.ts
+++ b/packages/oleandergap-cli/src/notation/parseAll.ts
@@ -1,4 +1,4 @@
-/** Reads several notations; the first wrong one is reported. */
+/** Parses lists of assignments, expectations or cells. Only the first error of a list is reported. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import { traverseArray } from "fp-ts/lib/Either.js";
@@ -11,14 +11,14 @@
     parse: (text: string) => Either<NotationError, Parsed>,
 ): Either<NotationError, readonly Parsed[]> => traverseArray(parse)(texts);
 
-/** Reads what cells are to hold. */
+/** Parses the new values of cells. */
 export const parseAssignments = (texts: readonly string[]): Either<NotationError, readonly Assignment[]> =>
     parseEach(texts, parseAssignment);
 
-/** Reads what cells are expected to hold. */
+/** Parses the expected current values of cells. */
 export const parseExpectations = (texts: readonly string[]): Either<NotationError, readonly Expectation[]> =>
     parseEach(texts, parseExpectation);
 
-/** Cells to empty. */
+/** Parses the cells to empty. */
 export const parseRemovals = (texts: readonly string[]): Either<NotationError, readonly Edit[]> =>
     parseEach(texts, (text) => either.map((cell: string): Edit => ({ cell }))(parseCell(text)));
--- a/packages/oleandergap-cli/src/notation/valueNotation.ts
+++ b/packages/oleandergap-cli/src/notation/valueNotation.ts
@@ -1,6 +1,7 @@
 /**
- * How values are written: a JSON number is a number, a text in double quotes is that text with JSON's escapes, and
- * anything else stands for itself. Quotes are needed only for texts that look like numbers or hold odd characters.
+ * Notation of cell values: a JSON number is a number, a text in double quotes is parsed as a JSON string, and any other
+ * text is used literally. Quotes are needed only for texts that could be parsed differently or that have unsafe
+ * characters.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
@@ -11,7 +12,7 @@
 const NUMBER_PATTERN = /^-?(0|[1-9][0-9]*)(\.[0-9]+)?([eE][+-]?[0-9]+)?$/;
 const QUOTE = "\"";
 
-/** How an empty cell is shown. */
+/** Text that is shown for an empty cell. */
 export const EMPTY_CELL = "(empty)";
 
 const parseQuoted = (text: string): unknown => {
@@ -30,7 +31,7 @@
     return text.startsWith(QUOTE) ? parseQuoted(text) : text;
 };
 
-/** Reads a number or a text. */
+/** Parses a number or a text. */
 export const parseValue = (text: string): Either<NotationError, CellValue> => {
     const result = cellValueSchema.safeParse(readValue(text));
     return result.success ?
@@ -49,10 +50,10 @@
     NUMBER_PATTERN.test(text) ||
     hasUnsafeCharacters(text);
 
-/** The notation that {@link parseValue} reads back as the same value; safe to show. */
+/** Formats a value so that {@link parseValue} returns the same value. The text is safe to show on a terminal. */
 export const formatValue = (value: CellValue): string =>
     typeof value === "string" && !needsQuotes(value) ? value : escapeText(JSON.stringify(value));
 
-/** A value for people; an empty cell is shown as {@link EMPTY_CELL}. */
+/** Formats the value of a cell for text output. An empty cell is shown as {@link EMPTY_CELL}. */
 export const formatOptionalValue = (value: CellValue | undefined): string =>
     value === undefined ? EMPTY_CELL : formatValue(value);
--- a/packages/oleandergap-cli/src/output/escapeText.ts
+++ b/packages/oleandergap-cli/src/output/escapeText.ts
@@ -1,9 +1,9 @@
 /**
- * Makes text safe to show. A cell or a name may hold control characters; written to a terminal as they are, they could
- * move the cursor, recolour or hide what stands around them, and the operator would read something that isn't there.
+ * Escapes text for output to a terminal. A cell or a name may contain control characters. Without escaping, they could
+ * move the cursor, or recolour or hide the surrounding text, and the terminal would show the operator wrong content.
  */
 
-/** Controls, line separators, and the marks that change the direction of text. */
+/** Control characters, surrogates, line separators, invisible characters and marks that change the text direction. */
 const UNSAFE_PATTERN =
     /[\p{Cc}\p{Cs}\u061c\u200b-\u200f\u2028-\u202e\u2060-\u2069\ufeff]/gu;
 const HEXADECIMAL = 16;
@@ -12,12 +12,12 @@
 const escapeCharacter = (character: string): string =>
     `\\u${character.charCodeAt(0).toString(HEXADECIMAL).padStart(ESCAPE_DIGITS, "0")}`;
 
-/** Whether {@link escapeText} would change `text`. */
+/** Returns whether {@link escapeText} would change `text`. */
 export const hasUnsafeCharacters = (text: string): boolean => text.search(UNSAFE_PATTERN) >= 0;
 
-/** One line that shows every unsafe character as `\uXXXX`. */
+/** Returns the text on one line, with every unsafe character written as `\uXXXX`. */
 export const escapeText = (text: string): string => text.replace(UNSAFE_PATTERN, escapeCharacter);
 
-/** JSON of `value` on several lines, with every unsafe character escaped; parses to the same value. */
+/** Formats `value` as JSON on several lines with every unsafe character escaped. The JSON parses to the same value. */
 export const formatJson = (value: unknown): string =>
     JSON.stringify(value, undefined, 2).split("\n").map(escapeText).join("\n");
--- a/packages/oleandergap-cli/src/output/formatColumns.ts
+++ b/packages/oleandergap-cli/src/output/formatColumns.ts
@@ -1,9 +1,9 @@
-/** Aligned columns for people. */
+/** Text output in aligned columns. */
 import { escapeText } from "./escapeText.js";
 
 const COLUMN_GAP = "  ";
 
-/** Header and rows; a column is as wide as its widest cell. */
+/** Returns the lines of the header and the rows. Each column is as wide as its widest cell. */
 export const formatColumns = (
     header: readonly string[],
     rows: readonly (readonly string[])[],
--- a/packages/oleandergap-cli/src/output/zoneLines.ts
+++ b/packages/oleandergap-cli/src/output/zoneLines.ts
@@ -1,6 +1,6 @@
-/** Zones that could not be asked, for people. */
+/** Text output for zones that could not be queried. */
 import type { UnknownZone } from "oleandergap-operator";
 
-/** One line for each zone, with the reason. */
+/** Returns one line for each zone, with the reason. */
 export const formatUnknownZones = (zones: readonly UnknownZone[]): readonly string[] =>
     zones.map(({ zone, detail }) => `zone ${zone}: unknown (${detail})`);
--- a/packages/oleandergap-cli/src/program.ts
+++ b/packages/oleandergap-cli/src/program.ts
@@ -1,7 +1,7 @@
-/** Puts the commands together and runs one command line. */
+/** Assembles the commands and runs one command line. */
 import { Command, CommanderError } from "commander";
 import * as either from "fp-ts/lib/Either.js";
-import { collect } from "./changes/changeOptions.js";
+import { collectValues } from "./changes/changeOptions.js";
 import { createApplyCommand } from "./commands/apply.js";
 import { createAuditCommand } from "./commands/audit.js";
 import { createCreateCredentialCommand } from "./commands/createCredential.js";
@@ -17,13 +17,13 @@
 import type { Environment } from "./environment.js";
 import { EXIT_OK, EXIT_USAGE } from "./report/exitCodes.js";
 import { readGlobalOptions, readSettings, type GlobalOptions } from "./settings/globalOptions.js";
-import { reportDone, type CommandReport } from "./report/report.js";
+import { reportSuccess, type CommandReport } from "./report/report.js";
 import { createCommandRunner, type CommandRunner } from "./runCommand.js";
 
 const HELP = `
 Cells:
   SERVICE.COLUMN              short for services/SERVICE/COLUMN, for example grant-filer.limit
-  SERVICE.weights.ZONE        a zone's share, for example grant-filer.weights.hall-a
+  SERVICE.weights.ZONE        weight of a zone, for example grant-filer.weights.hall-a
   limits/NAME/COLUMN          concurrency, queue, timeoutMs or retryRatio of a limit
   zones/ZONE/enabled          1 makes a zone known to the table
 
@@ -35,28 +35,32 @@
   $ oleandergap audit --limit 5
 
 Exit codes:
-  0 done                        5 credential missing or refused, or not allowed
-  1 failure                     6 no node or no platform could be reached
-  2 wrong usage or settings     7 outcome of the change unknown; how to repeat it is shown
-  3 conflict, nothing changed   8 too much at once, nothing changed; try again later
+  0 success                     5 credential missing or rejected, or not allowed
+  1 failure                     6 no node or not the platform could be reached
+  2 invalid usage or settings   7 outcome of the change unknown; how to repeat it is shown
+  3 conflict, nothing changed   8 too many requests or changes, nothing changed; try again later
   4 invalid, nothing changed`;
 
 const checkSettings = async (options: GlobalOptions, environment: Environment): Promise<CommandReport> => {
     const settings = await readSettings(options, environment);
-    return either.isLeft(settings) ? settings.left : reportDone(settings.right, ["The settings are valid."]);
+    return either.isLeft(settings) ? settings.left : reportSuccess(settings.right, ["The settings are valid."]);
 };
 
-/** Without a command: checks the settings, or shows the help as a wrong usage. */
-const runWithoutCommand = (runner: CommandRunner, program: Command, words: readonly string[]): Promise<void> => {
-    const [unknown] = words;
-    if (unknown !== undefined) {
-        program.error(`error: unknown command '${unknown}'; see oleandergap --help`);
+/** Runs a command line without a command: checks the settings, or shows the help and exits with a usage error. */
+const runWithoutCommand = (
+    runner: CommandRunner,
+    program: Command,
+    commandArguments: readonly string[],
+): Promise<void> => {
+    const [unknownCommand] = commandArguments;
+    if (unknownCommand !== undefined) {
+        program.error(`error: unknown command '${unknownCommand}'; see oleandergap --help`);
     }
     const options = readGlobalOptions(program);
     if (options.checkSettings !== true) {
         program.help({ error: true });
     }
-    return runner.withoutClient(program, () => checkSettings(options, runner.environment));
+    return runner.runWithoutClient(program, () => checkSettings(options, runner.environment));
 };
 
 const createCommands = (runner: CommandRunner): readonly Command[] => [
@@ -74,19 +78,19 @@
     createCreateCredentialCommand(runner),
 ];
 
-/** Applies to the program and to its commands, which inherit nothing once they are added. */
-const configure = (command: Command, environment: Environment): Command => command
+/** Configures the program or one of its commands. Commands that are added later do not inherit this configuration. */
+const configureCommand = (command: Command, environment: Environment): Command => command
     .exitOverride()
     .configureOutput({ writeOut: environment.writeOut, writeErr: environment.writeError });
 
 const createProgram = (runner: CommandRunner): Command => {
     const { environment } = runner;
-    const program = configure(new Command("oleandergap"), environment)
+    const program = configureCommand(new Command("oleandergap"), environment)
         .usage("[options] <command>")
-        .description("Edits and watches your part of the shared table that the mesh's nodes serve from.")
-        .option("--settings <file>", "settings file (YAML); else the variable OLEANDERGAP_SETTINGS names it")
-        .option("--node <address:port>", "node to ask, in place of the settings' nodes (repeatable)", collect)
-        .option("--credential-file <file>", "file with your credential, in place of the settings' one")
+        .description("Edits your part of the shared table that the nodes of the mesh serve from, and shows the state of the fleet.")
+        .option("--settings <file>", "settings file (YAML); default: the file named by the variable OLEANDERGAP_SETTINGS")
+        .option("--node <address:port>", "node to connect to instead of the nodes in the settings (repeatable)", collectValues)
+        .option("--credential-file <file>", "file with your credential instead of the file named in the settings")
         .option("--json", "write one JSON value to standard output")
         .option("--check-settings", "check the settings and exit")
         .argument("[command]")
@@ -95,17 +99,23 @@
         .action((_word: string | undefined, _options: unknown, command: Command) =>
             runWithoutCommand(runner, command, command.args));
     for (const command of createCommands(runner)) {
-        program.addCommand(configure(command, environment));
+        program.addCommand(configureCommand(command, environment));
     }
     return program;
 };
 
-/** Runs one command line, without the program's own name; resolves with the exit code and never rejects. */
-export const runCommandLine = async (words: readonly string[], environment: Environment): Promise<number> => {
+/**
+ * Runs one command line. `commandArguments` do not include the name of the program. Returns the exit code; rejects only
+ * on an unexpected error.
+ */
+export const runCommandLine = async (
+    commandArguments: readonly string[],
+    environment: Environment,
+): Promise<number> => {
     const runner = createCommandRunner(environment);
     try {
-        await createProgram(runner).parseAsync([...words], { from: "user" });
-        return runner.exitCode();
+        await createProgram(runner).parseAsync([...commandArguments], { from: "user" });
+        return runner.getExitCode();
     }
     catch (error) {
         if (error instanceof CommanderError) {
--- a/packages/oleandergap-cli/src/report/exitCodes.ts
+++ b/packages/oleandergap-cli/src/report/exitCodes.ts
@@ -1,26 +1,26 @@
-/** Exit codes of the command line; part of its documented interface. */
+/** Exit codes of the command line. They are part of its documented interface. */
 import type { OperatorError } from "oleandergap-operator";
 
-/** The command did what it was asked for. */
+/** The command succeeded. */
 export const EXIT_OK = 0;
-/** Something else went wrong: not found, not converged in time, a fault in a node. */
+/** Any other failure: an item was not found, a version was not in force in time, or a node had an internal error. */
 export const EXIT_FAILURE = 1;
-/** The command line or the settings are wrong; nothing was sent. */
+/** The command line or the settings are invalid. Nothing was sent. */
 export const EXIT_USAGE = 2;
-/** A cell holds something else than expected, or the change id was used for another change. */
+/** A cell does not have the expected value, or the change id was used for another change. */
 export const EXIT_CONFLICT = 3;
-/** The table would be refused, or the input is malformed. */
+/** The resulting table would be rejected, or the input is malformed. */
 export const EXIT_INVALID = 4;
-/** The credential is missing or refused, or not good for this. */
+/** The credential is missing, was rejected or does not permit the request. */
 export const EXIT_REFUSED = 5;
-/** No node, or none that reaches the platform, could be asked; nothing was changed. */
+/** No node could be reached, or no reachable node could reach the platform. Nothing was changed. */
 export const EXIT_UNREACHABLE = 6;
-/** The change may or may not be accepted; repeat it under the same change id. */
+/** The change may or may not have been accepted. Repeat it under the same change id. */
 export const EXIT_UNKNOWN_OUTCOME = 7;
-/** Too much at once; nothing was changed, and the same command works a little later. */
+/** Too many requests or concurrent changes. Nothing was changed, and the command can be retried after a delay. */
 export const EXIT_TRY_LATER = 8;
 
-/** The exit code that a script sees for an error. */
+/** Returns the exit code for an error. */
 export const toExitCode = (error: OperatorError): number => {
     switch (error.kind) {
         case "Conflict":
--- a/packages/oleandergap-cli/src/report/report.ts
+++ b/packages/oleandergap-cli/src/report/report.ts
@@ -1,17 +1,17 @@
-/** What a command has to say, before it is decided whether people or programs read it. */
+/** Reports of commands, and their rendering as text or as JSON. */
 import type { OperatorError } from "oleandergap-operator";
 import { describeOperatorError } from "./describeOperatorError.js";
 import { EXIT_OK, EXIT_USAGE, toExitCode } from "./exitCodes.js";
 import type { NotationError } from "../notation/cellNotation.js";
 import { escapeText, formatJson } from "../output/escapeText.js";
 
-/** An error as `--json` shows it: the kind, a sentence, and what belongs to the kind. */
+/** Error as written by `--json`: the kind, a message and further fields that depend on the kind. */
 export interface ReportedError {
     readonly kind: string;
     readonly message: string;
 }
 
-/** The end of a command, for people and for programs. */
+/** Result of a command, with text lines for people and data for programs. */
 export type CommandReport =
     | { readonly kind: "Done"; readonly result: unknown; readonly lines: readonly string[] }
     | {
@@ -21,25 +21,29 @@
         readonly lines: readonly string[];
     };
 
-/** `result` is the documented shape for programs, `lines` the same for people. */
-export const reportDone = (result: unknown, lines: readonly string[]): CommandReport =>
+/** Creates the report of a successful command. `result` is the documented JSON output, `lines` the text output. */
+export const reportSuccess = (result: unknown, lines: readonly string[]): CommandReport =>
     ({ kind: "Done", result, lines });
 
-/** A failure; `more` are further lines for people. */
-export const reportFailure = (exitCode: number, error: ReportedError, more: readonly string[] = []): CommandReport =>
-    ({ kind: "Failed", exitCode, error, lines: [error.message, ...more] });
+/** Creates the report of a failed command. `detailLines` are written after the message in the text output. */
+export const reportFailure = (
+    exitCode: number,
+    error: ReportedError,
+    detailLines: readonly string[] = [],
+): CommandReport =>
+    ({ kind: "Failed", exitCode, error, lines: [error.message, ...detailLines] });
 
-/** An error that a node or the client named. */
+/** Creates the report of an error that a node or the client returned. */
 export const reportOperatorError = (error: OperatorError): CommandReport => {
-    const [message = error.kind, ...more] = describeOperatorError(error);
-    return reportFailure(toExitCode(error), { ...error, message }, more);
+    const [message = error.kind, ...detailLines] = describeOperatorError(error);
+    return reportFailure(toExitCode(error), { ...error, message }, detailLines);
 };
 
-/** An argument that could not be read. */
+/** Creates the report of an argument that could not be parsed. */
 export const reportNotationError = ({ kind, text, problem }: NotationError): CommandReport =>
     reportFailure(EXIT_USAGE, { kind, message: `${text}: ${problem}` });
 
-/** Texts to write, and the exit code. */
+/** Texts for standard output and standard error, and the exit code. */
 export interface RenderedReport {
     readonly exitCode: number;
     readonly out: string;
@@ -48,7 +52,7 @@
 
 const toText = (lines: readonly string[]): string => lines.map((line) => `${escapeText(line)}\n`).join("");
 
-/** With `json`, standard output gets exactly one JSON value, whatever happened. */
+/** Renders a report. With `json`, the output is exactly one JSON value, both on success and on failure. */
 export const renderReport = (report: CommandReport, json: boolean): RenderedReport => {
     if (report.kind === "Done") {
         const out = json ? `${formatJson({ ok: true, result: report.result })}\n` : toText(report.lines);
--- a/packages/oleandergap-cli/src/runCommand.ts
+++ b/packages/oleandergap-cli/src/runCommand.ts
@@ -1,4 +1,4 @@
-/** Runs one command: opens the client, does the work, writes the report, sets the exit code. */
+/** Runs commands: opens the client, executes the command, writes its report and records the exit code. */
 import type { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
 import type { OperatorClient } from "oleandergap-operator";
@@ -6,25 +6,28 @@
 import { openClient, readGlobalOptions, type GlobalOptions } from "./settings/globalOptions.js";
 import { renderReport, type CommandReport } from "./report/report.js";
 
-/** What a command's work may use. */
+/** Client, environment and options that are available to a command. */
 export interface CommandSession {
     readonly client: OperatorClient;
     readonly environment: Environment;
     readonly globalOptions: GlobalOptions;
 }
 
-/** Runs the work of commands and remembers how the last one ended. */
+/** Runs commands and records the exit code of the last one. */
 export interface CommandRunner {
     readonly environment: Environment;
-    /** For work that asks nodes. */
-    readonly withClient: (command: Command, work: (session: CommandSession) => Promise<CommandReport>) => Promise<void>;
-    /** For work that asks nobody. */
-    readonly withoutClient: (command: Command, work: () => Promise<CommandReport>) => Promise<void>;
-    /** Exit code of what ran last. */
-    readonly exitCode: () => number;
+    /** Runs a command that sends requests to nodes. */
+    readonly runWithClient: (
+        command: Command,
+        execute: (session: CommandSession) => Promise<CommandReport>,
+    ) => Promise<void>;
+    /** Runs a command that needs no node. */
+    readonly runWithoutClient: (command: Command, execute: () => Promise<CommandReport>) => Promise<void>;
+    /** Returns the exit code of the command that ran last. */
+    readonly getExitCode: () => number;
 }
 
-/** Creates the runner of one command line. */
+/** Creates the command runner of one command line. */
 export const createCommandRunner = (environment: Environment): CommandRunner => {
     let exitCode = 0;
 
@@ -41,17 +44,17 @@
 
     return {
         environment,
-        withClient: async (command, work) => {
+        runWithClient: async (command, execute) => {
             const globalOptions = readGlobalOptions(command);
             const client = await openClient(globalOptions, environment);
             const report = either.isLeft(client) ?
                 client.left :
-                await work({ client: client.right, environment, globalOptions });
+                await execute({ client: client.right, environment, globalOptions });
             finish(report, globalOptions);
         },
-        withoutClient: async (command, work) => {
-            finish(await work(), readGlobalOptions(command));
+        runWithoutClient: async (command, execute) => {
+            finish(await execute(), readGlobalOptions(command));
         },
-        exitCode: () => exitCode,
+        getExitCode: () => exitCode,
     };
 };
--- a/packages/oleandergap-cli/src/settings/credentialFile.ts
+++ b/packages/oleandergap-cli/src/settings/credentialFile.ts
@@ -1,17 +1,17 @@
-/** Reads the operator's credential from a file that nobody else can read. */
+/** Reads the operator's credential from a file that only its owner can read. */
 import * as either from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import { isWellFormedCredential } from "oleandergap-operator";
 import { formatSecretFileError, readSecretFile } from "oleandergap-validation";
 
-/** Why a file gave no credential. */
+/** Reason why no credential could be read from a file. */
 export interface CredentialFileError {
     readonly kind: "BadCredentialFile";
-    /** A sentence for the operator; never holds the file's content. */
+    /** Message for the operator. It never contains content of the file. */
     readonly problem: string;
 }
 
-/** The credential in `file`; refused when group or others may read the file. */
+/** Reads the credential in `file`. A file that the group or others may read is rejected. */
 export const readCredentialFile = (file: string): TaskEither<CredentialFileError, string> => async () => {
     const text = await readSecretFile(file)();
     if (either.isLeft(text)) {
@@ -20,5 +20,5 @@
     const content = text.right.trim();
     return isWellFormedCredential(content) ?
         either.right(content) :
-        either.left({ kind: "BadCredentialFile", problem: `The file ${file} does not hold a credential.` });
+        either.left({ kind: "BadCredentialFile", problem: `The file ${file} does not contain a credential.` });
 };
--- a/packages/oleandergap-cli/src/settings/globalOptions.ts
+++ b/packages/oleandergap-cli/src/settings/globalOptions.ts
@@ -1,4 +1,4 @@
-/** Options that every command understands, and the client that they lead to. */
+/** Options that are common to all commands, and the client that is created from them. */
 import { dirname, resolve } from "node:path";
 import type { Command } from "commander";
 import * as either from "fp-ts/lib/Either.js";
@@ -12,7 +12,7 @@
 import { reportFailure, type CommandReport } from "../report/report.js";
 import { commandLineSettingsSchema, defaultTimeoutMs, type CommandLineSettings } from "./settings.js";
 
-/** The options as commander hands them over. */
+/** The options as parsed by commander. */
 export interface GlobalOptions {
     readonly settings?: string;
     readonly node?: readonly string[];
@@ -21,10 +21,10 @@
     readonly checkSettings?: boolean;
 }
 
-/** The options of `command` and of the program that it belongs to. */
+/** Returns the options of `command` and of the program that it belongs to. */
 export const readGlobalOptions = (command: Command): GlobalOptions => command.optsWithGlobals<GlobalOptions>();
 
-/** The given options again as words, for a command line that is to be repeated. */
+/** Formats the given options as arguments of a command line that repeats the command. */
 export const formatGlobalOptions = ({ settings, node, credentialFile }: GlobalOptions): readonly string[] => [
     ...settings === undefined ? [] : ["--settings", quoteShellWord(settings)],
     ...(node ?? []).flatMap((address) => ["--node", quoteShellWord(address)]),
@@ -33,54 +33,54 @@
 
 const NODE_PATTERN = /^(?:\[([0-9A-Fa-f:.]+)\]|([0-9.]+)):([0-9]{1,5})$/;
 
-/** Reads `ADDRESS:PORT`; whether address and port are valid is left to the settings' schema. */
+/** Parses `ADDRESS:PORT`. The settings schema validates the address and the port. */
 const parseNode = (text: string): NodeAddress | string => {
     const [, ipv6, ipv4, port] = NODE_PATTERN.exec(text) ?? [];
     const address = ipv6 ?? ipv4;
     return address === undefined ? text : { address, port: Number(port) };
 };
 
-const usageFailure = (message: string): CommandReport => reportFailure(EXIT_USAGE, { kind: "Usage", message });
-const settingsFailure = (message: string): CommandReport => {
+const reportUsageError = (message: string): CommandReport => reportFailure(EXIT_USAGE, { kind: "Usage", message });
+const reportSettingsError = (message: string): CommandReport => {
     const [first = "", ...more] = message.split("\n");
     return reportFailure(EXIT_USAGE, { kind: "Settings", message: first }, more);
 };
 
-const loadFile = async (file: string): Promise<Either<CommandReport, CommandLineSettings>> => {
+const loadSettingsFile = async (file: string): Promise<Either<CommandReport, CommandLineSettings>> => {
     const loaded = await loadSettings(commandLineSettingsSchema, file)();
     if (either.isLeft(loaded)) {
-        return either.left(settingsFailure(formatSettingsError(loaded.left)));
+        return either.left(reportSettingsError(formatSettingsError(loaded.left)));
     }
     return either.right({ ...loaded.right, credentialFile: resolve(dirname(file), loaded.right.credentialFile) });
 };
 
-/** Settings from the file, if any, with what the command line says over them. */
+/** Reads the settings from the file, if any. Options of the command line override them. */
 export const readSettings = async (
     options: GlobalOptions,
     environment: Environment,
 ): Promise<Either<CommandReport, CommandLineSettings>> => {
     const file = options.settings ?? environment.variables[SETTINGS_VARIABLE];
     if (file === undefined && (options.node === undefined || options.credentialFile === undefined)) {
-        return either.left(usageFailure(
-            `Name a settings file with --settings or ${SETTINGS_VARIABLE}, or give --node and --credential-file.`,
+        return either.left(reportUsageError(
+            `Specify a settings file with --settings or ${SETTINGS_VARIABLE}, or give --node and --credential-file.`,
         ));
     }
-    const fromFile = file === undefined ? undefined : await loadFile(file);
+    const fromFile = file === undefined ? undefined : await loadSettingsFile(file);
     if (fromFile !== undefined && either.isLeft(fromFile)) {
         return fromFile;
     }
-    const merged = {
+    const mergedSettings = {
         timeoutMs: defaultTimeoutMs,
         ...fromFile?.right,
         ...options.node === undefined ? {} : { nodes: options.node.map(parseNode) },
         ...options.credentialFile === undefined ? {} : { credentialFile: resolve(options.credentialFile) },
     };
-    const checked = validateSettings(commandLineSettingsSchema, merged, "command line");
+    const validated = validateSettings(commandLineSettingsSchema, mergedSettings, "command line");
     return either.mapLeft((error: Parameters<typeof formatSettingsError>[0]) =>
-        settingsFailure(formatSettingsError(error)))(checked);
+        reportSettingsError(formatSettingsError(error)))(validated);
 };
 
-/** The client for this command, or why there is none. */
+/** Creates the client for a command. Returns a failure report when the settings or the credential are invalid. */
 export const openClient = async (
     options: GlobalOptions,
     environment: Environment,
--- a/packages/oleandergap-cli/src/settings/settings.ts
+++ b/packages/oleandergap-cli/src/settings/settings.ts
@@ -1,19 +1,22 @@
-/** Settings of the command line, in YAML. */
+/** Settings of the command line, read from a YAML file. */
 import { addressSchema, portSchema } from "oleandergap-types";
 import { z } from "zod";
 
 const DEFAULT_TIMEOUT_MS = 15_000;
 
-/** The settings file; unknown keys are refused. */
+/** Schema of the settings file. Unknown keys are rejected. */
 export const commandLineSettingsSchema = z.strictObject({
-    /** Nodes to ask, in this order, until one answers. Any node will do; better from different zones. */
+    /**
+     * Nodes in the order in which they are tried until one responds. Any node can be used; nodes of different
+     * availability zones are recommended.
+     */
     nodes: z.array(z.strictObject({ address: addressSchema, port: portSchema })).min(1).max(32),
-    /** File that holds the credential; a relative path starts at the folder of the settings file. */
+    /** File with the credential. A relative path is resolved against the folder of the settings file. */
     credentialFile: z.string().min(1),
-    /** Longest wait for one node, in milliseconds. */
+    /** Maximum time to wait for the response of one node, in milliseconds. */
     timeoutMs: z.number().int().min(100).max(120_000).default(DEFAULT_TIMEOUT_MS),
 });
 export type CommandLineSettings = z.infer<typeof commandLineSettingsSchema>;
 
-/** Wait for one node when no settings file says otherwise, in milliseconds. */
+/** Maximum time to wait for one node when no settings file sets it, in milliseconds. */
 export const defaultTimeoutMs = DEFAULT_TIMEOUT_MS;
