--- a/packages/oleandergap-cli/src/__tests__/program.test.ts
+++ b/packages/oleandergap-cli/src/__tests__/program.test.ts
@@ -59,7 +59,7 @@
 
     it("reports a conflict when another operator changes the cell between the read and the change", async () => {
         // Guards against silently overwriting the value of another operator: both operators read 100, one sets 70, then
-        // the other sets 60. This happened when the change did not include the value that it was based on.
+        // the other sets 60. The change must include the value that it is based on.
         harness.beforeAccept = async () => {
             harness.beforeAccept = () => Promise.resolve();
             expect((await harness.run("set", "grant-filer.weights.hall-a=70")).exitCode).to.equal(0);
@@ -92,16 +92,16 @@
     });
 
     it("applies a change file in one change and rejects a file that would make the table invalid", async () => {
-        const good = await harness.writeFile("change.yaml", [
+        const validFile = await harness.writeFile("change.yaml", [
             "set: { grant-filer.weights.hall-b: 30, limits/filing/concurrency: 24 }",
             "unset: [grant-filer.weights.hall-a]",
             "expect: { limits/filing/concurrency: 12 }",
         ].join("\n"));
-        expect((await harness.run("validate", "-f", good)).out).to.include("grant-filer.weights.hall-a: 100 -> (empty)");
-        expect((await harness.run("apply", "-f", good)).exitCode).to.equal(0);
-        const bad = await harness.writeFile("bad.yaml", "set: { grant-filer.limit: nowhere }");
+        expect((await harness.run("validate", "-f", validFile)).out).to.include("grant-filer.weights.hall-a: 100 -> (empty)");
+        expect((await harness.run("apply", "-f", validFile)).exitCode).to.equal(0);
+        const invalidFile = await harness.writeFile("bad.yaml", "set: { grant-filer.limit: nowhere }");
         for (const command of ["validate", "apply"]) {
-            const result = await harness.run(command, "-f", bad);
+            const result = await harness.run(command, "-f", invalidFile);
             expect(result.exitCode).to.equal(4);
             expect(result.error).to.include("nowhere");
         }
@@ -208,8 +208,8 @@
         // terminal or change the text direction, and the value is written without escaping.
         const result = await harness.run("set", "grant-filer.limit=\u001b[2J\u202efiling");
         expect(result.exitCode).to.equal(4);
-        const stray = await harness.run("get", "\u001b[31m");
-        for (const text of [result.out, result.error, stray.out, stray.error]) {
+        const malformedCell = await harness.run("get", "\u001b[31m");
+        for (const text of [result.out, result.error, malformedCell.out, malformedCell.error]) {
             expect(hasUnsafeCharacters(text.replaceAll("\n", ""))).to.equal(false);
         }
         expect(result.error).to.include("\\u001b[2J\\u202efiling");
--- a/packages/oleandergap-cli/src/changes/changeFile.ts
+++ b/packages/oleandergap-cli/src/changes/changeFile.ts
@@ -47,8 +47,8 @@
     if (either.isLeft(content)) {
         // The messages of the settings loader mention a settings file, but this file is a change file.
         const text = formatSettingsError(content.left).replace(/settings file/i, "change file");
-        const [message = "", ...more] = text.split("\n");
-        return either.left(reportFailure(EXIT_USAGE, { kind: "ChangeFile", message }, more));
+        const [message = "", ...detailLines] = text.split("\n");
+        return either.left(reportFailure(EXIT_USAGE, { kind: "ChangeFile", message }, detailLines));
     }
     return either.mapLeft(reportNotationError)(parseChangeFile(content.right));
 };
--- a/packages/oleandergap-cli/src/changes/sendChange.ts
+++ b/packages/oleandergap-cli/src/changes/sendChange.ts
@@ -69,10 +69,10 @@
 };
 
 const formatOutcome = ({ kind, partner, sequence, changeId, repeated }: ChangeOutcomeView): string => {
-    const when = repeated ? "earlier, under the same change id" : `change ${changeId}`;
+    const changeLabel = repeated ? "earlier, under the same change id" : `change ${changeId}`;
     return kind === "Accepted" ?
-        `Accepted as version ${sequence} of ${partner} (${when}).` :
-        `Nothing to change: version ${sequence} of ${partner} already has these values (${when}).`;
+        `Accepted as version ${sequence} of ${partner} (${changeLabel}).` :
+        `Nothing to change: version ${sequence} of ${partner} already has these values (${changeLabel}).`;
 };
 
 /** Adds the expected values to the edits. Reads the table only when an edit has no stated expectation. */
--- a/packages/oleandergap-cli/src/commands/apply.ts
+++ b/packages/oleandergap-cli/src/commands/apply.ts
@@ -56,7 +56,7 @@
 Example:
   $ oleandergap apply -f move-grant-filer.yaml --wait`;
 
-/** The subcommand `apply` with its arguments, options and help. */
+/** Creates the subcommand `apply` with its arguments, options and help. */
 export const createApplyCommand = (runner: CommandRunner): Command =>
     addChangeOptions(new Command("apply"))
         .description("Make the change that a YAML file describes.")
--- a/packages/oleandergap-cli/src/commands/audit.ts
+++ b/packages/oleandergap-cli/src/commands/audit.ts
@@ -34,7 +34,7 @@
     return reportSuccess(response.right, [...lines, ...formatNextPage("audit", response.right)]);
 };
 
-/** The subcommand `audit` with its arguments, options and help. */
+/** Creates the subcommand `audit` with its arguments, options and help. */
 export const createAuditCommand = (runner: CommandRunner): Command =>
     addPageOptions(new Command("audit"))
         .description("Show who changed which cell of your table, when, from what to what; newest first.")
--- a/packages/oleandergap-cli/src/commands/createCredential.ts
+++ b/packages/oleandergap-cli/src/commands/createCredential.ts
@@ -36,9 +36,9 @@
         return reportFailure(EXIT_USAGE, { kind: "Usage", message: "The names are invalid:" }, problems);
     }
     const credential = generateCredential();
-    const problem = await writeNewFile(out, credential);
-    if (problem !== undefined) {
-        return reportFailure(EXIT_FAILURE, { kind: "File", message: `The file ${out} cannot be written (${problem}).` });
+    const errorCode = await writeNewFile(out, credential);
+    if (errorCode !== undefined) {
+        return reportFailure(EXIT_FAILURE, { kind: "File", message: `The file ${out} cannot be written (${errorCode}).` });
     }
     const row = { key: formatOperatorKey(hashCredential(credential)), value: identity.data };
     return reportSuccess({ file: out, row }, [
@@ -50,7 +50,7 @@
     ]);
 };
 
-/** The subcommand `create-credential` with its arguments, options and help. */
+/** Creates the subcommand `create-credential` with its arguments, options and help. */
 export const createCreateCredentialCommand = (runner: CommandRunner): Command =>
     new Command("create-credential")
         .description("Create a credential file and show the table row that makes the credential valid.")
--- a/packages/oleandergap-cli/src/commands/drain.ts
+++ b/packages/oleandergap-cli/src/commands/drain.ts
@@ -19,7 +19,7 @@
 
 Find node names with: oleandergap targets. Only your own targets can be drained.`;
 
-/** The subcommand `drain` with its arguments, options and help. */
+/** Creates the subcommand `drain` with its arguments, options and help. */
 export const createDrainCommand = (runner: CommandRunner): Command =>
     new Command("drain")
         .description("Drain the target of a node: it accepts no new requests and finishes those in flight.")
--- a/packages/oleandergap-cli/src/commands/get.ts
+++ b/packages/oleandergap-cli/src/commands/get.ts
@@ -32,7 +32,7 @@
     return reportSuccess(view, [formatHeading(view), "", ...lines]);
 };
 
-/** The subcommand `get` with its arguments, options and help. */
+/** Creates the subcommand `get` with its arguments, options and help. */
 export const createGetCommand = (runner: CommandRunner): Command =>
     new Command("get")
         .description("Show your table, or one row of it with its limit.")
--- a/packages/oleandergap-cli/src/commands/history.ts
+++ b/packages/oleandergap-cli/src/commands/history.ts
@@ -18,7 +18,7 @@
     return reportSuccess(response.right, [...lines, ...formatNextPage("history", response.right)]);
 };
 
-/** The subcommand `history` with its arguments, options and help. */
+/** Creates the subcommand `history` with its arguments, options and help. */
 export const createHistoryCommand = (runner: CommandRunner): Command =>
     addPageOptions(new Command("history"))
         .description("Show the accepted versions of your table, newest first, with the cells that each changed.")
--- a/packages/oleandergap-cli/src/commands/members.ts
+++ b/packages/oleandergap-cli/src/commands/members.ts
@@ -18,7 +18,7 @@
     return reportSuccess(response.right, [...lines, ...formatUnknownZones(unknownZones)]);
 };
 
-/** The subcommand `members` with its arguments, options and help. */
+/** Creates the subcommand `members` with its arguments, options and help. */
 export const createMembersCommand = (runner: CommandRunner): Command =>
     new Command("members")
         .description("Show the nodes of all zones, their state, and the partner that owns the target of each.")
--- a/packages/oleandergap-cli/src/commands/set.ts
+++ b/packages/oleandergap-cli/src/commands/set.ts
@@ -32,7 +32,7 @@
 All cells of one command change together or not at all. By default, the command reads the table first and
 expects each cell to keep this value; after a concurrent change it reports a conflict and changes nothing.`;
 
-/** The subcommand `set` with its arguments, options and help. */
+/** Creates the subcommand `set` with its arguments, options and help. */
 export const createSetCommand = (runner: CommandRunner): Command =>
     addChangeOptions(new Command("set"))
         .description("Set one or more cells in one change.")
--- a/packages/oleandergap-cli/src/commands/targets.ts
+++ b/packages/oleandergap-cli/src/commands/targets.ts
@@ -7,7 +7,7 @@
 import { reportSuccess, reportOperatorError, type CommandReport } from "../report/report.js";
 import type { CommandRunner, CommandSession } from "../runCommand.js";
 
-/** Formats the whole seconds since the first announcement; 0 when clock skew between the machines makes it negative. */
+/** Formats the whole seconds since the first announcement. A negative age, caused by clock skew, is shown as 0. */
 const formatAge = (since: number, now: number): string =>
     `${Math.max(0, Math.floor((now - since) / MILLISECONDS_PER_SECOND))} s`;
 
@@ -24,7 +24,7 @@
     return reportSuccess(response.right, [...lines, ...formatUnknownZones(unknownZones)]);
 };
 
-/** The subcommand `targets` with its arguments, options and help. */
+/** Creates the subcommand `targets` with its arguments, options and help. */
 export const createTargetsCommand = (runner: CommandRunner): Command =>
     new Command("targets")
         .description("Show your targets in all zones.")
--- a/packages/oleandergap-cli/src/commands/unset.ts
+++ b/packages/oleandergap-cli/src/commands/unset.ts
@@ -28,7 +28,7 @@
   $ oleandergap unset grant-filer.weights.hall-c
   $ oleandergap unset limits/old/concurrency limits/old/queue limits/old/timeoutMs limits/old/retryRatio`;
 
-/** The subcommand `unset` with its arguments, options and help. */
+/** Creates the subcommand `unset` with its arguments, options and help. */
 export const createUnsetCommand = (runner: CommandRunner): Command =>
     addChangeOptions(new Command("unset"))
         .description("Empty one or more cells in one change.")
--- a/packages/oleandergap-cli/src/commands/validate.ts
+++ b/packages/oleandergap-cli/src/commands/validate.ts
@@ -69,7 +69,7 @@
   $ oleandergap validate grant-filer.weights.hall-a=50
   $ oleandergap validate -f move-grant-filer.yaml`;
 
-/** The subcommand `validate` with its arguments, options and help. */
+/** Creates the subcommand `validate` with its arguments, options and help. */
 export const createValidateCommand = (runner: CommandRunner): Command =>
     new Command("validate")
         .description("Validate a change without making it.")
--- a/packages/oleandergap-cli/src/commands/versions.ts
+++ b/packages/oleandergap-cli/src/commands/versions.ts
@@ -18,7 +18,7 @@
     readonly timeout: number;
 }
 
-const UNKNOWN = "unknown";
+const UNKNOWN_SEQUENCE = "unknown";
 
 const findNewestSequence = ({ newest }: VersionsView, partner: PartnerName): Sequence =>
     newest.find((head) => head.partner === partner)?.sequence ?? 0;
@@ -26,12 +26,12 @@
 const formatSequence = (node: NodeVersion, partner: PartnerName, newest: Sequence): string => {
     const sequence = findAppliedSequence(node, partner);
     if (sequence === undefined) {
-        return UNKNOWN;
+        return UNKNOWN_SEQUENCE;
     }
     return sequence < newest ? `${sequence} (${newest - sequence} behind)` : String(sequence);
 };
 
-/** Returns a warning when the platform did not confirm the newest known version, since it may not be the newest. */
+/** Returns a warning when the platform did not confirm the newest known version: a newer one may have been accepted. */
 const formatUnconfirmedWarning = ({ confirmedByPlatform }: VersionsView): readonly string[] =>
     confirmedByPlatform ? [] : ["The platform could not be reached; newer versions may have been accepted."];
 
@@ -82,7 +82,7 @@
 
 A node or a zone that could not be queried is unknown. With --wait, it counts as not in force.`;
 
-/** The subcommand `versions` with its arguments, options and help. */
+/** Creates the subcommand `versions` with its arguments, options and help. */
 export const createVersionsCommand = (runner: CommandRunner): Command =>
     new Command("versions")
         .description("Show the version that each node serves from, and on how many nodes the newest is in force.")
--- a/packages/oleandergap-cli/src/fleet/convergence.ts
+++ b/packages/oleandergap-cli/src/fleet/convergence.ts
@@ -27,11 +27,11 @@
 
 /** Counts the nodes that serve from `sequence` or a later version of `partner`. */
 export const measureConvergence = (view: VersionsView, partner: PartnerName, sequence: Sequence): Convergence => {
-    const serving = view.nodes.filter(isServing);
-    const missing = serving.filter((node) => (findAppliedSequence(node, partner) ?? -1) < sequence);
+    const servingNodes = view.nodes.filter(isServing);
+    const missing = servingNodes.filter((node) => (findAppliedSequence(node, partner) ?? -1) < sequence);
     const unknownZones = view.unknownZones.map(({ zone }) => zone);
-    const converged = serving.length > 0 && missing.length === 0 && unknownZones.length === 0;
-    return { partner, sequence, inForce: serving.length - missing.length, missing, unknownZones, converged };
+    const converged = servingNodes.length > 0 && missing.length === 0 && unknownZones.length === 0;
+    return { partner, sequence, inForce: servingNodes.length - missing.length, missing, unknownZones, converged };
 };
 
 const describeNode = (node: NodeVersion, partner: PartnerName): string => {
--- a/packages/oleandergap-cli/src/program.ts
+++ b/packages/oleandergap-cli/src/program.ts
@@ -25,7 +25,7 @@
   SERVICE.COLUMN              short for services/SERVICE/COLUMN, for example grant-filer.limit
   SERVICE.weights.ZONE        weight of a zone, for example grant-filer.weights.hall-a
   limits/NAME/COLUMN          concurrency, queue, timeoutMs or retryRatio of a limit
-  zones/ZONE/enabled          1 makes a zone known to the table
+  zones/ZONE/enabled          1 adds a zone to the table
 
 Examples:
   $ export OLEANDERGAP_SETTINGS=~/oleandergap.yaml
@@ -36,7 +36,7 @@
 
 Exit codes:
   0 success                     5 credential missing or rejected, or not allowed
-  1 failure                     6 no node or not the platform could be reached
+  1 failure                     6 no node or platform could be reached
   2 invalid usage or settings   7 outcome of the change unknown; how to repeat it is shown
   3 conflict, nothing changed   8 too many requests or changes, nothing changed; try again later
   4 invalid, nothing changed`;
--- a/packages/oleandergap-cli/src/report/exitCodes.ts
+++ b/packages/oleandergap-cli/src/report/exitCodes.ts
@@ -3,7 +3,7 @@
 
 /** The command succeeded. */
 export const EXIT_OK = 0;
-/** Any other failure: an item was not found, a version was not in force in time, or a node had an internal error. */
+/** Any other failure, for example an item was not found, a version was not in force in time, or a node had an error. */
 export const EXIT_FAILURE = 1;
 /** The command line or the settings are invalid. Nothing was sent. */
 export const EXIT_USAGE = 2;
--- a/packages/oleandergap-cli/src/report/report.ts
+++ b/packages/oleandergap-cli/src/report/report.ts
@@ -50,16 +50,16 @@
     readonly error: string;
 }
 
-const toText = (lines: readonly string[]): string => lines.map((line) => `${escapeText(line)}\n`).join("");
+const formatLines = (lines: readonly string[]): string => lines.map((line) => `${escapeText(line)}\n`).join("");
 
 /** Renders a report. With `json`, the output is exactly one JSON value, both on success and on failure. */
 export const renderReport = (report: CommandReport, json: boolean): RenderedReport => {
     if (report.kind === "Done") {
-        const out = json ? `${formatJson({ ok: true, result: report.result })}\n` : toText(report.lines);
+        const out = json ? `${formatJson({ ok: true, result: report.result })}\n` : formatLines(report.lines);
         return { exitCode: EXIT_OK, out, error: "" };
     }
     const { exitCode, error } = report;
     return json ?
         { exitCode, out: `${formatJson({ ok: false, exitCode, error })}\n`, error: "" } :
-        { exitCode, out: "", error: toText(report.lines) };
+        { exitCode, out: "", error: formatLines(report.lines) };
 };
--- a/packages/oleandergap-cli/src/settings/globalOptions.ts
+++ b/packages/oleandergap-cli/src/settings/globalOptions.ts
@@ -42,8 +42,8 @@
 
 const reportUsageError = (message: string): CommandReport => reportFailure(EXIT_USAGE, { kind: "Usage", message });
 const reportSettingsError = (message: string): CommandReport => {
-    const [first = "", ...more] = message.split("\n");
-    return reportFailure(EXIT_USAGE, { kind: "Settings", message: first }, more);
+    const [first = "", ...detailLines] = message.split("\n");
+    return reportFailure(EXIT_USAGE, { kind: "Settings", message: first }, detailLines);
 };
 
 const loadSettingsFile = async (file: string): Promise<Either<CommandReport, CommandLineSettings>> => {
--- a/packages/oleandergap-operator/src/__tests__/askNodes.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/askNodes.test.ts
@@ -31,15 +31,15 @@
 
 const runQuery = (behaviours: readonly NodeBehaviour[], signal = new AbortController().signal): QueryRun => {
     const clock = createManualClock();
-    const asked: number[] = [];
-    const aborted: number[] = [];
+    const queriedPorts: number[] = [];
+    const abortedPorts: number[] = [];
     const result = queryNodes<string>({
         nodes: behaviours.map((_behaviour, index) => ({ address: "127.0.0.1", port: index })),
         attempt: ({ port }, abort) => new Promise((resolve) => {
-            asked.push(port);
+            queriedPorts.push(port);
             const behaviour = behaviours[port];
             abort.addEventListener("abort", () => {
-                aborted.push(port);
+                abortedPorts.push(port);
                 resolve(timedOutResult);
             });
             if (behaviour?.after !== undefined) {
@@ -50,7 +50,7 @@
         clock,
         signal,
     });
-    return { clock, queriedPorts: asked, abortedPorts: aborted, result };
+    return { clock, queriedPorts, abortedPorts, result };
 };
 
 describe("queryNodes", () => {
--- a/packages/oleandergap-operator/src/__tests__/authorisation.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/authorisation.test.ts
@@ -58,8 +58,8 @@
             expect(await call(createTestClient([node.address]))).to.have.property("_tag", "Right");
             node.changes.requests.length = 0;
             for (const credential of [UNKNOWN_CREDENTIAL, "malformed", ""]) {
-                const refused = await call(createTestClient([node.address], credential));
-                expect(refused).to.deep.equal(either.left({ kind: "Unauthenticated" }));
+                const response = await call(createTestClient([node.address], credential));
+                expect(response).to.deep.equal(either.left({ kind: "Unauthenticated" }));
             }
             expect(node.changes.requests).to.deep.equal([]);
             expect(findSecrets(node.logLines.join("\n"))).to.deep.equal([]);
--- a/packages/oleandergap-operator/src/__tests__/credentialChecker.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/credentialChecker.test.ts
@@ -162,10 +162,10 @@
                     case "Check": {
                         const isGrantedByReference = table.failure === undefined && table.rows.has(hallowayKey);
                         const isGranted = (await check(HALLOWAY_CREDENTIAL, step.purpose))._tag === "Right";
-                        const bound = table.failure === undefined ? FRESH_MS : GRACE_MS;
-                        const isWithinBound = step.purpose === "read" && clock.monotonic() - lastValidAt <= bound;
+                        const allowedAgeMs = table.failure === undefined ? FRESH_MS : GRACE_MS;
+                        const isWithinAllowedTime = step.purpose === "read" && clock.monotonic() - lastValidAt <= allowedAgeMs;
                         expect(isGranted || !isGrantedByReference).to.equal(true);
-                        expect(!isGranted || isGrantedByReference || isWithinBound).to.equal(true);
+                        expect(!isGranted || isGrantedByReference || isWithinAllowedTime).to.equal(true);
                     }
                 }
             }
--- a/packages/oleandergap-operator/src/__tests__/sendToNodes.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/sendToNodes.test.ts
@@ -102,24 +102,24 @@
     });
 
     it("reports a correct outcome for every sequence of attempts", async () => {
-        const uncertain = new Set(["AnswerLost", "OutcomeUnknown", "Internal"]);
-        const decisive = new Set(["Accepted", "Conflict", "Invalid", "ChangeIdReused"]);
+        const uncertainKinds = new Set(["AnswerLost", "OutcomeUnknown", "Internal"]);
+        const definitiveKinds = new Set(["Accepted", "Conflict", "Invalid", "ChangeIdReused"]);
         const attempts = fc.array(attemptArbitrary, { minLength: 1, maxLength: 5 });
         await fc.assert(fc.asyncProperty(attempts, async (results) => {
             const { answer, attemptCount } = await runSend(results);
             const kinds = results.slice(0, attemptCount).map(getResultKind);
             const outcome = either.isRight(answer) ? "Accepted" : answer.left.kind;
             const last = kinds.at(-1) ?? "";
-            if (decisive.has(last)) {
+            if (definitiveKinds.has(last)) {
                 expect(outcome).to.equal(last);
             }
-            else if (kinds.some((kind) => uncertain.has(kind))) {
+            else if (kinds.some((kind) => uncertainKinds.has(kind))) {
                 expect(outcome).to.equal("OutcomeUnknown");
             }
             else {
                 expect(outcome).to.be.oneOf([...kinds, "NodeUnreachable"]);
             }
-            expect(kinds.slice(0, -1).some((kind) => decisive.has(kind))).to.equal(false);
+            expect(kinds.slice(0, -1).some((kind) => definitiveKinds.has(kind))).to.equal(false);
         }));
     });
 
--- a/packages/oleandergap-operator/src/client/judgeAttempts.ts
+++ b/packages/oleandergap-operator/src/client/judgeAttempts.ts
@@ -14,7 +14,7 @@
 
 type ErrorKind = OperatorError["kind"];
 
-/** Errors after which another node may succeed: it may reach the platform, be ready or have the outcome. */
+/** Errors after which another node may succeed: it may reach the platform, be ready or return the outcome. */
 const RETRYABLE_AT_ANOTHER_NODE: ReadonlySet<ErrorKind> = new Set<ErrorKind>([
     "PlatformUnavailable", "NotReady", "OutcomeUnknown", "Internal", "NodeUnreachable",
 ]);
@@ -51,9 +51,9 @@
  */
 export const selectError = <Data>(
     results: readonly AttemptResult<Data>[],
-    failed: readonly FailedAttempt[],
+    failedAttempts: readonly FailedAttempt[],
 ): OperatorError => {
     const nodeErrors = results.flatMap((result) =>
         result.kind === "Answered" && either.isLeft(result.answer) ? [result.answer.left] : []);
-    return nodeErrors.at(-1) ?? { kind: "NodeUnreachable", attempts: [...failed] };
+    return nodeErrors.at(-1) ?? { kind: "NodeUnreachable", attempts: [...failedAttempts] };
 };
--- a/packages/oleandergap-operator/src/client/operatorClient.ts
+++ b/packages/oleandergap-operator/src/client/operatorClient.ts
@@ -71,10 +71,11 @@
         ],
     });
 
-interface Procedure<Schema extends z.ZodType> {
+/** Request that calls one procedure, with the schema of its response. */
+interface ProcedureRequest<Schema extends z.ZodType> {
     readonly schema: Schema;
     readonly send: (client: RouterClient, signal: AbortSignal) => Promise<unknown>;
-    /** Id of the change that the request sends. Requests without one can be sent to several nodes at once. */
+    /** Id of the change that is sent. A request without a change can be sent to several nodes at the same time. */
     readonly changeId?: string;
 }
 
@@ -88,7 +89,7 @@
     let orderedNodes = [...nodes];
 
     const attemptRequest = async <Schema extends z.ZodType>(
-        { schema, send }: Procedure<Schema>,
+        { schema, send }: ProcedureRequest<Schema>,
         node: NodeAddress,
         abortSignal: AbortSignal,
     ): Promise<AttemptResult<z.output<Schema>>> => {
@@ -105,24 +106,24 @@
     };
 
     const sendRequest = <Schema extends z.ZodType>(
-        procedure: Procedure<Schema>,
+        request: ProcedureRequest<Schema>,
     ): Promise<NodesResult<z.output<Schema>>> => {
-        const { changeId } = procedure;
+        const { changeId } = request;
         const attemptAtNode = (node: NodeAddress, abortSignal: AbortSignal): Promise<AttemptResult<z.output<Schema>>> =>
-            attemptRequest(procedure, node, abortSignal);
+            attemptRequest(request, node, abortSignal);
         return changeId === undefined ?
             queryNodes({ nodes: orderedNodes, attempt: attemptAtNode, hedgeDelayMs: HEDGE_DELAY_MS, clock, signal }) :
             sendToNodes({ nodes: orderedNodes, attempt: (node) => attemptAtNode(node, signal), changeId, signal });
     };
 
     const callProcedure = <Schema extends z.ZodType>(
-        procedure: Procedure<Schema>,
+        request: ProcedureRequest<Schema>,
     ): ProcedureCall<z.output<Schema>> => async () => {
         // The HTTP library would include a text that is not a valid header value in its error message.
         if (!isWellFormedCredential(credential)) {
             return either.left({ kind: "Unauthenticated" });
         }
-        const { answer, node } = await sendRequest(procedure);
+        const { answer, node } = await sendRequest(request);
         if (node !== undefined) {
             orderedNodes = [node, ...orderedNodes.filter((other) => other !== node)];
         }
--- a/packages/oleandergap-operator/src/client/sendToNodes.ts
+++ b/packages/oleandergap-operator/src/client/sendToNodes.ts
@@ -19,7 +19,7 @@
     readonly nodes: readonly NodeAddress[];
     /** Sends the change to one node. The promise never rejects. */
     readonly attempt: (node: NodeAddress) => Promise<AttemptResult<Data>>;
-    /** Id of the change. Nodes deduplicate by it, so that repeating the request is safe. */
+    /** Id of the change. A change id is accepted at most once, so that repeating the request is safe. */
     readonly changeId: string;
     readonly signal: AbortSignal;
 }
--- a/packages/oleandergap-operator/src/ports.ts
+++ b/packages/oleandergap-operator/src/ports.ts
@@ -58,8 +58,8 @@
      */
     readonly report: (query: { readonly withHeads: boolean }, signal: AbortSignal) => Promise<FleetReport>;
     /**
-     * Requests a node to drain its target, provided that the target still belongs to `service`. Between the ownership
-     * check and the drain, a target of another partner may have replaced it.
+     * Sends a node the request to drain its target, provided that the target still belongs to `service`. Between the
+     * ownership check and the drain, a target of another partner may have replaced it.
      */
     readonly drain: (
         request: { readonly nodeId: NodeId; readonly service: ServiceReference },
--- a/packages/oleandergap-operator/src/procedures/change.ts
+++ b/packages/oleandergap-operator/src/procedures/change.ts
@@ -37,11 +37,11 @@
         return identity;
     }
     const { partner, operator } = identity.right;
-    const accepting = pipe(
+    const acceptance = pipe(
         changeService.accept({ partner, operator, ...input }, signal),
         taskEither.bimap(convertChangeError, toOutcomeView),
     );
-    const outcome = await withDeadline(signal, accepting, {
+    const outcome = await withDeadline(signal, acceptance, {
         kind: "OutcomeUnknown",
         changeId: input.changeId,
         detail: "the platform did not confirm it in time",
@@ -66,7 +66,7 @@
     return withDeadline(signal, preview, platformTimeoutError);
 };
 
-/** `change.accept` and `change.validate`. */
+/** Router with the procedures `change.accept` and `change.validate`. */
 export const changeRouter = router({
     accept: procedure.input(changeInputSchema).mutation(({ ctx, input }) => acceptChange(ctx, input)),
     // Semantically a query, but sent as a mutation because the edits can exceed the maximum length of a URL.
--- a/packages/oleandergap-operator/src/procedures/fleet.ts
+++ b/packages/oleandergap-operator/src/procedures/fleet.ts
@@ -15,7 +15,7 @@
 import type { VersionsView } from "../schemas/views.js";
 import { fleetTimeoutError, platformTimeoutError, withDeadline } from "./withinTime.js";
 
-/** Maximum time to wait for the accepted heads from the platform. The view of the fleet is returned without them. */
+/** Maximum time to wait for the accepted heads from the platform, after which the view is returned without them. */
 const ACCEPTED_HEADS_TIMEOUT_MS = 1000;
 
 const noInputSchema = z.strictObject({}).default({});
@@ -40,7 +40,7 @@
     return either.right(toVersionsView(context.identity.partner, report, acceptedHeads));
 };
 
-/** `fleet.versions`, `fleet.members` and `fleet.targets`. */
+/** Router with the procedures `fleet.versions`, `fleet.members` and `fleet.targets`. */
 export const fleetRouter = router({
     versions: procedure.input(noInputSchema).query(({ ctx }) =>
         withDeadline(ctx.signal, readVersions(ctx), fleetTimeoutError)),
--- a/packages/oleandergap-operator/src/procedures/record.ts
+++ b/packages/oleandergap-operator/src/procedures/record.ts
@@ -22,7 +22,7 @@
     ...before === undefined ? {} : { before },
 });
 
-/** `history.list`. */
+/** Router with the procedure `history.list`. */
 export const historyRouter = router({
     list: procedure.input(pageInputSchema).query(({ ctx, input }) => {
         const { partner } = ctx.identity;
@@ -32,7 +32,7 @@
     }),
 });
 
-/** `audit.list`. */
+/** Router with the procedure `audit.list`. */
 export const auditRouter = router({
     list: procedure.input(pageInputSchema).query(({ ctx, input }) => {
         const { partner } = ctx.identity;
--- a/packages/oleandergap-operator/src/procedures/table.ts
+++ b/packages/oleandergap-operator/src/procedures/table.ts
@@ -17,8 +17,11 @@
     source: TableSource,
 ): Promise<Either<OperatorError, PartnerDocument>> => {
     if (source === "accepted") {
-        const accepted = pipe(tables.accepted(identity.partner, signal), taskEither.mapLeft(convertPlatformReadError));
-        return withDeadline(signal, accepted, platformTimeoutError);
+        const acceptedDocument = pipe(
+            tables.accepted(identity.partner, signal),
+            taskEither.mapLeft(convertPlatformReadError),
+        );
+        return withDeadline(signal, acceptedDocument, platformTimeoutError);
     }
     // A node that has not recovered its configuration has an empty table, which would look as if all rows were lost.
     return tables.isReady() ?
@@ -54,15 +57,15 @@
         either.right({ ...view, service, cells });
 };
 
-/** `table.get` and `table.row`. */
+/** Router with the procedures `table.get` and `table.row`. */
 export const tableRouter = router({
     get: procedure.input(tableInputSchema).query(async ({ ctx, input }) => {
         const document = await readDocument(ctx, input.source);
-        return either.map((found: PartnerDocument) => toTableView(found, input.source))(document);
+        return either.map((version: PartnerDocument) => toTableView(version, input.source))(document);
     }),
     row: procedure.input(rowInputSchema).query(async ({ ctx, input }) => {
         const document = await readDocument(ctx, input.source);
-        const view = either.map((found: PartnerDocument) => toTableView(found, input.source))(document);
+        const view = either.map((version: PartnerDocument) => toTableView(version, input.source))(document);
         return either.chain(toRowView(input.service))(view);
     }),
 });
--- a/packages/oleandergap-operator/src/procedures/target.ts
+++ b/packages/oleandergap-operator/src/procedures/target.ts
@@ -50,7 +50,7 @@
         either.left(convertDrainError(nodeId)(drained.left));
 };
 
-/** `target.drain`. */
+/** Router with the procedure `target.drain`. */
 export const targetRouter = router({
     drain: procedure.input(drainInputSchema).mutation(
         ({ ctx, input }): Promise<Either<OperatorError, DrainView>> =>
