--- a/packages/oleandergap-cli/src/report/describeOperatorError.ts
+++ b/packages/oleandergap-cli/src/report/describeOperatorError.ts
@@ -50,7 +50,7 @@
         case "NotReady":
             return [`No node is ready: ${error.detail}.`];
         case "NodeUnreachable":
-            return ["No node could be reached.", ...error.attempts.map(describeAttempt)];
+            return ["No node returned a valid response.", ...error.attempts.map(describeAttempt)];
         case "Damaged":
             return [`The stored table is damaged and needs manual inspection: ${error.detail}.`];
         case "Internal":
