--- a/packages/oleandergap-distribution/src/__tests__/arrivals.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/arrivals.test.ts
@@ -2,47 +2,47 @@
 import type { LogContext, Logger } from "oleandergap-logger";
 import type { Head } from "oleandergap-types";
 import { createManualClock } from "oleandergap-utils";
-import { createArrivals } from "../arrivals.js";
+import { createArrivalLog } from "../arrivals.js";
 
-interface Line {
+interface LogLine {
     readonly message: string;
     readonly context: LogContext;
 }
 
-const createRecordingLogger = (lines: Line[]): Logger => {
+const createRecordingLogger = (lines: LogLine[]): Logger => {
     const write = (message: string, context: LogContext = {}): void => {
         lines.push({ message, context });
     };
     return { debug: write, info: write, warn: write, error: write };
 };
 
-const headOf = (sequence: number): Head => ({ partner: "halloway", sequence, digest: "00" });
+const createHead = (sequence: number): Head => ({ partner: "halloway", sequence, digest: "00" });
 
 describe("createArrivals", () => {
     it("says how a version came and how long after the first sign of it", async () => {
-        const lines: Line[] = [];
+        const lines: LogLine[] = [];
         const clock = createManualClock();
-        const arrivals = createArrivals({ clock, logger: createRecordingLogger(lines) });
-        arrivals.noteHeard(headOf(4));
+        const arrivalLog = createArrivalLog({ clock, logger: createRecordingLogger(lines) });
+        arrivalLog.noteHeard(createHead(4));
         await clock.advance(300);
-        arrivals.noteHeard(headOf(4));
-        arrivals.noteHeard(headOf(6));
-        arrivals.noteQuestion("halloway");
-        arrivals.noteQuestion("halloway");
+        arrivalLog.noteHeard(createHead(4));
+        arrivalLog.noteHeard(createHead(6));
+        arrivalLog.noteQuestion("halloway");
+        arrivalLog.noteQuestion("halloway");
         await clock.advance(500);
-        arrivals.offerFrom({ way: "document", peer: "node-2" }, () => arrivals.noteApplied(headOf(4), 8));
-        arrivals.noteApplied(headOf(6), undefined);
+        arrivalLog.offerFrom({ way: "document", peer: "node-2" }, () => arrivalLog.noteApplied(createHead(4), 8));
+        arrivalLog.noteApplied(createHead(6), undefined);
         expect(lines.map(({ context }) => ({ ...context, digest: "00" }))).to.deep.equal([
-            { ...headOf(4), way: "document", peer: "node-2", cells: 8, questions: 2, sinceHeardMs: 800, checkMs: 0 },
-            { ...headOf(6), way: "local", peer: undefined, cells: undefined, questions: 0, sinceHeardMs: 500, checkMs: 0 },
+            { ...createHead(4), way: "document", peer: "node-2", cells: 8, questions: 2, sinceHeardMs: 800, checkMs: 0 },
+            { ...createHead(6), way: "local", peer: undefined, cells: undefined, questions: 0, sinceHeardMs: 500, checkMs: 0 },
         ]);
     });
 
     it("bounds the lines on failed pulls and counts those left out", async () => {
-        const lines: Line[] = [];
+        const lines: LogLine[] = [];
         const clock = createManualClock();
-        const arrivals = createArrivals({ clock, logger: createRecordingLogger(lines) });
-        const fail = (): void => arrivals.noteFailedPull({
+        const arrivalLog = createArrivalLog({ clock, logger: createRecordingLogger(lines) });
+        const fail = (): void => arrivalLog.noteFailedPull({
             partner: "halloway",
             source: "node-3",
             reason: "NoAnswer: TimedOut",
--- a/packages/oleandergap-distribution/src/__tests__/delegation.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/delegation.test.ts
@@ -8,7 +8,7 @@
 const createCandidate = (id: string): { id: string; zone: string; address: string; controlPort: number } =>
     ({ id, zone: "hall-a", address: "127.0.0.1", controlPort: 1_024 });
 
-interface Trial {
+interface Harness {
     readonly clock: ManualClock;
     readonly delegator: Delegator;
     /** Candidates that were sent to, in order; `self` stands for taking over. */
@@ -16,13 +16,13 @@
     readonly abort: () => void;
 }
 
-const startTrial = (candidates: readonly string[], inForce: () => number = () => head.sequence): Trial => {
+const startDelegation = (candidates: readonly string[], getSequence: () => number = () => head.sequence): Harness => {
     const clock = createManualClock();
     const controller = new AbortController();
     const sent: string[] = [];
     const delegator = createDelegator({
         self: () => "self",
-        sequenceOf: inForce,
+        getSequence,
         clock,
         signal: controller.signal,
     });
@@ -38,7 +38,7 @@
 
 describe("createDelegator", () => {
     it("sends once when the candidate acknowledges", async () => {
-        const { clock, delegator, sent } = startTrial(["first", "second"]);
+        const { clock, delegator, sent } = startDelegation(["first", "second"]);
         delegator.acknowledge("first", head);
         await clock.advance(1_000);
         expect(sent).to.deep.equal(["first"]);
@@ -46,16 +46,16 @@
     });
 
     it("turns to the next candidates, takes over when its own turn comes, and ends", async () => {
-        const { clock, sent } = startTrial(["first", "second", "self"]);
+        const { clock, sent } = startDelegation(["first", "second", "self"]);
         await clock.advance(1_000);
         expect(sent).to.deep.equal(["first", "second", "self"]);
-        const alone = startTrial(["only"]);
+        const alone = startDelegation(["only"]);
         await alone.clock.advance(10_000);
         expect(alone.sent).to.deep.equal(["only", "only", "only", "only", "only"]);
     });
 
     it("does not take an acknowledgement of a lower version or of another candidate for this one", async () => {
-        const { clock, delegator, sent } = startTrial(["first", "second"]);
+        const { clock, delegator, sent } = startDelegation(["first", "second"]);
         delegator.acknowledge("first", { ...head, sequence: 3 });
         delegator.acknowledge("second", head);
         await clock.advance(TIMEOUT_MS);
@@ -64,7 +64,7 @@
 
     it("stops handing over a version when a higher one is in force", async () => {
         let inForce = head.sequence;
-        const { clock, sent } = startTrial(["first", "second"], () => inForce);
+        const { clock, sent } = startDelegation(["first", "second"], () => inForce);
         inForce = 5;
         await clock.advance(1_000);
         expect(sent).to.deep.equal(["first"]);
@@ -74,14 +74,14 @@
         // Symptom: a node that was frozen tells others a version that is long outdated.
         // Sequence: it freezes while it waits for an acknowledgement, and runs on minutes later.
         // Cause: a timer that acts on what was true when it was set.
-        const { clock, sent } = startTrial(["first", "second"]);
+        const { clock, sent } = startDelegation(["first", "second"]);
         clock.freeze(120_000);
         await clock.advance(1_000);
         expect(sent).to.deep.equal(["first"]);
     });
 
     it("ends when the signal aborts", async () => {
-        const { clock, sent, abort } = startTrial(["first", "second"]);
+        const { clock, sent, abort } = startDelegation(["first", "second"]);
         abort();
         await clock.advance(1_000);
         expect(sent).to.deep.equal(["first"]);
--- a/packages/oleandergap-distribution/src/__tests__/fleetAssertions.ts
+++ b/packages/oleandergap-distribution/src/__tests__/fleetAssertions.ts
@@ -14,7 +14,7 @@
 
 export const expectInForceEverywhere = (fleet: InMemoryFleet, partner: PartnerName): void => {
     const running = fleet.nodes.filter((node) => node.isUp && !node.isFrozen);
-    const behind = running.filter((node) => !fleet.informed(partner).includes(node));
-    expect(behind.map((node) => node.address.id)).to.deep.equal([]);
+    const outdatedNodes = running.filter((node) => !fleet.listInformed(partner).includes(node));
+    expect(outdatedNodes.map((node) => node.address.id)).to.deep.equal([]);
     expectNeverLower(fleet.nodes);
 };
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
@@ -34,11 +34,11 @@
     /** Time until the members of a zone drop one that died. */
     readonly detectionMs?: number;
     /** Width of each node's link; by default none is known. */
-    readonly linkClassOf?: (index: number) => LinkClass;
+    readonly getLinkClass?: (index: number) => LinkClass;
     /** Whether calls for versions are answered at the moment; those for heads always are. By default they are. */
-    readonly deliversVersions?: () => boolean;
+    readonly canServeVersions?: () => boolean;
     /** Time for which an answer to a call for a version travels; undefined when the holder stays silent. */
-    readonly answerTimeOf?: (asker: NodeId, holder: NodeId, bytes: number) => Milliseconds | undefined;
+    readonly getResponseDelay?: (requester: NodeId, holder: NodeId, bytes: number) => Milliseconds | undefined;
 }
 
 /** What a restart replaces. */
@@ -53,10 +53,10 @@
     isUp: boolean;
     isFrozen: boolean;
     /** Timers that fell due while the node was frozen. */
-    readonly overdue: (() => void)[];
-    diedAt: number;
+    readonly overdueTimers: (() => void)[];
+    killedAt: number;
     /** Whether the node can reach the platform. */
-    seesPlatform: boolean;
+    canReachPlatform: boolean;
 }
 
 export interface SentMessage {
@@ -80,9 +80,9 @@
     /** Starts the node's process anew, with nothing but its settings. */
     readonly restart: (node: FleetNode) => void;
     readonly freeze: (node: FleetNode) => void;
-    readonly thaw: (node: FleetNode) => void;
+    readonly unfreeze: (node: FleetNode) => void;
     /** Nodes that hold the platform's head of a partner. */
-    readonly informed: (partner: PartnerName) => readonly FleetNode[];
+    readonly listInformed: (partner: PartnerName) => readonly FleetNode[];
     /** Starts all nodes and waits until they have recovered. */
     readonly startAll: () => Promise<void>;
     readonly stop: () => void;
@@ -103,17 +103,17 @@
         ...defaultDistributionOptions.budget,
         zones: plan.zones,
     } };
-    const byId = new Map<NodeId, FleetNode>();
+    const nodesById = new Map<NodeId, FleetNode>();
     const sent: SentMessage[] = [];
     const network = createInMemoryNetwork({
         clock,
         random,
-        isUp: (id) => byId.get(id)?.isUp ?? false,
-        isFrozen: (id) => byId.get(id)?.isFrozen ?? false,
+        isUp: (id) => nodesById.get(id)?.isUp ?? false,
+        isFrozen: (id) => nodesById.get(id)?.isFrozen ?? false,
     });
 
     const isListed = (member: FleetNode): boolean =>
-        member.isUp || clock.monotonic() - member.diedAt < (plan.detectionMs ?? 5_000);
+        member.isUp || clock.monotonic() - member.killedAt < (plan.detectionMs ?? 5_000);
 
     const createFleetPort = (self: PeerAddress): FleetPort => {
         const others = (): readonly PeerAddress[] =>
@@ -128,8 +128,8 @@
         };
     };
 
-    const nodeAt = (address: PeerAddress): FleetNode => {
-        const node = byId.get(address.id);
+    const findNode = (address: PeerAddress): FleetNode => {
+        const node = nodesById.get(address.id);
         if (node === undefined) {
             throw new Error(`unknown node ${address.id}`);
         }
@@ -138,7 +138,7 @@
 
     /** The real router of a node, without HTTP. */
     const createCaller = (to: PeerAddress): ReturnType<typeof peerRouter.createCaller> => {
-        const { store, spread } = nodeAt(to);
+        const { store, spread } = findNode(to);
         return peerRouter.createCaller({
             store,
             fleet: createFleetPort(to),
@@ -149,49 +149,49 @@
         });
     };
 
-    const measureAnswer = (answer: unknown): number => packText(JSON.stringify(answer)).length;
+    const measureResponse = (answer: unknown): number => packText(JSON.stringify(answer)).length;
 
-    const carry = async <Answer>(
+    const delayResponse = async <Answer>(
         call: TaskEither<PeerError, Answer>,
-        asker: PeerAddress,
+        requester: PeerAddress,
         holder: PeerAddress,
     ): Promise<Either<PeerError, Answer>> => {
         const answer = await call();
-        const { answerTimeOf = () => 0 } = plan;
-        const time = answerTimeOf(asker.id, holder.id, measureAnswer(answer));
-        if (time !== 0) {
+        const { getResponseDelay = () => 0 } = plan;
+        const delay = getResponseDelay(requester.id, holder.id, measureResponse(answer));
+        if (delay !== 0) {
             await new Promise<void>((resolve) => {
-                clock.after(time ?? options.peer.timeoutMs, resolve);
+                clock.after(delay ?? options.peer.timeoutMs, resolve);
             });
         }
-        return time === undefined ? either.left({ kind: "Unreachable", detail: "silent" }) : answer;
+        return delay === undefined ? either.left({ kind: "Unreachable", detail: "silent" }) : answer;
     };
 
-    const deliver = <Answer>(
+    const serveVersion = <Answer>(
         call: TaskEither<PeerError, Answer>,
-        asker: PeerAddress,
+        requester: PeerAddress,
         holder: PeerAddress,
     ): TaskEither<PeerError, Answer> =>
-        plan.deliversVersions?.() === false ?
+        plan.canServeVersions?.() === false ?
             async () => either.left({ kind: "Unreachable", detail: "overloaded" }) :
-            () => carry(call, asker, holder);
+            () => delayResponse(call, requester, holder);
 
     const createPeers = (self: PeerAddress): PeerPort => ({
         ping: (to) => network.call(self, to, undefined, () => createCaller(to).ping()),
         heads: (to) => network.call(self, to, undefined, () => createCaller(to).heads()),
         deltasSince: (to, query) =>
-            deliver(network.call(self, to, query, () => createCaller(to).deltasSince(query)), self, to),
+            serveVersion(network.call(self, to, query, () => createCaller(to).deltasSince(query)), self, to),
         document: (to, query) =>
-            deliver(network.call(self, to, query, () => createCaller(to).document(query)), self, to),
+            serveVersion(network.call(self, to, query, () => createCaller(to).document(query)), self, to),
     });
 
     const createOutlet = (self: PeerAddress): SpreadOutlet => ({
         sendHeads: (to, heads) => network.sendDatagram(self, to, HEADS_DATAGRAM_BYTES, () =>
-            nodeAt(to).spread.receiveHeads(self, heads)),
+            findNode(to).spread.receiveHeads(self, heads)),
         send: (to, message) => {
             sent.push({ from: self.id, to: to.id, message });
             const bytes = packText(JSON.stringify(message)).length + DATAGRAM_SENDER_BYTES;
-            network.sendDatagram(self, to, bytes, () => nodeAt(to).spread.receive(self, message));
+            network.sendDatagram(self, to, bytes, () => findNode(to).spread.receive(self, message));
         },
     });
 
@@ -204,8 +204,8 @@
             fleet: createFleetPort(address),
             outlet: createOutlet(address),
             peers: createPeers(address),
-            source: platform.createSource(() => nodeAt(address).seesPlatform),
-            clock: createNodeClock(clock, () => nodeAt(address)),
+            source: platform.createSource(() => findNode(address).canReachPlatform),
+            clock: createNodeClock(clock, () => findNode(address)),
             random,
             logger: createLogger("spread"),
             options,
@@ -220,12 +220,12 @@
         node.spread.start();
         void node.spread.recover();
         if (plan.probes ?? true) {
-            planProbe(node, node.abort.signal);
+            scheduleProbe(node, node.abort.signal);
         }
     };
 
     /** A probe and its answer show both nodes' heads when they differ, as the membership's do. */
-    const planProbe = (node: FleetNode, signal: AbortSignal): void => {
+    const scheduleProbe = (node: FleetNode, signal: AbortSignal): void => {
         clock.after(PROBE_INTERVAL_MS * (0.5 + random()), () => {
             if (signal.aborted) {
                 return;
@@ -239,22 +239,22 @@
                         node.spread.receiveHeads(peer.address, peer.store.heads()));
                 });
             }
-            planProbe(node, signal);
+            scheduleProbe(node, signal);
         });
     };
 
     const createNode = (index: number): FleetNode => {
         const zone = `zone-${index % plan.zones}`;
-        const link = plan.linkClassOf === undefined ? {} : { linkClass: plan.linkClassOf(index) };
+        const link = plan.getLinkClass === undefined ? {} : { linkClass: plan.getLinkClass(index) };
         const address = { id: `node-${index}`, zone, address: "127.0.0.1", controlPort: 1_024 + index, ...link };
-        const state = { isUp: false, isFrozen: false, overdue: [], diedAt: -Infinity, seesPlatform: true };
+        const state = { isUp: false, isFrozen: false, overdueTimers: [], killedAt: -Infinity, canReachPlatform: true };
         return { address, ...createProcess(address), ...state };
     };
 
     const nodes = Array.from({ length: plan.nodes ?? plan.zones * plan.nodesPerZone }, (_, index) => createNode(index));
-    nodes.forEach((node) => byId.set(node.address.id, node));
+    nodes.forEach((node) => nodesById.set(node.address.id, node));
 
-    const nodeOf = (index: number): FleetNode => {
+    const getNode = (index: number): FleetNode => {
         const node = nodes[index];
         if (node === undefined) {
             throw new Error(`no node ${index}`);
@@ -268,7 +268,7 @@
         network,
         nodes,
         sent,
-        node: nodeOf,
+        node: getNode,
         zone: (index) => nodes.filter((node) => node.address.zone === `zone-${index}`),
         acceptAt: (node, partner, changes) => {
             const delta = platform.accept(partner, changes);
@@ -281,17 +281,17 @@
         kill: (node) => {
             node.abort.abort();
             node.isUp = false;
-            node.diedAt = clock.monotonic();
+            node.killedAt = clock.monotonic();
         },
         restart: startProcess,
         freeze: (node) => {
             node.isFrozen = true;
         },
-        thaw: (node) => {
+        unfreeze: (node) => {
             node.isFrozen = false;
-            node.overdue.splice(0).forEach((fire) => fire());
+            node.overdueTimers.splice(0).forEach((fire) => fire());
         },
-        informed: (partner) => nodes.filter((node) =>
+        listInformed: (partner) => nodes.filter((node) =>
             node.isUp && node.store.document(partner).digest === platform.head(partner).digest),
         startAll: async () => {
             nodes.forEach(startProcess);
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryNetwork.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryNetwork.ts
@@ -27,7 +27,7 @@
 const SEGMENTS_PER_CALL = 4;
 const SEGMENTS_PER_CONNECTION = 8;
 /** The client gives up a peer that is silent for this time. */
-const SILENCE_LIMIT_MS = 1_000;
+const FROZEN_PEER_TIMEOUT_MS = 1_000;
 /** A connection is kept open for this time after a call. */
 const IDLE_CONNECTION_MS = 4_000;
 
@@ -60,7 +60,7 @@
     readonly isFrozen: (node: NodeId) => boolean;
 }
 
-const measure = (value: unknown): number => value === undefined ? 0 : Buffer.byteLength(JSON.stringify(value));
+const measureJson = (value: unknown): number => value === undefined ? 0 : Buffer.byteLength(JSON.stringify(value));
 
 export const createInMemoryNetwork = (
     { clock, random, isUp, isFrozen }: InMemoryNetworkDependencies,
@@ -72,8 +72,8 @@
     const wait = (delay: number): Promise<void> => new Promise((resolve) => {
         clock.after(delay, resolve);
     });
-    const drawDelay = (): number => faults.delayMs + random() * faults.jitterMs;
-    const count = (node: PeerAddress, amount: number): void => {
+    const drawOneWayDelay = (): number => faults.delayMs + random() * faults.jitterMs;
+    const countBytes = (node: PeerAddress, amount: number): void => {
         bytes.set(node.id, (bytes.get(node.id) ?? 0) + amount);
     };
     const isReachable = (from: PeerAddress, to: PeerAddress): boolean =>
@@ -98,29 +98,29 @@
             isCut = next;
         },
         sendDatagram: (from, to, size, deliver) => {
-            count(from, size === undefined ? 0 : size + DATAGRAM_OVERHEAD_BYTES);
-            const copies = random() < faults.duplicateShare ? 2 : 1;
-            for (let copy = 0; copy < copies; copy++) {
+            countBytes(from, size === undefined ? 0 : size + DATAGRAM_OVERHEAD_BYTES);
+            const copyCount = random() < faults.duplicateShare ? 2 : 1;
+            for (let copy = 0; copy < copyCount; copy++) {
                 if (random() >= faults.lossShare) {
-                    clock.after(drawDelay(), () => isReachable(from, to) && !isFrozen(to.id) && deliver());
+                    clock.after(drawOneWayDelay(), () => isReachable(from, to) && !isFrozen(to.id) && deliver());
                 }
             }
         },
         call: (from, to, question, answer) => async () => {
             const overhead = measureCall(from, to);
-            count(from, measure(question) + overhead);
+            countBytes(from, measureJson(question) + overhead);
             // Opening the connection costs a round trip before the question travels.
-            await wait(3 * drawDelay());
+            await wait(3 * drawOneWayDelay());
             if (!isReachable(from, to)) {
                 return either.left({ kind: "Unreachable", detail: "cut" });
             }
             if (isFrozen(to.id)) {
-                await wait(SILENCE_LIMIT_MS);
+                await wait(FROZEN_PEER_TIMEOUT_MS);
                 return either.left({ kind: "Unreachable", detail: "silent" });
             }
             const result = await answer();
-            count(to, measure(result) + overhead);
-            await wait(drawDelay());
+            countBytes(to, measureJson(result) + overhead);
+            await wait(drawOneWayDelay());
             return isReachable(from, to) ?
                 either.right(result) :
                 either.left({ kind: "Unreachable", detail: "cut" });
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryPlatform.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryPlatform.ts
@@ -19,9 +19,9 @@
     /** Accepts a version whatever it holds; `digest` makes it one that no node can verify. */
     readonly accept: (partner: PartnerName, changes: Readonly<Record<string, CellValue>>, digest?: string) => Delta;
     readonly head: (partner: PartnerName) => Head;
-    readonly setOutage: (isOut: boolean) => void;
+    readonly setOutage: (isUnavailable: boolean) => void;
     /** Makes sources that bring the documents with the heads and have no deltas. */
-    readonly holdDocuments: () => void;
+    readonly serveWholeDocuments: () => void;
     /** Times of all reads that arrived, in milliseconds of the clock. */
     readonly readTimes: readonly number[];
     readonly document: (partner: PartnerName) => PartnerDocument;
@@ -31,7 +31,7 @@
     const documents = new Map(partners.map((partner) => [partner, createTestDocument(partner, 1, baseCells)]));
     const deltas = new Map<PartnerName, readonly Delta[]>();
     const readTimes: number[] = [];
-    let isOut = false;
+    let isUnavailable = false;
     let holdsDocuments = false;
 
     const documentOf = (partner: PartnerName): PartnerDocument =>
@@ -43,7 +43,7 @@
     ): TaskEither<PlatformError, Result> => async () => {
         readTimes.push(clock.monotonic());
         await new Promise<void>((resolve) => clock.after(READ_DELAY_MS, resolve));
-        return isOut || !isReachable() ?
+        return isUnavailable || !isReachable() ?
             either.left({ kind: "Unavailable", detail: "outage" }) :
             either.right(answer());
     };
@@ -52,11 +52,11 @@
         readTimes,
         head: (partner) => toHead(documentOf(partner)),
         document: documentOf,
-        holdDocuments: () => {
+        serveWholeDocuments: () => {
             holdsDocuments = true;
         },
         setOutage: (value) => {
-            isOut = value;
+            isUnavailable = value;
         },
         accept: (partner, changes, forcedDigest) => {
             const base = documentOf(partner);
--- a/packages/oleandergap-distribution/src/__tests__/largeSteps.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/largeSteps.test.ts
@@ -10,7 +10,7 @@
 import { createInMemoryFleet, type InMemoryFleet } from "./inMemoryFleet.js";
 import { createLimits } from "./recordingStore.js";
 
-const WIDE = [5, 16];
+const WIDE_NODES = [5, 16];
 const ADDED_LIMITS = 300;
 
 const startZone = async (): Promise<InMemoryFleet> => {
@@ -21,9 +21,9 @@
         nodesPerZone: 28,
         seed: 51,
         options: { ...defaultDistributionOptions, reader, budget },
-        linkClassOf: (index) => WIDE.includes(index) ? 6 : 1,
+        getLinkClass: (index) => WIDE_NODES.includes(index) ? 6 : 1,
     });
-    fleet.platform.holdDocuments();
+    fleet.platform.serveWholeDocuments();
     await fleet.startAll();
     await fleet.clock.advance(5_000);
     fleet.platform.accept("halloway", createLimits("old", ADDED_LIMITS));
@@ -38,10 +38,10 @@
         fleet.platform.accept("halloway", createLimits("new", ADDED_LIMITS));
         await fleet.clock.advance(1_500);
         expectInForceEverywhere(fleet, "halloway");
-        const sizeOfStep = Buffer.byteLength(JSON.stringify(createLimits("new", ADDED_LIMITS)));
+        const deltaBytes = Buffer.byteLength(JSON.stringify(createLimits("new", ADDED_LIMITS)));
         const carriers = fleet.nodes.flatMap(({ address }, index) =>
-            (fleet.network.bytes.get(address.id) ?? 0) - (before.get(address.id) ?? 0) > sizeOfStep ? [index] : []);
-        expect(WIDE).to.include.members(carriers);
+            (fleet.network.bytes.get(address.id) ?? 0) - (before.get(address.id) ?? 0) > deltaBytes ? [index] : []);
+        expect(WIDE_NODES).to.include.members(carriers);
         expect(fleet.nodes.every((node) => node.store.deltaTo("halloway", 3) !== undefined)).to.equal(true);
         fleet.stop();
     });
--- a/packages/oleandergap-distribution/src/__tests__/longAnswers.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/longAnswers.test.ts
@@ -16,7 +16,7 @@
 const CHUNK = "x".repeat(4_096);
 const CHUNKS = 4;
 
-const turn = (): Promise<void> => new Promise((resolve) => {
+const waitForTick = (): Promise<void> => new Promise((resolve) => {
     setImmediate(resolve);
 });
 
@@ -26,14 +26,14 @@
 /** Waits until the client has read `bytes`, and has had a turn of its loop to deal with them. */
 const waitUntilRead = async (agent: Agent, bytes: number): Promise<void> => {
     while (!listSockets(agent).some((socket) => socket.bytesRead >= bytes)) {
-        await turn();
+        await waitForTick();
     }
-    await turn();
-    await turn();
+    await waitForTick();
+    await waitForTick();
 };
 
 describe("exchangeWithPeer with a long answer", () => {
-    const play = async (
+    const runExchange = async (
         send: (response: ServerResponse, clock: ManualClock, agent: Agent) => Promise<void>,
         onProgress?: () => void,
     ): Promise<ExchangeResult> => {
@@ -59,7 +59,7 @@
     };
 
     it("reads an answer to its end as long as more of it arrives", async () => {
-        const outcome = await play(async (response, clock, agent) => {
+        const outcome = await runExchange(async (response, clock, agent) => {
             response.writeHead(200, { "content-length": CHUNKS * CHUNK.length });
             for (let chunk = 1; chunk <= CHUNKS; chunk++) {
                 response.write(CHUNK);
@@ -74,7 +74,7 @@
     it("tells that an answer is arriving before it is whole", async () => {
         let progress = 0;
         let progressBefore = 0;
-        await play(async (response, _clock, agent) => {
+        await runExchange(async (response, _clock, agent) => {
             response.writeHead(200, { "content-length": 2 * CHUNK.length });
             response.write(CHUNK);
             await waitUntilRead(agent, CHUNK.length);
@@ -87,7 +87,7 @@
     });
 
     it("gives an answer up that stops in the middle", async () => {
-        const outcome = await play(async (response, clock, agent) => {
+        const outcome = await runExchange(async (response, clock, agent) => {
             response.writeHead(200, { "content-length": CHUNKS * CHUNK.length });
             response.write(CHUNK);
             await waitUntilRead(agent, CHUNK.length);
--- a/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
+++ b/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
@@ -13,10 +13,10 @@
 const ZONES = 7;
 const CHANGES = 40;
 const CHANGE_INTERVAL_MS = 3_000;
-const REST_MS = 30_000;
-const POLL_MS = 500;
+const IDLE_MS = 30_000;
+const POLL_INTERVAL_MS = 500;
 
-interface Figures {
+interface Measurements {
     readonly p50Ms: number;
     readonly p99Ms: number;
     readonly maxMs: number;
@@ -38,7 +38,7 @@
     fleet: InMemoryFleet,
     stores: readonly RecordingStore[],
     change: (round: number) => { readonly partner: string; readonly sequence: number },
-): Promise<Figures> => {
+): Promise<Measurements> => {
     const { clock, platform } = fleet;
     const applied: { readonly version: string; readonly at: number }[] = [];
     const acceptedAt = new Map<string, number>();
@@ -48,7 +48,7 @@
         });
     }
     const [restReads, restBytes] = [platform.readTimes.length, sumBytes(fleet)];
-    await clock.advance(REST_MS);
+    await clock.advance(IDLE_MS);
     const [reads, bytes] = [platform.readTimes.length, sumBytes(fleet)];
     for (let index = 0; index < CHANGES; index++) {
         const at = clock.monotonic();
@@ -56,7 +56,7 @@
         acceptedAt.set(`${partner}/${sequence}`, at);
         await clock.advance(CHANGE_INTERVAL_MS);
     }
-    const restFactor = CHANGES * CHANGE_INTERVAL_MS / REST_MS;
+    const restFactor = CHANGES * CHANGE_INTERVAL_MS / IDLE_MS;
     const changeBytes = sumBytes(fleet) - bytes - (bytes - restBytes) * restFactor;
     const sorted = applied
         .flatMap(({ version, at }) => acceptedAt.has(version) ? [at - (acceptedAt.get(version) ?? at)] : [])
@@ -66,14 +66,14 @@
         p99Ms: percentile(sorted, 0.99),
         maxMs: percentile(sorted, 1),
         missed: stores.length * CHANGES - sorted.length,
-        readsPerSecondAtRest: round((reads - restReads) / (REST_MS / MILLISECONDS_PER_SECOND)),
+        readsPerSecondAtRest: round((reads - restReads) / (IDLE_MS / MILLISECONDS_PER_SECOND)),
         readsPerChange: round((platform.readTimes.length - reads - (reads - restReads) * restFactor) / CHANGES),
-        bytesPerNodeAndSecondAtRest: round((bytes - restBytes) / stores.length / (REST_MS / MILLISECONDS_PER_SECOND)),
+        bytesPerNodeAndSecondAtRest: round((bytes - restBytes) / stores.length / (IDLE_MS / MILLISECONDS_PER_SECOND)),
         bytesPerNodeAndChange: round(changeBytes / stores.length / CHANGES),
     };
 };
 
-const measureOurs = async (nodes: number, lossShare: number, deadShare: number): Promise<Figures> => {
+const measureDistribution = async (nodes: number, lossShare: number, deadShare: number): Promise<Measurements> => {
     const plan = { zones: ZONES, nodesPerZone: 0, nodes, seed: nodes, detectionMs: 600_000 };
     const fleet = createInMemoryFleet(plan);
     const random = createSeededRandom(nodes);
@@ -82,32 +82,32 @@
     fleet.network.setFaults({ ...healthyNetwork, lossShare });
     fleet.nodes.filter(() => random() < deadShare).forEach(fleet.kill);
     const running = fleet.nodes.filter((node) => node.isUp);
-    const figures = await measure(fleet, running.map((node) => node.store), (index) => {
+    const measurements = await measure(fleet, running.map((node) => node.store), (index) => {
         const node = pickOne(random, running) ?? fleet.node(0);
         return fleet.acceptAt(node, PARTNERS[index % PARTNERS.length] ?? "", { [WEIGHT_CELL]: index });
     });
     fleet.stop();
-    return figures;
+    return measurements;
 };
 
-const measureNaive = async (nodes: number): Promise<Figures> => {
+const measureNaive = async (nodes: number): Promise<Measurements> => {
     const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 0, seed: nodes });
     const random = createSeededRandom(nodes);
-    const ended = new AbortController();
+    const abortController = new AbortController();
     const source = fleet.platform.createSource(() => true);
     const stores = Array.from({ length: nodes }, () => startNaiveNode({
         partners: PARTNERS,
         source,
         clock: fleet.clock,
         random,
-        intervalMs: POLL_MS,
-        signal: ended.signal,
+        intervalMs: POLL_INTERVAL_MS,
+        signal: abortController.signal,
     }));
     await fleet.clock.advance(5_000);
-    const figures = await measure(fleet, stores, (index) =>
+    const measurements = await measure(fleet, stores, (index) =>
         fleet.platform.accept(PARTNERS[index % PARTNERS.length] ?? "", { [WEIGHT_CELL]: index }));
-    ended.abort();
-    return figures;
+    abortController.abort();
+    return measurements;
 };
 
 const sizes = process.argv.slice(2).map(Number);
@@ -116,9 +116,9 @@
         experiment: "spread",
         nodes,
         zones: ZONES,
-        ours: await measureOurs(nodes, 0, 0),
-        oursLoss5Percent: await measureOurs(nodes, 0.05, 0),
-        oursDead10Percent: await measureOurs(nodes, 0, 0.1),
+        ours: await measureDistribution(nodes, 0, 0),
+        oursLoss5Percent: await measureDistribution(nodes, 0.05, 0),
+        oursDead10Percent: await measureDistribution(nodes, 0, 0.1),
         naive: await measureNaive(nodes),
     }));
 }
--- a/packages/oleandergap-distribution/src/__tests__/naiveFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/naiveFleet.ts
@@ -28,15 +28,15 @@
                 store.offerDocument(document.right);
             }
         }
-        planPoll(intervalMs);
+        schedulePoll(intervalMs);
     };
 
-    const planPoll = (delay: Milliseconds): void => {
+    const schedulePoll = (delay: Milliseconds): void => {
         if (!signal.aborted) {
             clock.after(delay, () => void poll());
         }
     };
 
-    planPoll(random() * intervalMs);
+    schedulePoll(random() * intervalMs);
     return store;
 };
--- a/packages/oleandergap-distribution/src/__tests__/nodeClock.ts
+++ b/packages/oleandergap-distribution/src/__tests__/nodeClock.ts
@@ -4,7 +4,7 @@
 export interface FreezableNode {
     readonly isFrozen: boolean;
     /** Timers that fell due while the node was frozen. */
-    readonly overdue: (() => void)[];
+    readonly overdueTimers: (() => void)[];
 }
 
 /** Timers of a frozen node are put among its overdue ones, to be run when it is thawed. */
@@ -16,7 +16,7 @@
                 return;
             }
             if (node().isFrozen) {
-                node().overdue.push(fire);
+                node().overdueTimers.push(fire);
                 return;
             }
             callback();
--- a/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
@@ -42,7 +42,7 @@
         await fleet.clock.advance(5_000);
         const [first, second, third, fourth, ...others] = listByRank(fleet);
         fleet.kill(first as FleetNode);
-        (second as FleetNode).seesPlatform = false;
+        (second as FleetNode).canReachPlatform = false;
         const standbys = [third, fourth, ...others];
         let mostReading = 0;
         for (let step = 0; step < 40; step++) {
@@ -58,7 +58,7 @@
         }
         fleet.platform.accept("kushiro", { [WEIGHT_CELL]: 2 });
         await fleet.clock.advance(1_700);
-        expect(fleet.informed("kushiro")).to.have.lengthOf(23);
+        expect(fleet.listInformed("kushiro")).to.have.lengthOf(23);
         fleet.stop();
     });
 
@@ -66,12 +66,12 @@
         const fleet = await startZone(12, 5);
         const [first, second, third] = listByRank(fleet);
         [first, second].forEach((node) => {
-            (node as FleetNode).seesPlatform = false;
+            (node as FleetNode).canReachPlatform = false;
         });
         await fleet.clock.advance(8_000);
         expect(third?.spread.stats().reading).to.equal(true);
         [first, second].forEach((node) => {
-            (node as FleetNode).seesPlatform = true;
+            (node as FleetNode).canReachPlatform = true;
         });
         await fleet.clock.advance(12_000);
         expect(third?.spread.stats().reading).to.equal(false);
@@ -103,7 +103,7 @@
         fleet.platform.setOutage(false);
         const returnedAt = fleet.clock.monotonic();
         await fleet.clock.advance(6_000);
-        expect(fleet.informed("kushiro")).to.have.lengthOf(40);
+        expect(fleet.listInformed("kushiro")).to.have.lengthOf(40);
         const inFirstSecond = fleet.platform.readTimes.filter((time) =>
             time >= returnedAt && time < returnedAt + 1_000);
         expect(inFirstSecond.length).to.be.lessThan(40);
--- a/packages/oleandergap-distribution/src/__tests__/recordingStore.ts
+++ b/packages/oleandergap-distribution/src/__tests__/recordingStore.ts
@@ -9,7 +9,7 @@
 export const WEIGHT_CELL = "services/grant-filer/weights/hall-a";
 /** A cell that tests break by {@link MISSING_LIMIT}. */
 export const LIMIT_CELL = "services/grant-filer/limit";
-const DELTAS_KEPT = 32;
+const DELTA_HISTORY = 32;
 
 /** The smallest table with a service. */
 export const baseCells: Cells = {
@@ -42,7 +42,7 @@
 }
 
 export const createRecordingStore = (partners: readonly PartnerName[]): RecordingStore => {
-    const store = createConfigurationStore({ partners, logger: createLogger("store"), deltaHistory: DELTAS_KEPT });
+    const store = createConfigurationStore({ partners, logger: createLogger("store"), deltaHistory: DELTA_HISTORY });
     const applied: Head[] = [];
     store.subscribe((head) => applied.push(head));
     return { ...store, applied };
--- a/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
@@ -4,7 +4,7 @@
 import { WEIGHT_CELL } from "./recordingStore.js";
 
 /** A node that is ready is never behind a confirmed version for longer. */
-const LONGEST_BEHIND_MS = 2_500;
+const MAX_LAG_MS = 2_500;
 
 const startFleet = async (seed: number): Promise<InMemoryFleet> => {
     const fleet = createInMemoryFleet({ zones: 4, nodesPerZone: 10, seed });
@@ -20,8 +20,8 @@
     nodes.forEach(fleet.restart);
 };
 
-const holdsAll = (fleet: InMemoryFleet) => (node: FleetNode): boolean =>
-    fleet.informed("kushiro").includes(node) && fleet.informed("halloway").includes(node);
+const createHoldsAllCheck = (fleet: InMemoryFleet) => (node: FleetNode): boolean =>
+    fleet.listInformed("kushiro").includes(node) && fleet.listInformed("halloway").includes(node);
 
 const isReady = (node: FleetNode): boolean => node.spread.isReady();
 
@@ -39,7 +39,7 @@
             await fleet.clock.advance(1);
         }
         expect(isReady(node)).to.equal(true);
-        expect(holdsAll(fleet)(node)).to.equal(true);
+        expect(createHoldsAllCheck(fleet)(node)).to.equal(true);
         fleet.stop();
     });
 
@@ -53,7 +53,7 @@
         restartAll(fleet, half);
         await fleet.clock.advance(3_000);
         expect(half.filter(isReady)).to.have.lengthOf(20);
-        expect(half.filter(holdsAll(fleet))).to.have.lengthOf(20);
+        expect(half.filter(createHoldsAllCheck(fleet))).to.have.lengthOf(20);
         expect((fleet.platform.readTimes.length - before) / 3).to.be.lessThan(24);
         fleet.stop();
     });
@@ -63,7 +63,7 @@
         fleet.platform.setOutage(true);
         restartAll(fleet, fleet.zone(2));
         await fleet.clock.advance(3_000);
-        expect(fleet.zone(2).filter(isReady).filter(holdsAll(fleet))).to.have.lengthOf(10);
+        expect(fleet.zone(2).filter(isReady).filter(createHoldsAllCheck(fleet))).to.have.lengthOf(10);
         fleet.stop();
     });
 
@@ -75,7 +75,7 @@
         const before = fleet.platform.readTimes.length;
         restartAll(fleet, fleet.nodes);
         await fleet.clock.advance(10_000);
-        expect(fleet.nodes.filter(isReady).filter(holdsAll(fleet))).to.have.lengthOf(40);
+        expect(fleet.nodes.filter(isReady).filter(createHoldsAllCheck(fleet))).to.have.lengthOf(40);
         expect((fleet.platform.readTimes.length - before) / 10).to.be.lessThan(30);
         const readsOfOthers = fleet.nodes
             .map((node) => node.spread.stats())
@@ -96,7 +96,7 @@
         expect(fleet.nodes.filter(isReady)).to.have.lengthOf(0);
         fleet.platform.setOutage(false);
         await fleet.clock.advance(20_000);
-        expect(fleet.nodes.filter(isReady).filter(holdsAll(fleet))).to.have.lengthOf(40);
+        expect(fleet.nodes.filter(isReady).filter(createHoldsAllCheck(fleet))).to.have.lengthOf(40);
         fleet.stop();
     });
 
@@ -111,7 +111,7 @@
         node.spread.receiveHeads(dying.address, [{ partner: "halloway", sequence: 77, digest: "e".repeat(64) }]);
         await fleet.clock.advance(8_000);
         expect(isReady(node)).to.equal(true);
-        expect(holdsAll(fleet)(node)).to.equal(true);
+        expect(createHoldsAllCheck(fleet)(node)).to.equal(true);
         fleet.stop();
     });
 
@@ -121,7 +121,7 @@
             zones: 2,
             nodesPerZone: 6,
             seed: 8,
-            answerTimeOf: (asker) => isSlow && asker === "node-4" ? LONGEST_BEHIND_MS + 500 : 0,
+            getResponseDelay: (requester) => isSlow && requester === "node-4" ? MAX_LAG_MS + 500 : 0,
         });
         await fleet.startAll();
         fleet.acceptAt(fleet.node(0), "halloway", { [WEIGHT_CELL]: 1 });
@@ -131,13 +131,13 @@
         restartAll(fleet, [node]);
         await fleet.clock.advance(300);
         const { sequence } = fleet.acceptAt(fleet.node(0), "halloway", { [WEIGHT_CELL]: 2 });
-        await fleet.clock.advance(LONGEST_BEHIND_MS);
+        await fleet.clock.advance(MAX_LAG_MS);
         for (let waited = 0; waited < 10_000; waited += 50) {
             expect(isReady(node) && node.store.document("halloway").sequence < sequence).to.equal(false);
             await fleet.clock.advance(50);
         }
         expect(isReady(node)).to.equal(true);
-        expect(holdsAll(fleet)(node)).to.equal(true);
+        expect(createHoldsAllCheck(fleet)(node)).to.equal(true);
         fleet.stop();
     });
 
@@ -146,21 +146,21 @@
         // Sequence: many nodes restart at once; those that run name their heads, but are too busy to deliver versions
         //   in time; after some failed pulls the claimed heads are set aside.
         // Cause: a head that was set aside is not waited for any more, also where it leaves the node with nothing.
-        let delivers = true;
-        const fleet = createInMemoryFleet({ zones: 2, nodesPerZone: 4, seed: 7, deliversVersions: () => delivers });
+        let canServe = true;
+        const fleet = createInMemoryFleet({ zones: 2, nodesPerZone: 4, seed: 7, canServeVersions: () => canServe });
         await fleet.startAll();
         fleet.acceptAt(fleet.node(0), "kushiro", { [WEIGHT_CELL]: 1 });
         fleet.acceptAt(fleet.node(1), "halloway", { [WEIGHT_CELL]: 1 });
         await fleet.clock.advance(3_000);
         fleet.platform.setOutage(true);
-        delivers = false;
+        canServe = false;
         const restarted = fleet.nodes.slice(2);
         restartAll(fleet, restarted);
         await fleet.clock.advance(20_000);
         expect(restarted.filter(isReady)).to.have.lengthOf(0);
-        delivers = true;
+        canServe = true;
         await fleet.clock.advance(5_000);
-        expect(restarted.filter(isReady).filter(holdsAll(fleet))).to.have.lengthOf(restarted.length);
+        expect(restarted.filter(isReady).filter(createHoldsAllCheck(fleet))).to.have.lengthOf(restarted.length);
         fleet.stop();
     });
 });
--- a/packages/oleandergap-distribution/src/__tests__/slowDelivery.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/slowDelivery.test.ts
@@ -7,20 +7,20 @@
 const CHANGED_LIMITS = 40;
 
 /** As long as a link may be full of requests. */
-const TROUBLE_MS = 1_000;
+const OUTAGE_MS = 1_000;
 /** A node that can reach its peers again has no reason to be later than this. */
-const AFTER_TROUBLE_MS = 1_500;
+const RECOVERY_LIMIT_MS = 1_500;
 
 /** One zone in which versions cannot be fetched for a while after one came into force at its readers. */
-const playTrouble = async (seed: number): Promise<InMemoryFleet> => {
-    let delivers = true;
-    const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 12, seed, deliversVersions: () => delivers });
+const runOutage = async (seed: number): Promise<InMemoryFleet> => {
+    let canServe = true;
+    const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 12, seed, canServeVersions: () => canServe });
     await fleet.startAll();
-    delivers = false;
+    canServe = false;
     fleet.acceptAt(fleet.node(0), "halloway", createLimits("limit", CHANGED_LIMITS));
-    await fleet.clock.advance(TROUBLE_MS);
-    delivers = true;
-    await fleet.clock.advance(AFTER_TROUBLE_MS);
+    await fleet.clock.advance(OUTAGE_MS);
+    canServe = true;
+    await fleet.clock.advance(RECOVERY_LIMIT_MS);
     return fleet;
 };
 
@@ -35,36 +35,36 @@
 describe("a version that could not be fetched for a while", () => {
     it("is fetched as soon as its holders can be reached again", async () => {
         for (const seed of [1, 2, 3]) {
-            const fleet = await playTrouble(seed);
-            const behind = fleet.nodes.filter((node) => !fleet.informed("halloway").includes(node));
-            expect(behind.map(({ address }) => address.id), `seed ${seed}`).to.deep.equal([]);
+            const fleet = await runOutage(seed);
+            const outdatedNodes = fleet.nodes.filter((node) => !fleet.listInformed("halloway").includes(node));
+            expect(outdatedNodes.map(({ address }) => address.id), `seed ${seed}`).to.deep.equal([]);
             fleet.stop();
         }
     });
 
     it("is fetched from other members although nobody tells of it again", async () => {
-        let delivers = true;
+        let canServe = true;
         const fleet = createInMemoryFleet({
             zones: 1,
             nodesPerZone: 12,
             seed: 1,
             probes: false,
-            deliversVersions: () => delivers,
+            canServeVersions: () => canServe,
         });
         await fleet.startAll();
-        const [teller, late] = [fleet.node(1), fleet.node(11)];
+        const [announcer, late] = [fleet.node(1), fleet.node(11)];
         fleet.network.setCut((from, to) => [from.id, to.id].includes(late.address.id));
         fleet.acceptAt(fleet.node(0), "halloway", createLimits("limit", CHANGED_LIMITS));
-        await fleet.clock.advance(TROUBLE_MS);
+        await fleet.clock.advance(OUTAGE_MS);
         // Datagrams stay lost, as on a full link; connections open again after the trouble.
         fleet.network.setFaults({ ...healthyNetwork, lossShare: 1 });
         fleet.network.setCut(() => false);
-        delivers = false;
-        late.spread.receiveHeads(teller.address, teller.store.heads());
-        await fleet.clock.advance(TROUBLE_MS);
-        delivers = true;
-        await fleet.clock.advance(AFTER_TROUBLE_MS);
-        expect(fleet.informed("halloway").map(({ address }) => address.id)).to.include(late.address.id);
+        canServe = false;
+        late.spread.receiveHeads(announcer.address, announcer.store.heads());
+        await fleet.clock.advance(OUTAGE_MS);
+        canServe = true;
+        await fleet.clock.advance(RECOVERY_LIMIT_MS);
+        expect(fleet.listInformed("halloway").map(({ address }) => address.id)).to.include(late.address.id);
         fleet.stop();
     });
 });
--- a/packages/oleandergap-distribution/src/__tests__/slowHolders.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/slowHolders.test.ts
@@ -4,58 +4,58 @@
 import { createLimits, WEIGHT_CELL } from "./recordingStore.js";
 
 /** Time in which a confirmed version is to be in force at every node that can be reached. */
-const LONGEST_MS = 2_500;
+const CONVERGENCE_LIMIT_MS = 2_500;
 /** Too many for a datagram, so that members pull the step. */
 const CHANGED_LIMITS = createLimits("limit", 150);
 const NODES = 12;
 /** Longer than a datagram travels. */
-const ANSWER_MS = 100;
+const RESPONSE_DELAY_MS = 100;
 /** More than an answer with a small step takes, and less than one with a whole version. */
-const LONGEST_STEP_BYTES = 1_000;
+const MAX_DELTA_BYTES = 1_000;
 
-const listBehind = (fleet: InMemoryFleet): readonly NodeId[] => {
-    const informed = fleet.informed("halloway");
+const listOutdated = (fleet: InMemoryFleet): readonly NodeId[] => {
+    const informed = fleet.listInformed("halloway");
     return fleet.nodes.filter((node) => !informed.includes(node)).map(({ address }) => address.id);
 };
 
 describe("a version that some holders deliver slowly or not at all", () => {
     it("is in force in time although the first holder's answer trickles", async () => {
-        const findFirst = (): NodeId | undefined => fleet.sent.find(({ message }) => message.kind === "Offer")?.to;
+        const findFirstReceiver = (): NodeId | undefined => fleet.sent.find(({ message }) => message.kind === "Offer")?.to;
         const fleet: InMemoryFleet = createInMemoryFleet({
             zones: 1,
             nodesPerZone: NODES,
             seed: 1,
-            answerTimeOf: (_asker, holder) => holder === findFirst() ? 3 * LONGEST_MS : 0,
+            getResponseDelay: (_requester, holder) => holder === findFirstReceiver() ? 3 * CONVERGENCE_LIMIT_MS : 0,
         });
         await fleet.startAll();
         fleet.acceptAt(fleet.node(0), "halloway", CHANGED_LIMITS);
-        await fleet.clock.advance(LONGEST_MS);
-        expect(listBehind(fleet)).to.deep.equal([]);
+        await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
+        expect(listOutdated(fleet)).to.deep.equal([]);
         fleet.stop();
     });
 
     it("is in force in time although those who told of it last stay silent", async () => {
         const silent = ["node-1", "node-2", "node-3"];
-        let isPartSilent = false;
+        let areHoldersSilent = false;
         const fleet = createInMemoryFleet({
             zones: 1,
             nodesPerZone: NODES,
             seed: 1,
             probes: false,
-            answerTimeOf: (_asker, holder) => isPartSilent && silent.includes(holder) ? undefined : 0,
+            getResponseDelay: (_requester, holder) => areHoldersSilent && silent.includes(holder) ? undefined : 0,
         });
         await fleet.startAll();
         const late = fleet.node(NODES - 1);
         fleet.network.setCut((from, to) => [from.id, to.id].includes(late.address.id));
         fleet.acceptAt(fleet.node(0), "halloway", CHANGED_LIMITS);
-        await fleet.clock.advance(LONGEST_MS);
-        expect(listBehind(fleet)).to.deep.equal([late.address.id]);
+        await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
+        expect(listOutdated(fleet)).to.deep.equal([late.address.id]);
         fleet.network.setCut(() => false);
-        isPartSilent = true;
-        const tell = ({ address, store }: FleetNode): void => late.spread.receiveHeads(address, store.heads());
-        [1, 4, 5, 6, 2, 3].map(fleet.node).forEach(tell);
-        await fleet.clock.advance(LONGEST_MS);
-        expect(listBehind(fleet)).to.deep.equal([]);
+        areHoldersSilent = true;
+        const announceHeads = ({ address, store }: FleetNode): void => late.spread.receiveHeads(address, store.heads());
+        [1, 4, 5, 6, 2, 3].map(fleet.node).forEach(announceHeads);
+        await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
+        expect(listOutdated(fleet)).to.deep.equal([]);
         fleet.stop();
     });
 
@@ -66,37 +66,43 @@
             nodesPerZone: NODES,
             seed: 2,
             probes: false,
-            answerTimeOf: (_asker, _holder, bytes) => isSlow && bytes > LONGEST_STEP_BYTES ? 3 * LONGEST_MS : 0,
+            getResponseDelay: (_requester, _holder, bytes) =>
+                isSlow && bytes > MAX_DELTA_BYTES ? 3 * CONVERGENCE_LIMIT_MS : 0,
         });
         fleet.platform.accept("halloway", CHANGED_LIMITS);
         await fleet.startAll();
         const late = fleet.node(NODES - 1);
-        const started = fleet.node(NODES - 2);
+        const restartedNode = fleet.node(NODES - 2);
         fleet.network.setCut((from, to) => [from.id, to.id].includes(late.address.id));
         fleet.acceptAt(fleet.node(0), "halloway", { [WEIGHT_CELL]: 2 });
-        fleet.kill(started);
-        fleet.restart(started);
-        await fleet.clock.advance(LONGEST_MS);
-        expect(listBehind(fleet)).to.deep.equal([late.address.id]);
+        fleet.kill(restartedNode);
+        fleet.restart(restartedNode);
+        await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
+        expect(listOutdated(fleet)).to.deep.equal([late.address.id]);
         fleet.network.setCut(() => false);
         isSlow = true;
-        const tell = ({ address, store }: FleetNode): void => late.spread.receiveHeads(address, store.heads());
-        [NODES - 2, 0, 1, 2, 3].map(fleet.node).forEach(tell);
-        await fleet.clock.advance(LONGEST_MS);
-        expect(listBehind(fleet)).to.deep.equal([]);
+        const announceHeads = ({ address, store }: FleetNode): void => late.spread.receiveHeads(address, store.heads());
+        [NODES - 2, 0, 1, 2, 3].map(fleet.node).forEach(announceHeads);
+        await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
+        expect(listOutdated(fleet)).to.deep.equal([]);
         fleet.stop();
     });
 
     // Guards against a back-off, and a line on a failure, after a question that a datagram has overtaken.
     it("counts no failure when it has come in a datagram meanwhile", async () => {
-        const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: NODES, seed: 1, answerTimeOf: () => ANSWER_MS });
+        const fleet = createInMemoryFleet({
+            zones: 1,
+            nodesPerZone: NODES,
+            seed: 1,
+            getResponseDelay: () => RESPONSE_DELAY_MS,
+        });
         await fleet.startAll();
         const [first, other] = [fleet.node(0), fleet.node(NODES - 1)];
         const before = other.spread.stats();
         fleet.acceptAt(first, "halloway", { [WEIGHT_CELL]: 2 });
         other.spread.receiveHeads(first.address, first.store.heads());
-        await fleet.clock.advance(2 * ANSWER_MS);
-        expect(listBehind(fleet)).to.deep.equal([]);
+        await fleet.clock.advance(2 * RESPONSE_DELAY_MS);
+        expect(listOutdated(fleet)).to.deep.equal([]);
         expect(other.spread.stats().inlineApplied).to.be.greaterThan(before.inlineApplied);
         expect(other.spread.stats().pulls).to.be.greaterThan(before.pulls);
         expect(other.spread.stats().pullFailures).to.equal(before.pullFailures);
--- a/packages/oleandergap-distribution/src/__tests__/smallSteps.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/smallSteps.test.ts
@@ -10,24 +10,24 @@
 import { createLimits } from "./recordingStore.js";
 
 /** About as many cells as the steps of a run of small changes had. */
-const FEW_LIMITS = createLimits("lookups", 10);
+const ADDED_LIMITS = createLimits("lookups", 10);
 
 /** Versions that each node took from datagrams. */
-const countFromDatagrams = ({ nodes }: InMemoryFleet): readonly number[] =>
+const countInlineApplied = ({ nodes }: InMemoryFleet): readonly number[] =>
     nodes.map(({ spread }) => spread.stats().inlineApplied);
 
 describe("the spread of a step of a few rows", () => {
     it("comes in datagrams", async () => {
         const fleet = createInMemoryFleet({ zones: 2, nodesPerZone: 14, seed: 3 });
         await fleet.startAll();
-        const before = countFromDatagrams(fleet);
-        fleet.acceptAt(fleet.node(0), "halloway", FEW_LIMITS);
+        const before = countInlineApplied(fleet);
+        fleet.acceptAt(fleet.node(0), "halloway", ADDED_LIMITS);
         await fleet.clock.advance(100);
         expectInForceEverywhere(fleet, "halloway");
-        const after = countFromDatagrams(fleet);
-        const byOtherWays = fleet.nodes.slice(1).filter(({ spread }, index) =>
+        const after = countInlineApplied(fleet);
+        const appliedOtherwise = fleet.nodes.slice(1).filter(({ spread }, index) =>
             !spread.stats().reading && after[index + 1] === before[index + 1]);
-        expect(byOtherWays.map(({ address }) => address.id)).to.deep.equal([]);
+        expect(appliedOtherwise.map(({ address }) => address.id)).to.deep.equal([]);
         expect(fleet.sent.filter(({ message }) => message.kind === "Offer")).to.deep.equal([]);
         fleet.stop();
     });
@@ -35,10 +35,10 @@
 
 describe("packText", () => {
     it("brings long and short texts back, and drops what is damaged or unpacks to too much", () => {
-        for (const text of ["{}", JSON.stringify(FEW_LIMITS), JSON.stringify({ name: "ä".repeat(1_000) })]) {
+        for (const text of ["{}", JSON.stringify(ADDED_LIMITS), JSON.stringify({ name: "ä".repeat(1_000) })]) {
             expect(unpackText(packText(text))).to.equal(text);
         }
-        const packed = packText(JSON.stringify(FEW_LIMITS));
+        const packed = packText(JSON.stringify(ADDED_LIMITS));
         expect(unpackText(packed.slice(0, packed.length / 2))).to.equal(undefined);
         expect(unpackText(packText(" ".repeat(1_000_000)))).to.equal(undefined);
     });
--- a/packages/oleandergap-distribution/src/__tests__/spread.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spread.test.ts
@@ -33,7 +33,7 @@
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 6, seed: 11, probes: false });
         await fleet.startAll();
         const [ahead, behind] = [fleet.node(0), fleet.node(1)];
-        behind.seesPlatform = false;
+        behind.canReachPlatform = false;
         fleet.network.setCut((from, to) => from === behind.address || to === behind.address);
         fleet.acceptAt(ahead, "halloway", { [WEIGHT_CELL]: 3 });
         await fleet.clock.advance(2_000);
@@ -42,7 +42,7 @@
             ahead.spread.receiveHeads(behind.address, behind.store.heads());
         }
         await fleet.clock.advance(20);
-        expect(fleet.informed("halloway")).to.include(behind);
+        expect(fleet.listInformed("halloway")).to.include(behind);
         expect(ahead.spread.stats().repliesSent).to.equal(1);
         fleet.stop();
     });
@@ -93,12 +93,12 @@
         // Sequence: the pull of one partner hangs at a frozen peer; the other partner changes a cell.
         // Cause: one queue of pulls for both partners.
         const fleet = await startFleet(2);
-        const [stuck, frozen, teller] = [fleet.node(0), fleet.node(4), fleet.node(8)];
+        const [stuck, frozen, announcer] = [fleet.node(0), fleet.node(4), fleet.node(8)];
         fleet.freeze(frozen);
         stuck.spread.receiveHeads(frozen.address, [{ ...fleet.platform.head("halloway"), sequence: 9 }]);
         fleet.platform.accept("kushiro", { [WEIGHT_CELL]: 5 });
-        teller.store.offerDocument(fleet.platform.document("kushiro"));
-        stuck.spread.receiveHeads(teller.address, teller.store.heads());
+        announcer.store.offerDocument(fleet.platform.document("kushiro"));
+        stuck.spread.receiveHeads(announcer.address, announcer.store.heads());
         await fleet.clock.advance(20);
         expect(stuck.store.document("kushiro").sequence).to.equal(2);
         fleet.stop();
@@ -125,30 +125,30 @@
         // Sequence: a peer keeps claiming heads far ahead of everybody; a true change is accepted meanwhile.
         // Cause: believing the highest claim whoever tells it.
         const fleet = await startFleet(4);
-        const [liar, victim] = [fleet.node(0), fleet.node(4)];
+        const [lyingPeer, receiver] = [fleet.node(0), fleet.node(4)];
         const claim = async (sequence: number): Promise<void> => {
             const head = { partner: "halloway", sequence, digest: "f".repeat(64) };
-            victim.spread.receiveHeads(liar.address, [head]);
+            receiver.spread.receiveHeads(lyingPeer.address, [head]);
             await fleet.clock.advance(50);
         };
-        const honest = fleet.node(8);
+        const honestPeer = fleet.node(8);
         fleet.network.setCut((from, to) => {
-            const other = from === victim.address ? to : from;
-            return (from === victim.address || to === victim.address) && other !== honest.address;
+            const other = from === receiver.address ? to : from;
+            return (from === receiver.address || to === receiver.address) && other !== honestPeer.address;
         });
         fleet.acceptAt(fleet.node(9), "halloway", { [WEIGHT_CELL]: 8 });
         await fleet.clock.advance(10);
         for (let sequence = 1_000; sequence < 1_040; sequence++) {
             await claim(sequence);
             if (sequence === 1_010) {
-                victim.spread.receiveHeads(honest.address, honest.store.heads());
+                receiver.spread.receiveHeads(honestPeer.address, honestPeer.store.heads());
             }
         }
         expectInForceEverywhere(fleet, "halloway");
         for (let repeat = 0; repeat < 200; repeat++) {
             await claim(1_040);
         }
-        expect(victim.spread.stats().claimsSetAside).to.be.greaterThan(0);
+        expect(receiver.spread.stats().claimsSetAside).to.be.greaterThan(0);
         expectInForceEverywhere(fleet, "halloway");
         fleet.stop();
     });
--- a/packages/oleandergap-distribution/src/__tests__/spreadFailures.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadFailures.test.ts
@@ -43,7 +43,7 @@
         fleet.platform.accept("halloway", { [WEIGHT_CELL]: 1 });
         const [delta] = [fleet.platform.head("halloway")];
         zone.forEach((node) => {
-            node.seesPlatform = false;
+            node.canReachPlatform = false;
         });
         fleet.network.setCut((from, to) => (from.zone === "zone-1") !== (to.zone === "zone-1"));
         zone[3]?.store.offerDocument(fleet.platform.document("halloway"));
@@ -76,7 +76,7 @@
             await fleet.clock.advance(15_000);
         }
         const before = fleet.sent.length;
-        fleet.thaw(frozen);
+        fleet.unfreeze(frozen);
         await fleet.clock.advance(5_000);
         const lower = fleet.sent.slice(before).filter(({ message }) =>
             (message.kind === "Holding" ? message : readHead(message)).sequence < 12);
@@ -128,8 +128,8 @@
         await fleet.clock.advance(5_000);
         const ordinary = fleet.nodes.find(({ spread }) => spread.stats().rank >= 6) as FleetNode;
         const other = fleet.nodes.find((node) => node !== ordinary) as FleetNode;
-        const isBeside = (id: string): boolean => id === ordinary.address.id;
-        fleet.network.setCut((from, to) => isBeside(from.id) || isBeside(to.id));
+        const isOrdinary = (id: string): boolean => id === ordinary.address.id;
+        fleet.network.setCut((from, to) => isOrdinary(from.id) || isOrdinary(to.id));
         for (let weight = 2; weight < 12; weight += 2) {
             fleet.acceptAt(other, "halloway", { [WEIGHT_CELL]: weight });
             fleet.acceptAt(ordinary, "halloway", { [WEIGHT_CELL]: weight + 1 });
@@ -149,17 +149,17 @@
         const reader = { ...defaultDistributionOptions.reader, readers: 2, standbys: 4, intervalMs: 100 };
         const options = { ...defaultDistributionOptions, budget, reader };
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 1, seed: 31, options });
-        fleet.platform.holdDocuments();
+        fleet.platform.serveWholeDocuments();
         await fleet.startAll();
         await fleet.clock.advance(3_000);
-        let oldest = 0;
+        let maxLag = 0;
         for (let weight = 2; weight < 30; weight++) {
             fleet.platform.accept("halloway", { [WEIGHT_CELL]: weight });
             await fleet.clock.advance(300);
             const { sequence } = fleet.platform.head("halloway");
-            oldest = Math.max(oldest, sequence - fleet.node(0).store.document("halloway").sequence);
+            maxLag = Math.max(maxLag, sequence - fleet.node(0).store.document("halloway").sequence);
         }
-        expect(oldest).to.be.at.most(3);
+        expect(maxLag).to.be.at.most(3);
         fleet.stop();
     });
 
@@ -174,13 +174,13 @@
             seed: 32,
             options: { ...defaultDistributionOptions, reader },
         });
-        fleet.platform.holdDocuments();
+        fleet.platform.serveWholeDocuments();
         await fleet.startAll();
         fleet.platform.accept("halloway", { [WEIGHT_CELL]: 1 });
         await fleet.clock.advance(3_000);
-        const pulls = (): number => fleet.nodes
+        const countDocumentPulls = (): number => fleet.nodes
             .reduce((sum, node) => sum + node.spread.stats().documentPulls, 0);
-        const before = pulls();
+        const before = countDocumentPulls();
         for (let weight = 2; weight < 22; weight++) {
             fleet.platform.accept("halloway", { [WEIGHT_CELL]: weight });
             fleet.platform.accept("halloway", { [WEIGHT_CELL]: weight + 100 });
@@ -189,7 +189,7 @@
         await fleet.clock.advance(1_000);
         expectInForceEverywhere(fleet, "halloway");
         // Twenty jumps over two numbers each, for two readers; the six others are given steps.
-        expect(pulls() - before).to.be.at.most(2 * 20 + 10);
+        expect(countDocumentPulls() - before).to.be.at.most(2 * 20 + 10);
         fleet.stop();
     });
 });
--- a/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
@@ -18,14 +18,14 @@
     range: { from: 7, to: 4_294_967_296 },
 };
 
-interface Loop {
+interface Loopback {
     readonly transport: DatagramTransport;
     /** Hands a datagram to whoever opened the transport. */
     readonly deliver: ReceiveDatagram;
     readonly sent: readonly Uint8Array[];
 }
 
-const createLoop = (): Loop => {
+const createLoopback = (): Loopback => {
     const sent: Uint8Array[] = [];
     let receiver: ReceiveDatagram = () => undefined;
     const open: DatagramTransport["open"] = (receive) => async () => {
@@ -41,33 +41,33 @@
 
 describe("createSpreadTransport", () => {
     it("carries messages beside the membership's datagrams", async () => {
-        const loop = createLoop();
+        const loop = createLoopback();
         const spread = createSpreadTransport({ transport: loop.transport, self: { id: "hall-a-1", zone: "hall-a" } });
-        const heard: SpreadMessage[] = [];
-        const passed: Uint8Array[] = [];
+        const receivedMessages: SpreadMessage[] = [];
+        const passedOn: Uint8Array[] = [];
         spread.onMessage((from, received) => {
             expect(from).to.deep.equal({ id: "hall-a-1", zone: "hall-a", address: "127.0.0.1", controlPort: 1_024 });
-            heard.push(received);
+            receivedMessages.push(received);
         });
-        await spread.others.open((payload) => passed.push(payload), new AbortController().signal)();
+        await spread.others.open((payload) => passedOn.push(payload), new AbortController().signal)();
         spread.send(to, message);
         const [payload] = loop.sent;
         expect(payload?.length).to.be.within(1, 400);
         loop.deliver(payload ?? new Uint8Array(), here);
         loop.deliver(Uint8Array.of(0x98, 1, 2), here);
-        expect(heard).to.deep.equal([message]);
-        expect(passed).to.deep.equal([Uint8Array.of(0x98, 1, 2)]);
+        expect(receivedMessages).to.deep.equal([message]);
+        expect(passedOn).to.deep.equal([Uint8Array.of(0x98, 1, 2)]);
     });
 
     it("drops and counts half messages and wrong types", async () => {
         // Symptom: a node crashes on a datagram, or hands garbage on.
         // Sequence: a marked datagram arrives cut short, empty, or with a wrong type in it.
         // Cause: decoding without a check.
-        const loop = createLoop();
+        const loop = createLoopback();
         const spread = createSpreadTransport({ transport: loop.transport, self: { id: "hall-a-1", zone: "hall-a" } });
-        let heard = 0;
+        let receivedCount = 0;
         spread.onMessage(() => {
-            heard += 1;
+            receivedCount += 1;
         });
         await spread.others.open(() => undefined, new AbortController().signal)();
         spread.send(to, message);
@@ -77,7 +77,7 @@
         }
         const wrong = Buffer.from(whole).toString("latin1").replace("\"sequence\":3", "\"sequence\":-3");
         loop.deliver(Buffer.from(wrong, "latin1"), here);
-        expect(heard).to.equal(0);
+        expect(receivedCount).to.equal(0);
         expect(spread.stats().dropped).to.equal(Math.ceil((whole.length - 1) / 7) + 1);
     });
 });
--- a/packages/oleandergap-distribution/src/__tests__/unreadAnswers.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/unreadAnswers.test.ts
@@ -13,11 +13,11 @@
     it("reads a peer's answer that has arrived before it takes the peer for silent", async () => {
         const clock = createManualClock();
         const agent = new Agent();
-        let tellAsked: (response: ServerResponse) => void = () => undefined;
-        const asked = new Promise<ServerResponse>((resolve) => {
-            tellAsked = resolve;
+        let resolveRequested: (response: ServerResponse) => void = () => undefined;
+        const requested = new Promise<ServerResponse>((resolve) => {
+            resolveRequested = resolve;
         });
-        const server = createServer((_request, response) => tellAsked(response));
+        const server = createServer((_request, response) => resolveRequested(response));
         await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
         const outcome = exchangeWithPeer({
             ...defaultDistributionOptions.peer,
@@ -28,7 +28,7 @@
             body: undefined,
             signal: new AbortController().signal,
         }, { agent, clock, countBytes: () => undefined });
-        (await asked).end("{}");
+        (await requested).end("{}");
         clock.block(timeoutMs + 1);
         const result = await outcome;
         agent.destroy();
--- a/packages/oleandergap-distribution/src/__tests__/versionPuller.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/versionPuller.test.ts
@@ -4,7 +4,7 @@
 import { createLogger } from "oleandergap-logger";
 import type { Head, Milliseconds, Sequence } from "oleandergap-types";
 import { createManualClock, createSeededRandom, type ManualClock } from "oleandergap-utils";
-import { createArrivals } from "../arrivals.js";
+import { createArrivalLog } from "../arrivals.js";
 import { formatClaimSource, type ClaimSource } from "../claimBook.js";
 import { defaultDistributionOptions } from "../options.js";
 import type { PeerAddress } from "../ports.js";
@@ -13,18 +13,18 @@
 import { createVersionPuller, type VersionPuller, type VersionPullerDependencies } from "../versionPuller.js";
 
 /** Time in which a confirmed version is to be in force at every node that can be reached. */
-const LONGEST_MS = 2_500;
+const CONVERGENCE_LIMIT_MS = 2_500;
 /** Time after which three sources have been asked. */
-const THREE_ASKED_MS = 2 * defaultDistributionOptions.pull.answerPatienceMs;
+const THREE_REQUESTS_MS = 2 * defaultDistributionOptions.pull.answerPatienceMs;
 /** A part of an answer's way over a link. */
-const STEP_MS = 10;
+const TRANSFER_STEP_MS = 10;
 const PARTNER = "halloway";
 
 type Outcome = Either<FetchFailure, Sequence>;
 
-const peerOf = (id: string): PeerAddress => ({ id, zone: "zone-0", address: "127.0.0.1", controlPort: 1_024 });
-const headOf = (sequence: Sequence): Head => ({ partner: PARTNER, sequence, digest: String(sequence) });
-const fromPeer = (id: string): ClaimSource => ({ kind: "Peer", peer: peerOf(id) });
+const createPeer = (id: string): PeerAddress => ({ id, zone: "zone-0", address: "127.0.0.1", controlPort: 1_024 });
+const createHead = (sequence: Sequence): Head => ({ partner: PARTNER, sequence, digest: String(sequence) });
+const createPeerSource = (id: string): ClaimSource => ({ kind: "Peer", peer: createPeer(id) });
 
 interface Harness {
     readonly clock: ManualClock;
@@ -36,8 +36,8 @@
 
 /** A puller of a node that holds version 1. */
 const startPuller = (
-    answerOf: (source: string, signal: AbortSignal, onProgress?: () => void) => Promise<Outcome>,
-    budgetMs: Milliseconds = 0,
+    respond: (source: string, signal: AbortSignal, onProgress?: () => void) => Promise<Outcome>,
+    timeToNextMs: Milliseconds = 0,
     clock: ManualClock = createManualClock(),
 ): Harness => {
     const logger = createLogger("test");
@@ -47,15 +47,18 @@
     };
     const puller = createVersionPuller({
         partner: PARTNER,
-        store: { document: () => ({ ...headOf(sequence), cells: {} }), isWanted: (head) => head.sequence > sequence },
+        store: {
+            document: () => ({ ...createHead(sequence), cells: {} }),
+            isWanted: (head) => head.sequence > sequence,
+        },
         fetchVersion: async (_partner, source, { signal, onProgress }) => {
-            const outcome = await answerOf(formatClaimSource(source), signal, onProgress);
+            const outcome = await respond(formatClaimSource(source), signal, onProgress);
             return either.map(apply)(outcome);
         },
-        otherPeers: () => [],
-        budget: { timeToNext: () => budgetMs },
-        arrivals: createArrivals({ clock, logger }),
-        followsPlatform: () => false,
+        listFallbackPeers: () => [],
+        budget: { timeToNext: () => timeToNextMs },
+        arrivalLog: createArrivalLog({ clock, logger }),
+        isFollowingPlatform: () => false,
         clock,
         random: createSeededRandom(1),
         logger,
@@ -67,30 +70,30 @@
 };
 
 /** A link of this node that its answers share evenly; one alone takes `wholeMs`. */
-const createSharedLink = (clock: ManualClock, wholeMs: Milliseconds) => {
-    let answers = 0;
+const createSharedLink = (clock: ManualClock, transferMs: Milliseconds) => {
+    let activeTransfers = 0;
     return async (signal: AbortSignal, onProgress: () => void = () => undefined): Promise<void> => {
-        answers += 1;
-        for (let left = wholeMs; left > 0 && !signal.aborted; left -= STEP_MS / answers) {
-            await clock.sleep(STEP_MS, signal);
+        activeTransfers += 1;
+        for (let left = transferMs; left > 0 && !signal.aborted; left -= TRANSFER_STEP_MS / activeTransfers) {
+            await clock.sleep(TRANSFER_STEP_MS, signal);
             onProgress();
         }
-        answers -= 1;
+        activeTransfers -= 1;
     };
 };
 
-const never = (): Promise<never> => new Promise(() => undefined);
+const hang = (): Promise<never> => new Promise(() => undefined);
 
 describe("createVersionPuller", () => {
     // Guards against questions for what is in force already that take the places of those for what is newer.
     it("asks the holder of a newer version while three questions for an older one hang", async () => {
         const { clock, puller, apply, sequence } = startPuller((source) =>
-            source === "quick" ? Promise.resolve(either.right(3)) : never());
-        ["a", "b", "c"].forEach((id) => puller.tell({ head: headOf(2), source: fromPeer(id) }));
-        await clock.advance(THREE_ASKED_MS);
+            source === "quick" ? Promise.resolve(either.right(3)) : hang());
+        ["a", "b", "c"].forEach((id) => puller.reportClaim({ head: createHead(2), source: createPeerSource(id) }));
+        await clock.advance(THREE_REQUESTS_MS);
         apply(2);
-        puller.tell({ head: headOf(3), source: fromPeer("quick") });
-        await clock.advance(LONGEST_MS);
+        puller.reportClaim({ head: createHead(3), source: createPeerSource("quick") });
+        await clock.advance(CONVERGENCE_LIMIT_MS);
         expect(sequence()).to.equal(3);
     });
 
@@ -100,25 +103,25 @@
             if (source === "platform") {
                 return Promise.resolve(either.left({ kind: "OverBudget" }));
             }
-            return source === "quick" ? Promise.resolve(either.right(2)) : never();
-        }, 4 * LONGEST_MS);
-        puller.tell({ head: headOf(2), source: fromPeer("silent") });
-        puller.tell({ head: headOf(2), source: fromPeer("quick") });
-        puller.tell({ head: headOf(2), source: { kind: "Platform" } });
-        await clock.advance(LONGEST_MS);
+            return source === "quick" ? Promise.resolve(either.right(2)) : hang();
+        }, 4 * CONVERGENCE_LIMIT_MS);
+        puller.reportClaim({ head: createHead(2), source: createPeerSource("silent") });
+        puller.reportClaim({ head: createHead(2), source: createPeerSource("quick") });
+        puller.reportClaim({ head: createHead(2), source: { kind: "Platform" } });
+        await clock.advance(CONVERGENCE_LIMIT_MS);
         expect(sequence()).to.equal(2);
     });
 
     // Guards against answers that hold each other up on this node's own link, of which one alone is in time.
     it("has a version in time although its own link is narrow", async () => {
         const clock = createManualClock();
-        const receive = createSharedLink(clock, 0.6 * LONGEST_MS);
+        const receive = createSharedLink(clock, 0.6 * CONVERGENCE_LIMIT_MS);
         const { puller, sequence } = startPuller(async (_source, signal, onProgress) => {
             await receive(signal, onProgress);
             return either.right(2);
         }, 0, clock);
-        ["a", "b", "c"].forEach((id) => puller.tell({ head: headOf(2), source: fromPeer(id) }));
-        await clock.advance(LONGEST_MS);
+        ["a", "b", "c"].forEach((id) => puller.reportClaim({ head: createHead(2), source: createPeerSource(id) }));
+        await clock.advance(CONVERGENCE_LIMIT_MS);
         expect(sequence()).to.equal(2);
     });
 });
--- a/packages/oleandergap-distribution/src/__tests__/wideReaders.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/wideReaders.test.ts
@@ -10,8 +10,8 @@
 import { expectInForceEverywhere } from "./fleetAssertions.js";
 import { WEIGHT_CELL } from "./recordingStore.js";
 
-const WIDE = 6;
-const NARROW = 1;
+const WIDE_CLASS = 6;
+const NARROW_CLASS = 1;
 const NODES = 24;
 
 const listReading = (fleet: InMemoryFleet): readonly number[] =>
@@ -22,7 +22,7 @@
         zones: 1,
         nodesPerZone: NODES,
         seed: 41,
-        linkClassOf: (index) => wide.includes(index) ? WIDE : NARROW,
+        getLinkClass: (index) => wide.includes(index) ? WIDE_CLASS : NARROW_CLASS,
     });
     await fleet.startAll();
     await fleet.clock.advance(5_000);
@@ -57,7 +57,7 @@
         await fleet.startAll();
         await fleet.clock.advance(5_000);
         fleet.zone(1).forEach((node) => {
-            node.seesPlatform = false;
+            node.canReachPlatform = false;
         });
         for (let weight = 2; weight < 12; weight++) {
             fleet.platform.accept("halloway", { [WEIGHT_CELL]: weight });
--- a/packages/oleandergap-distribution/src/arrivals.ts
+++ b/packages/oleandergap-distribution/src/arrivals.ts
@@ -8,11 +8,11 @@
 import { createTokenBucket } from "oleandergap-utils";
 
 /** How a version reached the store: read from the platform, as one step in a datagram, or pulled from a peer. */
-export type ArrivalWay = "platform" | "datagram" | "steps" | "document";
+export type ArrivalMethod = "platform" | "datagram" | "steps" | "document";
 
 /** Where a version came from. */
 export interface ArrivalOrigin {
-    readonly way: ArrivalWay;
+    readonly way: ArrivalMethod;
     /** The peer's id; undefined for the platform. */
     readonly peer?: string;
 }
@@ -27,13 +27,13 @@
 }
 
 /** What arrivals are recorded with. */
-export interface ArrivalDependencies {
+export interface ArrivalLogDependencies {
     readonly clock: Clock;
     readonly logger: Logger;
 }
 
 /** The record of one node. */
-export interface Arrivals {
+export interface ArrivalLog {
     /** Notes that somebody claims to hold a version that is not in force here. */
     readonly noteHeard: (head: Head) => void;
     /** Notes that a source is asked for a version. */
@@ -46,77 +46,80 @@
 }
 
 /** Lines on failed pulls: while nobody answers, a node tries several times a second for as long as that lasts. */
-const FAILURE_LINES_PER_SECOND = 2;
-const FAILURE_LINES_BURST = 10;
+const FAILURE_LOG_LINES_PER_SECOND = 2;
+const FAILURE_LOG_BURST = 10;
 
 /** A version that was heard of, and when first. */
-interface Heard {
+interface ObservedVersion {
     readonly sequence: Sequence;
     readonly at: Milliseconds;
 }
 
 /** Versions remembered that were heard of and are not in force. */
-const MAX_HEARD = 32;
+const MAX_OBSERVED_VERSIONS = 32;
 
 /** Creates an empty record. */
-export const createArrivals = ({ clock, logger }: ArrivalDependencies): Arrivals => {
-    const heard = new Map<PartnerName, readonly Heard[]>();
-    const lines = createTokenBucket({
+export const createArrivalLog = ({ clock, logger }: ArrivalLogDependencies): ArrivalLog => {
+    const observedVersions = new Map<PartnerName, readonly ObservedVersion[]>();
+    const failureLogBucket = createTokenBucket({
         clock,
-        ratePerSecond: () => FAILURE_LINES_PER_SECOND,
-        burst: FAILURE_LINES_BURST,
+        ratePerSecond: () => FAILURE_LOG_LINES_PER_SECOND,
+        burst: FAILURE_LOG_BURST,
     });
     /** Questions since the last version came into force. */
-    const questions = new Map<PartnerName, number>();
-    let leftOut = 0;
-    let offer: { readonly origin: ArrivalOrigin; readonly startedAt: Milliseconds } | undefined;
+    const requestCounts = new Map<PartnerName, number>();
+    let suppressedLines = 0;
+    let currentOffer: { readonly origin: ArrivalOrigin; readonly startedAt: Milliseconds } | undefined;
 
     /** The earliest sign of the version itself or of one that holds it; forgets what is in force now. */
-    const takeHeard = ({ partner, sequence }: Head): Milliseconds | undefined => {
-        const known = heard.get(partner) ?? [];
-        heard.set(partner, known.filter((other) => other.sequence > sequence));
-        return known.find((other) => other.sequence >= sequence)?.at;
+    const takeObservedAt = ({ partner, sequence }: Head): Milliseconds | undefined => {
+        const observed = observedVersions.get(partner) ?? [];
+        observedVersions.set(partner, observed.filter((other) => other.sequence > sequence));
+        return observed.find((other) => other.sequence >= sequence)?.at;
     };
 
     return {
         noteHeard: ({ partner, sequence }) => {
-            const known = heard.get(partner) ?? [];
-            if (known.every((other) => other.sequence < sequence)) {
-                heard.set(partner, [...known, { sequence, at: clock.monotonic() }].slice(-MAX_HEARD));
+            const observed = observedVersions.get(partner) ?? [];
+            if (observed.every((other) => other.sequence < sequence)) {
+                observedVersions.set(
+                    partner,
+                    [...observed, { sequence, at: clock.monotonic() }].slice(-MAX_OBSERVED_VERSIONS),
+                );
             }
         },
         noteQuestion: (partner) => {
-            questions.set(partner, (questions.get(partner) ?? 0) + 1);
+            requestCounts.set(partner, (requestCounts.get(partner) ?? 0) + 1);
         },
-        offerFrom: (origin, run) => {
-            const outer = offer;
-            offer = { origin, startedAt: clock.monotonic() };
-            const result = run();
-            offer = outer;
+        offerFrom: (origin, applyOffer) => {
+            const enclosingOffer = currentOffer;
+            currentOffer = { origin, startedAt: clock.monotonic() };
+            const result = applyOffer();
+            currentOffer = enclosingOffer;
             return result;
         },
         noteApplied: (head, cells) => {
             const now = clock.monotonic();
-            const heardAt = takeHeard(head);
+            const observedAt = takeObservedAt(head);
             logger.info("A version is in force.", {
                 partner: head.partner,
                 sequence: head.sequence,
-                way: offer?.origin.way ?? "local",
-                peer: offer?.origin.peer,
+                way: currentOffer?.origin.way ?? "local",
+                peer: currentOffer?.origin.peer,
                 cells,
-                questions: questions.get(head.partner) ?? 0,
-                sinceHeardMs: heardAt === undefined ? 0 : Math.round(now - heardAt),
-                checkMs: offer === undefined ? 0 : Math.round(now - offer.startedAt),
+                questions: requestCounts.get(head.partner) ?? 0,
+                sinceHeardMs: observedAt === undefined ? 0 : Math.round(now - observedAt),
+                checkMs: currentOffer === undefined ? 0 : Math.round(now - currentOffer.startedAt),
             });
-            questions.delete(head.partner);
+            requestCounts.delete(head.partner);
         },
         noteFailedPull: ({ partner, source, reason, durationMs }) => {
-            if (!lines.tryTake()) {
-                leftOut += 1;
+            if (!failureLogBucket.tryTake()) {
+                suppressedLines += 1;
                 return;
             }
-            logger.info("A pull failed.", { partner, source, reason, durationMs: Math.round(durationMs), leftOut });
-            leftOut = 0;
+            logger.info("A pull failed.", { partner, source, reason, durationMs: Math.round(durationMs), leftOut: suppressedLines });
+            suppressedLines = 0;
         },
     };
 };
--- a/packages/oleandergap-distribution/src/boundedCall.ts
+++ b/packages/oleandergap-distribution/src/boundedCall.ts
@@ -11,7 +11,7 @@
     | { readonly kind: "Threw"; readonly detail: string };
 
 /** How long a call may take, by which clock, and what ends it early. */
-export interface CallBound {
+export interface CallLimits {
     readonly clock: Clock;
     readonly timeoutMs: Milliseconds;
     /** Ends the call early. */
@@ -25,25 +25,25 @@
  * the caller does one at a time; one would see one partner's versions stop arriving at one node. The timer resolves
  * the call even when the callee ignores the abort.
  */
-export const callWithin = <Failure, Result>(
+export const callWithTimeout = <Failure, Result>(
     call: (signal: AbortSignal) => TaskEither<Failure, Result>,
-    { clock, timeoutMs, signal }: CallBound,
+    { clock, timeoutMs, signal }: CallLimits,
 ): Promise<Either<Failure | CallFailure, Result>> =>
     new Promise((resolve) => {
         const controller = new AbortController();
         const finish = (outcome: Either<Failure | CallFailure, Result>): void => {
             cancelTimer();
-            signal.removeEventListener("abort", giveUp);
+            signal.removeEventListener("abort", abortCall);
             resolve(outcome);
         };
-        const giveUp = (): void => {
+        const abortCall = (): void => {
             controller.abort();
             finish(either.left({ kind: "TimedOut" }));
         };
-        const cancelTimer = afterReading(clock, timeoutMs, giveUp);
-        signal.addEventListener("abort", giveUp, { once: true });
+        const cancelTimer = afterReading(clock, timeoutMs, abortCall);
+        signal.addEventListener("abort", abortCall, { once: true });
         if (signal.aborted) {
-            giveUp();
+            abortCall();
             return;
         }
         call(controller.signal)().then(finish, (error: unknown) => {
--- a/packages/oleandergap-distribution/src/choosePull.ts
+++ b/packages/oleandergap-distribution/src/choosePull.ts
@@ -9,11 +9,11 @@
     /** Highest first. */
     readonly claims: readonly Claim[];
     /** Whether a question to this source is under way. */
-    readonly isAsked: (source: ClaimSource) => boolean;
+    readonly isInFlight: (source: ClaimSource) => boolean;
     /** Whether the last question that failed went to this source. */
-    readonly hasFailedLast: (source: ClaimSource) => boolean;
+    readonly isLastFailedSource: (source: ClaimSource) => boolean;
     /** Peers to try when those who told a head do not deliver it. */
-    readonly otherPeers: () => readonly PeerAddress[];
+    readonly listFallbackPeers: () => readonly PeerAddress[];
     readonly random: Random;
 }
 
@@ -22,23 +22,23 @@
  * hold a node back for as long as it keeps telling higher heads. Undefined when nobody is left to ask.
  */
 export const choosePull = (
-    { claims, isAsked, hasFailedLast, otherPeers, random }: PullChoice,
+    { claims, isInFlight, isLastFailedSource, listFallbackPeers, random }: PullChoice,
 ): PullAttempt | undefined => {
-    const canBeAsked = (source: ClaimSource): boolean => !hasFailedLast(source) && !isAsked(source);
-    const [newest] = claims;
-    if (newest === undefined) {
+    const isAvailable = (source: ClaimSource): boolean => !isLastFailedSource(source) && !isInFlight(source);
+    const [newestClaim] = claims;
+    if (newestClaim === undefined) {
         return undefined;
     }
-    const wanted = newest.head;
-    const next = claims.find((claim) => canBeAsked(claim.source));
-    if (next !== undefined) {
-        return { source: next.source, wanted, claim: next };
+    const newestHead = newestClaim.head;
+    const nextClaim = claims.find((claim) => isAvailable(claim.source));
+    if (nextClaim !== undefined) {
+        return { source: nextClaim.source, newestHead, claim: nextClaim };
     }
-    const others = otherPeers().map((peer): ClaimSource => ({ kind: "Peer", peer }));
-    const other = pickOne(random, others.filter(canBeAsked));
-    if (other !== undefined) {
-        return { source: other, wanted, claim: undefined };
+    const fallbackSources = listFallbackPeers().map((peer): ClaimSource => ({ kind: "Peer", peer }));
+    const fallbackSource = pickOne(random, fallbackSources.filter(isAvailable));
+    if (fallbackSource !== undefined) {
+        return { source: fallbackSource, newestHead, claim: undefined };
     }
-    const last = claims.find((claim) => !isAsked(claim.source));
-    return last && { source: last.source, wanted, claim: last };
+    const lastClaim = claims.find((claim) => !isInFlight(claim.source));
+    return lastClaim && { source: lastClaim.source, newestHead, claim: lastClaim };
 };
--- a/packages/oleandergap-distribution/src/claimBook.ts
+++ b/packages/oleandergap-distribution/src/claimBook.ts
@@ -25,7 +25,7 @@
 /** Claims kept at most, so that a peer that makes up heads cannot fill the memory. */
 const MAX_CLAIMS = 8;
 /** Claims set aside, or counted as failed, that are remembered at most. */
-const MAX_REMEMBERED = 32;
+const MAX_BOUNDED_ENTRIES = 32;
 
 /** The platform, or the id of the peer, for a log. */
 export const formatClaimSource = (source: ClaimSource): string =>
@@ -38,13 +38,13 @@
 const compareClaims = (left: Claim, right: Claim): number => right.head.sequence - left.head.sequence;
 
 /** What a claim book works with. */
-export interface ClaimBookDependencies {
+export interface ClaimRegistryDependencies {
     readonly clock: Clock;
     readonly options: Pick<PullOptions, "attemptsPerHead" | "keepUnansweredMs" | "setAsideMs">;
 }
 
 /** The claims to one partner's heads, with those that could not be verified set aside for a while. */
-export interface ClaimBook {
+export interface ClaimRegistry {
     /** Notes a claim; true when it is higher than every other one that is still believed. */
     readonly note: (claim: Claim) => boolean;
     /** The claims that are still believed, highest first. */
@@ -56,16 +56,16 @@
 }
 
 /** The failed attempts at one claim. */
-interface Failures {
+interface FailureCount {
     readonly count: number;
     readonly since: Milliseconds;
 }
 
 /** A map that forgets its oldest entries. */
-const remember = <Value>(map: Map<string, Value>, key: string, value: Value): void => {
+const setBounded = <Value>(map: Map<string, Value>, key: string, value: Value): void => {
     map.delete(key);
     map.set(key, value);
-    for (const oldest of [...map.keys()].slice(0, -MAX_REMEMBERED)) {
+    for (const oldest of [...map.keys()].slice(0, -MAX_BOUNDED_ENTRIES)) {
         map.delete(oldest);
     }
 };
@@ -85,51 +85,51 @@
  * would use up the attempts within a part of a second, and a node that hears of the version only once would then stay
  * behind, though others hold it.
  */
-export const createClaimBook = ({ clock, options }: ClaimBookDependencies): ClaimBook => {
+export const createClaimRegistry = ({ clock, options }: ClaimRegistryDependencies): ClaimRegistry => {
     let claims: readonly Claim[] = [];
-    const failures = new Map<string, Failures>();
-    const setAsideUntil = new Map<string, number>();
+    const failureCounts = new Map<string, FailureCount>();
+    const ignoredUntil = new Map<string, number>();
 
-    const isSetAside = (claim: Claim): boolean => {
-        const until = setAsideUntil.get(formatClaim(claim));
+    const isIgnored = (claim: Claim): boolean => {
+        const until = ignoredUntil.get(formatClaim(claim));
         return until !== undefined && clock.monotonic() < until;
     };
 
-    const drop = (key: string): void => {
-        failures.delete(key);
+    const dropClaim = (key: string): void => {
+        failureCounts.delete(key);
         claims = claims.filter((claim) => formatClaim(claim) !== key);
     };
 
     return {
         note: (claim) => {
-            if (isSetAside(claim)) {
+            if (isIgnored(claim)) {
                 return false;
             }
-            const isNews = claims.every((other) => other.head.sequence < claim.head.sequence);
-            const name = formatClaimSource(claim.source);
-            const others = claims.filter((other) => formatClaimSource(other.source) !== name);
+            const isNewest = claims.every((other) => other.head.sequence < claim.head.sequence);
+            const sourceName = formatClaimSource(claim.source);
+            const others = claims.filter((other) => formatClaimSource(other.source) !== sourceName);
             claims = [claim, ...others].sort(compareClaims).slice(0, MAX_CLAIMS);
-            return isNews;
+            return isNewest;
         },
         claims: () => claims,
         settle: (isWanted) => {
             claims = claims.filter((claim) => isWanted(claim.head));
             if (claims.length === 0) {
-                failures.clear();
+                failureCounts.clear();
             }
         },
         countFailure: (claim, failure) => {
             const key = formatClaim(claim);
             const now = clock.monotonic();
-            const { count, since } = failures.get(key) ?? { count: 0, since: now };
-            remember(failures, key, { count: count + 1, since });
+            const { count, since } = failureCounts.get(key) ?? { count: 0, since: now };
+            setBounded(failureCounts, key, { count: count + 1, since });
             const isKept = failure === "Unanswered" && now - since < options.keepUnansweredMs;
             if (count + 1 < options.attemptsPerHead || isKept) {
                 return false;
             }
-            drop(key);
+            dropClaim(key);
             if (failure === "Disproved") {
-                remember(setAsideUntil, key, clock.monotonic() + options.setAsideMs);
+                setBounded(ignoredUntil, key, clock.monotonic() + options.setAsideMs);
             }
             return true;
         },
--- a/packages/oleandergap-distribution/src/delegation.ts
+++ b/packages/oleandergap-distribution/src/delegation.ts
@@ -25,7 +25,7 @@
 export interface DelegatorDependencies {
     readonly self: () => NodeId;
     /** The version in force; a delegation of a lower one is dropped, because the higher one has its own. */
-    readonly sequenceOf: (partner: PartnerName) => Sequence;
+    readonly getSequence: (partner: PartnerName) => Sequence;
     readonly clock: Clock;
     readonly signal: AbortSignal;
 }
@@ -45,35 +45,35 @@
 /** A timer later than this was held up by a frozen process; what it was to send is no news any more. */
 const STALE_AFTER_MS = 1_000;
 
-const formatWait = (peer: NodeId, partner: PartnerName): string => `${peer}/${partner}`;
+const formatPendingKey = (peer: NodeId, partner: PartnerName): string => `${peer}/${partner}`;
 
-interface Wait {
+interface PendingAcknowledgement {
     readonly sequence: Sequence;
     readonly cancel: CancelTimer;
 }
 
 /** Creates the delegator of one node. */
-export const createDelegator = ({ self, sequenceOf, clock, signal }: DelegatorDependencies): Delegator => {
-    const waits = new Map<string, readonly Wait[]>();
+export const createDelegator = ({ self, getSequence, clock, signal }: DelegatorDependencies): Delegator => {
+    const pendingAcknowledgements = new Map<string, readonly PendingAcknowledgement[]>();
 
-    const addWait = (key: string, wait: Wait): void => {
-        waits.set(key, [...waits.get(key) ?? [], wait]);
+    const addPending = (key: string, pending: PendingAcknowledgement): void => {
+        pendingAcknowledgements.set(key, [...pendingAcknowledgements.get(key) ?? [], pending]);
     };
 
-    const removeWait = (key: string, wait: Wait): void => {
-        const others = (waits.get(key) ?? []).filter((other) => other !== wait);
+    const removePending = (key: string, pending: PendingAcknowledgement): void => {
+        const others = (pendingAcknowledgements.get(key) ?? []).filter((other) => other !== pending);
         if (others.length === 0) {
-            waits.delete(key);
+            pendingAcknowledgements.delete(key);
         }
         else {
-            waits.set(key, others);
+            pendingAcknowledgements.set(key, others);
         }
     };
 
     const tryCandidate = (delegation: Delegation, attempt: number): void => {
         const { head, candidates, send, takeOver, timeoutMs } = delegation;
         const candidate = candidates[attempt % candidates.length];
-        const isSuperseded = sequenceOf(head.partner) > head.sequence;
+        const isSuperseded = getSequence(head.partner) > head.sequence;
         if (candidate === undefined || attempt >= MAX_ATTEMPTS || isSuperseded) {
             return;
         }
@@ -81,27 +81,27 @@
             takeOver();
             return;
         }
-        const key = formatWait(candidate.id, head.partner);
-        const due = clock.monotonic() + timeoutMs;
+        const key = formatPendingKey(candidate.id, head.partner);
+        const dueAt = clock.monotonic() + timeoutMs;
         const cancel = startTimer(clock, signal, timeoutMs, () => {
-            removeWait(key, wait);
-            if (clock.monotonic() - due < STALE_AFTER_MS) {
+            removePending(key, pending);
+            if (clock.monotonic() - dueAt < STALE_AFTER_MS) {
                 tryCandidate(delegation, attempt + 1);
             }
         });
-        const wait: Wait = { sequence: head.sequence, cancel };
-        addWait(key, wait);
+        const pending: PendingAcknowledgement = { sequence: head.sequence, cancel };
+        addPending(key, pending);
         send(candidate);
     };
 
     return {
         delegate: (delegation) => tryCandidate(delegation, 0),
         acknowledge: (peer, version) => {
-            const key = formatWait(peer, version.partner);
-            for (const wait of waits.get(key) ?? []) {
-                if (wait.sequence <= version.sequence) {
-                    wait.cancel();
-                    removeWait(key, wait);
+            const key = formatPendingKey(peer, version.partner);
+            for (const pending of pendingAcknowledgements.get(key) ?? []) {
+                if (pending.sequence <= version.sequence) {
+                    pending.cancel();
+                    removePending(key, pending);
                 }
             }
         },
--- a/packages/oleandergap-distribution/src/headReceiver.ts
+++ b/packages/oleandergap-distribution/src/headReceiver.ts
@@ -2,7 +2,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Head, NodeId, PartnerName } from "oleandergap-types";
 import { createTokenBucket } from "oleandergap-utils";
-import type { Arrivals } from "./arrivals.js";
+import type { ArrivalLog } from "./arrivals.js";
 import type { Claim } from "./claimBook.js";
 import { expandDelta, type CompactDelta } from "./compactDelta.js";
 import type { SpreadOptions } from "./options.js";
@@ -19,8 +19,8 @@
     readonly outlet: Pick<SpreadOutlet, "sendHeads">;
     readonly peerHeads: PeerHeads;
     readonly pusher: Pick<VersionPusher, "accept" | "acknowledge">;
-    readonly tell: (claim: Claim) => void;
-    readonly arrivals: Pick<Arrivals, "offerFrom">;
+    readonly reportClaim: (claim: Claim) => void;
+    readonly arrivalLog: Pick<ArrivalLog, "offerFrom">;
     readonly clock: Clock;
     readonly options: Pick<SpreadOptions, "repliesPerSecond" | "replySpacingMs">;
     readonly counters: SpreadCounters;
@@ -46,18 +46,18 @@
     { repliesPerSecond, replySpacingMs }: HeadReceiverDependencies["options"],
 ): ((peer: NodeId) => boolean) => {
     const bucket = createTokenBucket({ clock, ratePerSecond: () => repliesPerSecond, burst: repliesPerSecond });
-    const repliedAt = new Map<NodeId, number>();
+    const lastRepliedAt = new Map<NodeId, number>();
 
     return (peer) => {
-        const last = repliedAt.get(peer);
+        const last = lastRepliedAt.get(peer);
         const isTooSoon = last !== undefined && clock.monotonic() - last < replySpacingMs;
         if (isTooSoon || !bucket.tryTake()) {
             return false;
         }
-        repliedAt.delete(peer);
-        repliedAt.set(peer, clock.monotonic());
-        for (const oldest of [...repliedAt.keys()].slice(0, -MAX_REMEMBERED_REPLIES)) {
-            repliedAt.delete(oldest);
+        lastRepliedAt.delete(peer);
+        lastRepliedAt.set(peer, clock.monotonic());
+        for (const oldest of [...lastRepliedAt.keys()].slice(0, -MAX_REMEMBERED_REPLIES)) {
+            lastRepliedAt.delete(oldest);
         }
         return true;
     };
@@ -70,33 +70,33 @@
     outlet,
     peerHeads,
     pusher,
-    tell,
-    arrivals,
+    reportClaim,
+    arrivalLog,
     clock,
     options,
     counters,
 }: HeadReceiverDependencies): HeadReceiver => {
-    const mayReply = createReplyLimiter(clock, options);
+    const tryTakeReply = createReplyLimiter(clock, options);
 
     /** Whether we hold something that the sender's heads do not show. */
-    const isBehindUs = (heads: readonly Head[]): boolean =>
-        store.heads().some((own) => {
-            const theirs = heads.find((head) => head.partner === own.partner);
-            return own.sequence > (theirs?.sequence ?? 0);
+    const isPeerBehind = (heads: readonly Head[]): boolean =>
+        store.heads().some((localHead) => {
+            const peerHead = heads.find((head) => head.partner === localHead.partner);
+            return localHead.sequence > (peerHead?.sequence ?? 0);
         });
 
-    const noteClaim = (from: PeerAddress, head: Head): void => {
+    const recordPeerHead = (from: PeerAddress, head: Head): void => {
         peerHeads.note(from.id, head);
-        tell({ head, source: { kind: "Peer", peer: from } });
+        reportClaim({ head, source: { kind: "Peer", peer: from } });
     };
 
     /** Puts the step in force if it extends what is in force here. */
-    const applyStep = (from: PeerAddress, compact: CompactDelta): void => {
+    const applyDelta = (from: PeerAddress, compact: CompactDelta): void => {
         const delta = expandDelta(compact, store.document(compact.partner));
         if (delta === undefined) {
             return;
         }
-        const offered = arrivals.offerFrom({ way: "datagram", peer: from.id }, () =>
+        const offered = arrivalLog.offerFrom({ way: "datagram", peer: from.id }, () =>
             store.offerDeltas(compact.partner, [delta]));
         const isApplied = either.isRight(offered);
         counters.inlineApplied += isApplied ? 1 : 0;
@@ -108,18 +108,18 @@
         peerHeads.note(from.id, head);
         pusher.accept({ from, head, range: message.range });
         if (message.kind === "Step") {
-            applyStep(from, message.delta);
+            applyDelta(from, message.delta);
         }
         if (message.kind === "Offer" && message.holder !== undefined) {
-            tell({ head, source: { kind: "Peer", peer: message.holder } });
+            reportClaim({ head, source: { kind: "Peer", peer: message.holder } });
         }
         // Does nothing once the step is in force. A step that does not fit, or that was damaged on its way, is
         // refused by
         // the store, and its sender is then asked by a pull.
-        tell({ head, source: { kind: "Peer", peer: from } });
+        reportClaim({ head, source: { kind: "Peer", peer: from } });
     };
 
-    const receiveHolding = (from: PeerAddress, { partner, sequence }: Pick<Head, "partner" | "sequence">): void => {
+    const receiveAcknowledgement = (from: PeerAddress, { partner, sequence }: Pick<Head, "partner" | "sequence">): void => {
         pusher.acknowledge(from, { partner, sequence });
         // The peer is ahead. An acknowledgement names no digest; shown our heads, the peer answers with its own.
         if (sequence > store.document(partner).sequence) {
@@ -130,9 +130,9 @@
     return {
         receiveHeads: (from, heads) => {
             for (const head of heads.filter((candidate) => partners.includes(candidate.partner))) {
-                noteClaim(from, head);
+                recordPeerHead(from, head);
             }
-            if (isBehindUs(heads) && mayReply(from.id)) {
+            if (isPeerBehind(heads) && tryTakeReply(from.id)) {
                 counters.repliesSent += 1;
                 outlet.sendHeads(from, store.heads());
             }
@@ -143,7 +143,7 @@
                 return;
             }
             if (message.kind === "Holding") {
-                receiveHolding(from, message);
+                receiveAcknowledgement(from, message);
                 return;
             }
             receiveHandover(from, message);
--- a/packages/oleandergap-distribution/src/peerClient.ts
+++ b/packages/oleandergap-distribution/src/peerClient.ts
@@ -21,7 +21,7 @@
     versionAnswerSchema,
 } from "./peerSchemas.js";
 import { exchangeWithPeer, type ExchangeBytes, type ExchangeDependencies } from "./peerTransport.js";
-import type { NoteProgress, PeerAddress, PeerDirectoryPort, PeerPort } from "./ports.js";
+import type { ProgressListener, PeerAddress, PeerDirectoryPort, PeerPort } from "./ports.js";
 
 /** Value of the `authorization` header of calls to a node; undefined where no key is set. */
 export type AuthorizeCall = (node: Pick<PeerAddress, "address" | "controlPort">) => string | undefined;
@@ -55,7 +55,7 @@
 /** Longest excerpt of a peer's error that is kept, in characters. */
 const MAX_DETAIL_LENGTH = 200;
 
-interface CallFailure {
+interface CallErrorHolder {
     error: PeerError | undefined;
 }
 
@@ -70,7 +70,7 @@
 };
 
 /** Reads an error that came from the trpc library, or the transport's own when that failed. */
-const toPeerError = (error: unknown, failure: CallFailure): PeerError => {
+const toPeerError = (error: unknown, failure: CallErrorHolder): PeerError => {
     if (failure.error !== undefined) {
         return failure.error;
     }
@@ -80,7 +80,10 @@
     return typeof status === "number" ? { kind: "Refused", status, detail } : { kind: "Malformed", detail };
 };
 
-const checkAnswer = <Schema extends z.ZodType>(schema: Schema, value: unknown): Either<PeerError, z.output<Schema>> => {
+const validateResponse = <Schema extends z.ZodType>(
+    schema: Schema,
+    value: unknown,
+): Either<PeerError, z.output<Schema>> => {
     const result = schema.safeParse(value);
     if (result.success) {
         return either.right(result.data);
@@ -109,8 +112,8 @@
 
     const createCallClient = (
         peer: PeerAddress,
-        failure: CallFailure,
-        onProgress: NoteProgress | undefined,
+        failure: CallErrorHolder,
+        onProgress: ProgressListener | undefined,
     ): TRPCClient<PeerRouter> =>
         createTRPCClient<PeerRouter>({
             links: [httpLink({
@@ -144,13 +147,13 @@
         schema: Schema,
         query: Query<unknown>,
         signal: AbortSignal,
-        onProgress?: NoteProgress,
+        onProgress?: ProgressListener,
     ): TaskEither<PeerError, z.output<Schema>> => async () => {
-        const failure: CallFailure = { error: undefined };
+        const failure: CallErrorHolder = { error: undefined };
         counts.calls += 1;
         let outcome: Either<PeerError, z.output<Schema>>;
         try {
-            outcome = checkAnswer(schema, await query(createCallClient(peer, failure, onProgress), signal));
+            outcome = validateResponse(schema, await query(createCallClient(peer, failure, onProgress), signal));
         }
         catch (error) {
             outcome = either.left(toPeerError(error, failure));
@@ -165,8 +168,8 @@
         heads: (peer, signal) =>
             call(peer, headsAnswerSchema, (client) => client.heads.query(undefined, { signal }), signal),
         deltasSince: (peer, query, signal, onProgress) => {
-            const ask: Query<unknown> = (client) => client.deltasSince.query(query, { signal });
-            return call(peer, versionAnswerSchema, ask, signal, onProgress);
+            const sendQuery: Query<unknown> = (client) => client.deltasSince.query(query, { signal });
+            return call(peer, versionAnswerSchema, sendQuery, signal, onProgress);
         },
         document: (peer, query, signal, onProgress) =>
             call(peer, documentSchema, (client) => client.document.query(query, { signal }), signal, onProgress),
--- a/packages/oleandergap-distribution/src/peerComparison.ts
+++ b/packages/oleandergap-distribution/src/peerComparison.ts
@@ -5,7 +5,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock } from "oleandergap-types";
 import { pickOne, type Random } from "oleandergap-utils";
-import { callWithin } from "./boundedCall.js";
+import { callWithTimeout } from "./boundedCall.js";
 import type { HeadReceiver } from "./headReceiver.js";
 import type { PullOptions } from "./options.js";
 import type { PeerHeads } from "./peerHeads.js";
@@ -33,8 +33,8 @@
     if (peer === undefined) {
         return;
     }
-    const bound = { clock, timeoutMs: options.timeoutMs, signal };
-    const answer = await callWithin((inner) => peers.heads(peer, inner), bound);
+    const limits = { clock, timeoutMs: options.timeoutMs, signal };
+    const answer = await callWithTimeout((inner) => peers.heads(peer, inner), limits);
     if (either.isRight(answer)) {
         receiveHeads(peer, answer.right.heads);
     }
--- a/packages/oleandergap-distribution/src/peerHeads.ts
+++ b/packages/oleandergap-distribution/src/peerHeads.ts
@@ -14,18 +14,18 @@
 /** Creates an empty record. */
 export const createPeerHeads = (): PeerHeads => {
     const sequences = new Map<NodeId, Map<PartnerName, Sequence>>();
-    const known = (peer: NodeId, partner: PartnerName): Sequence => sequences.get(peer)?.get(partner) ?? -1;
+    const getSequence = (peer: NodeId, partner: PartnerName): Sequence => sequences.get(peer)?.get(partner) ?? -1;
 
     return {
         note: (peer, { partner, sequence }) => {
-            if (sequence <= known(peer, partner)) {
+            if (sequence <= getSequence(peer, partner)) {
                 return;
             }
-            const ofPeer = sequences.get(peer) ?? new Map<PartnerName, Sequence>();
-            ofPeer.set(partner, sequence);
-            sequences.set(peer, ofPeer);
+            const peerSequences = sequences.get(peer) ?? new Map<PartnerName, Sequence>();
+            peerSequences.set(partner, sequence);
+            sequences.set(peer, peerSequences);
         },
-        holds: (peer, { partner, sequence }) => known(peer, partner) >= sequence,
+        holds: (peer, { partner, sequence }) => getSequence(peer, partner) >= sequence,
         retain: (peers) => {
             for (const peer of sequences.keys()) {
                 if (!peers.has(peer)) {
--- a/packages/oleandergap-distribution/src/peerRequestHandler.ts
+++ b/packages/oleandergap-distribution/src/peerRequestHandler.ts
@@ -28,9 +28,9 @@
     readonly options: Pick<PeerOptions, "questionBytes">;
 }
 
-type QuestionBody = { readonly kind: "Whole"; readonly text: string } | { readonly kind: "TooLarge" };
+type RequestBody = { readonly kind: "Whole"; readonly text: string } | { readonly kind: "TooLarge" };
 
-const readBody = async (request: IncomingMessage, limitBytes: number): Promise<QuestionBody> => {
+const readBody = async (request: IncomingMessage, limitBytes: number): Promise<RequestBody> => {
     const chunks: Buffer[] = [];
     let size = 0;
     for await (const chunk of request as AsyncIterable<Buffer>) {
@@ -46,20 +46,20 @@
 const acceptsCompression = (request: IncomingMessage): boolean =>
     request.headers["accept-encoding"]?.includes("gzip") ?? false;
 
-interface PreparedAnswer {
+interface PreparedResponse {
     readonly status: number;
     readonly body: Buffer;
     readonly isCompressed: boolean;
 }
 
-const prepareAnswer = (status: number, text: string, mayCompress: boolean): PreparedAnswer => {
+const prepareResponse = (status: number, text: string, canCompress: boolean): PreparedResponse => {
     const plain = Buffer.from(text, "utf8");
-    const isCompressed = mayCompress && plain.length >= COMPRESSION_THRESHOLD_BYTES;
+    const isCompressed = canCompress && plain.length >= COMPRESSION_THRESHOLD_BYTES;
     const body = isCompressed ? gzipSync(plain, { level: COMPRESSION_LEVEL }) : plain;
     return { status, body, isCompressed };
 };
 
-const sendAnswer = (response: ServerResponse, { status, body, isCompressed }: PreparedAnswer): void => {
+const sendResponse = (response: ServerResponse, { status, body, isCompressed }: PreparedResponse): void => {
     response.sendDate = false;
     response.writeHead(status, {
         "content-length": body.length,
@@ -69,24 +69,24 @@
 };
 
 /** Ends the connection too: the rest of an oversized question must not be taken for the next request. */
-const refuseQuestion = (response: ServerResponse, limitBytes: number): void => {
+const rejectOversizedRequest = (response: ServerResponse, limitBytes: number): void => {
     response.shouldKeepAlive = false;
     const text = JSON.stringify({ error: { message: `the question is larger than ${limitBytes} bytes` } });
-    sendAnswer(response, prepareAnswer(413, text, false));
+    sendResponse(response, prepareResponse(413, text, false));
 };
 
-const answerQuestion = async (
+const handleRequest = async (
     request: IncomingMessage,
     response: ServerResponse,
     { dependencies, options }: PeerRequestHandlerOptions,
 ): Promise<void> => {
-    const question = await readBody(request, options.questionBytes);
-    if (question.kind === "TooLarge") {
-        refuseQuestion(response, options.questionBytes);
+    const requestBody = await readBody(request, options.questionBytes);
+    if (requestBody.kind === "TooLarge") {
+        rejectOversizedRequest(response, options.questionBytes);
         return;
     }
-    const hasBody = request.method === "POST" && question.text !== "";
-    const answer = await fetchRequestHandler({
+    const hasBody = request.method === "POST" && requestBody.text !== "";
+    const routerResponse = await fetchRequestHandler({
         endpoint: PEER_PATH,
         router: peerRouter,
         allowMethodOverride: true,
@@ -95,11 +95,11 @@
         req: new Request(new URL(request.url ?? "/", "http://peer"), {
             method: request.method ?? "GET",
             headers: { "content-type": "application/json" },
-            ...(hasBody ? { body: question.text } : {}),
+            ...(hasBody ? { body: requestBody.text } : {}),
         }),
     });
-    const text = await answer.text();
-    sendAnswer(response, prepareAnswer(answer.status, text, acceptsCompression(request)));
+    const text = await routerResponse.text();
+    sendResponse(response, prepareResponse(routerResponse.status, text, acceptsCompression(request)));
 };
 
 /** Creates the handler that the daemon's control server calls for every path below {@link PEER_PATH}. */
@@ -107,7 +107,7 @@
     (request, response) => {
         // A peer that breaks off in the middle of its question makes the body's stream fail. Without this handler the
         // error would end the whole process; here it ends only that connection.
-        answerQuestion(request, response, handlerOptions).catch((error: unknown) => {
+        handleRequest(request, response, handlerOptions).catch((error: unknown) => {
             handlerOptions.logger.debug("a peer's question was dropped", { detail: describeError(error) });
             response.destroy();
         });
--- a/packages/oleandergap-distribution/src/peerRouter.ts
+++ b/packages/oleandergap-distribution/src/peerRouter.ts
@@ -53,8 +53,8 @@
     sequence: number,
 ): VersionAnswer => {
     const deltas = store.deltasSince(partner, sequence);
-    const isBehind = store.document(partner).sequence <= sequence;
-    if (isBehind) {
+    const hasNothingNewer = store.document(partner).sequence <= sequence;
+    if (hasNothingNewer) {
         return { kind: "Deltas", deltas: [] };
     }
     return deltas === undefined || deltas.length === 0 || deltas.length > MAX_DELTAS_PER_ANSWER ?
--- a/packages/oleandergap-distribution/src/peerTransport.ts
+++ b/packages/oleandergap-distribution/src/peerTransport.ts
@@ -10,7 +10,7 @@
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { linkSignal, watchSilence, type PassedLimit } from "oleandergap-utils";
 import type { PeerError } from "./peerError.js";
-import type { NoteProgress } from "./ports.js";
+import type { ProgressListener } from "./ports.js";
 
 /** One question to a peer, and the bounds on its answer. */
 export interface PeerExchange {
@@ -28,17 +28,17 @@
     /** Longest time in all. */
     readonly longestMs: Milliseconds;
     readonly signal: AbortSignal;
-    readonly onProgress?: NoteProgress | undefined;
+    readonly onProgress?: ProgressListener | undefined;
 }
 
 /** An answer that arrived whole, decompressed; its HTTP status may be an error. */
-export interface ExchangeAnswer {
+export interface ExchangeResponse {
     readonly status: number;
     readonly text: string;
 }
 
 /** An answer, or why there is none. */
-export type ExchangeResult = Either<PeerError, ExchangeAnswer>;
+export type ExchangeResult = Either<PeerError, ExchangeResponse>;
 
 /** Bytes that went over connections to peers, with headers of HTTP and without those of TCP and IP. */
 export interface ExchangeBytes {
@@ -60,7 +60,7 @@
 };
 
 /** Passes on what it is given, and tells of each part. */
-const createProgressMeter = (noteProgress: () => void): Transform => new Transform({
+const createProgressReporter = (noteProgress: () => void): Transform => new Transform({
     transform: (part: Buffer, _encoding, pass) => {
         noteProgress();
         pass(undefined, part);
@@ -69,14 +69,14 @@
 
 /** Whoever reads the result meets the error of a connection that breaks off, or the exchange would hang. */
 const decodeBody = (response: IncomingMessage, noteProgress: () => void): NodeJS.ReadableStream => {
-    const meter = createProgressMeter(noteProgress);
+    const progressReporter = createProgressReporter(noteProgress);
     const ignore = (): void => undefined;
     return response.headers["content-encoding"] === "gzip" ?
-        pipeline(response, meter, createGunzip(), ignore) :
-        pipeline(response, meter, ignore);
+        pipeline(response, progressReporter, createGunzip(), ignore) :
+        pipeline(response, progressReporter, ignore);
 };
 
-const readAnswer = async (
+const readResponse = async (
     response: IncomingMessage,
     limitBytes: number,
     noteProgress: () => void,
@@ -104,7 +104,7 @@
     "content-length": body === undefined ? 0 : Buffer.byteLength(body),
 });
 
-const sendQuestion = (
+const sendRequest = (
     exchange: PeerExchange,
     agent: Agent,
     signal: AbortSignal,
@@ -119,7 +119,7 @@
         };
         request.once("error", fail);
         request.once("response", (response) => {
-            readAnswer(response, answerBytes, noteProgress).then(resolve, fail);
+            readResponse(response, answerBytes, noteProgress).then(resolve, fail);
         });
     });
     request.end(body);
@@ -132,7 +132,7 @@
 });
 
 /** Bytes that a kept connection had carried before this exchange. */
-const watchBytesBefore = (request: ClientRequest): () => ExchangeBytes => {
+const watchInitialBytes = (request: ClientRequest): () => ExchangeBytes => {
     let before: ExchangeBytes = { sent: 0, received: 0 };
     request.once("socket", (socket) => {
         before = { sent: socket.bytesWritten, received: socket.bytesRead };
@@ -140,8 +140,8 @@
     return () => before;
 };
 
-const formatPassed = (passed: PassedLimit, { timeoutMs, longestMs }: PeerExchange): string =>
-    passed === "silence" ? `silent for ${timeoutMs} ms` : `no whole answer within ${longestMs} ms`;
+const formatPassedLimit = (passedLimit: PassedLimit, { timeoutMs, longestMs }: PeerExchange): string =>
+    passedLimit === "silence" ? `silent for ${timeoutMs} ms` : `no whole answer within ${longestMs} ms`;
 
 /**
  * Sends one question and reads the whole answer. A connection that went silent is closed at the timeout, so the next
@@ -155,27 +155,27 @@
         return either.left({ kind: "Cancelled" });
     }
     const { timeoutMs, longestMs } = exchange;
-    const limit = linkSignal(exchange.signal);
-    let passed: PassedLimit | undefined;
+    const link = linkSignal(exchange.signal);
+    let passedLimit: PassedLimit | undefined;
     const watch = watchSilence({ clock, timeoutMs, longestMs }, (which) => {
-        passed = which;
-        limit.abort();
+        passedLimit = which;
+        link.abort();
     });
     const noteProgress = (): void => {
         watch.noteProgress();
         exchange.onProgress?.();
     };
-    const { request, result } = sendQuestion(exchange, agent, limit.signal, noteProgress);
-    const bytesBefore = watchBytesBefore(request);
+    const { request, result } = sendRequest(exchange, agent, link.signal, noteProgress);
+    const getInitialBytes = watchInitialBytes(request);
     const outcome = await result;
     watch.cancel();
-    limit.release();
-    countBytes(measureBytes(request, bytesBefore()));
+    link.release();
+    countBytes(measureBytes(request, getInitialBytes()));
     if (either.isLeft(outcome) && exchange.signal.aborted) {
         return either.left({ kind: "Cancelled" });
     }
-    if (either.isLeft(outcome) && passed !== undefined) {
-        return either.left({ kind: "Unreachable", detail: formatPassed(passed, exchange) });
+    if (either.isLeft(outcome) && passedLimit !== undefined) {
+        return either.left({ kind: "Unreachable", detail: formatPassedLimit(passedLimit, exchange) });
     }
     return outcome;
 };
--- a/packages/oleandergap-distribution/src/platformReader.ts
+++ b/packages/oleandergap-distribution/src/platformReader.ts
@@ -6,13 +6,13 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Head, Milliseconds, PartnerName } from "oleandergap-types";
 import { drawBackoff, type Random } from "oleandergap-utils";
-import { callWithin } from "./boundedCall.js";
+import { callWithTimeout } from "./boundedCall.js";
 import type { Claim } from "./claimBook.js";
 import type { PullOptions, ReaderOptions } from "./options.js";
 import { drawJitter, runPeriodically } from "./periodic.js";
 import type { ConfigurationSourcePort, FleetPort, PeerPort } from "./ports.js";
 import type { ReadBudget } from "./readBudget.js";
-import { createReaderDuty } from "./readerDuty.js";
+import { createReaderRole } from "./readerDuty.js";
 import type { SpreadCounters } from "./statistics.js";
 
 /** What a platform reader works with. */
@@ -22,7 +22,7 @@
     readonly peers: Pick<PeerPort, "ping">;
     readonly source: Pick<ConfigurationSourcePort, "readHeads">;
     readonly budget: ReadBudget;
-    readonly tell: (claim: Claim) => void;
+    readonly reportClaim: (claim: Claim) => void;
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
@@ -45,13 +45,13 @@
     /** Whether this node polls now. */
     readonly isReading: () => boolean;
     /** Whether it polls, and the platform answered the last time. */
-    readonly isFollowing: () => boolean;
+    readonly isFollowingPlatform: () => boolean;
 }
 
 /** Wait before the first poll, so that a node that starts with many others has met them and knows its rank. */
-const SETTLE_MS = 500;
+const STARTUP_DELAY_MS = 500;
 /** Longest mean wait between two looks at the ranks, which change when a reader dies. */
-const LONGEST_DUTY_DELAY_MS = 1_500;
+const MAX_ROLE_UPDATE_DELAY_MS = 1_500;
 /** Most doublings of the wait while the platform does not answer. */
 const MAX_BACKOFF_EXPONENT = 10;
 
@@ -62,7 +62,7 @@
     peers,
     source,
     budget,
-    tell,
+    reportClaim,
     clock,
     random,
     logger,
@@ -72,36 +72,36 @@
 }: PlatformReaderDependencies): PlatformReader => {
     const startedAt = clock.monotonic();
     /** When the platform was last heard from, by this node or another. */
-    let heardAt: Milliseconds | undefined;
-    let failuresInARow = 0;
-    let lostAt = startedAt;
+    let lastContactAt: Milliseconds | undefined;
+    let consecutiveFailures = 0;
+    let outageStartedAt = startedAt;
 
     const noteHeard = (at: Milliseconds): void => {
-        heardAt = Math.max(heardAt ?? at, at);
+        lastContactAt = Math.max(lastContactAt ?? at, at);
     };
-    const duty = createReaderDuty({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, noteHeard });
+    const role = createReaderRole({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, noteHeard });
 
     /** One line when the platform is lost and one when it is back, whatever the number of reads between. */
-    const noteFailedRead = (failure: { readonly kind: string }, startedReadAt: Milliseconds): void => {
-        if (failuresInARow === 0) {
-            lostAt = startedReadAt;
+    const recordFailedRead = (failure: { readonly kind: string }, readStartedAt: Milliseconds): void => {
+        if (consecutiveFailures === 0) {
+            outageStartedAt = readStartedAt;
             logger.warn("The platform does not answer.", {
                 reason: failure.kind,
                 detail: "detail" in failure ? String(failure.detail) : undefined,
-                durationMs: Math.round(clock.monotonic() - startedReadAt),
+                durationMs: Math.round(clock.monotonic() - readStartedAt),
             });
         }
-        failuresInARow += 1;
+        consecutiveFailures += 1;
     };
 
-    const noteAnsweredRead = (): void => {
-        if (failuresInARow > 0) {
+    const recordSuccessfulRead = (): void => {
+        if (consecutiveFailures > 0) {
             logger.info("The platform answers again.", {
-                failedReads: failuresInARow,
-                lostMs: Math.round(clock.monotonic() - lostAt),
+                failedReads: consecutiveFailures,
+                lostMs: Math.round(clock.monotonic() - outageStartedAt),
             });
         }
-        failuresInARow = 0;
+        consecutiveFailures = 0;
     };
 
     const readHeads: PlatformReader["readHeads"] = async (signal) => {
@@ -110,37 +110,37 @@
             return undefined;
         }
         counters.platformReads += 1;
-        const startedReadAt = clock.monotonic();
-        const bound = { clock, timeoutMs: pull.platformTimeoutMs, signal };
-        const outcome = await callWithin((inner) => source.readHeads(partners, inner), bound);
+        const readStartedAt = clock.monotonic();
+        const limits = { clock, timeoutMs: pull.platformTimeoutMs, signal };
+        const outcome = await callWithTimeout((inner) => source.readHeads(partners, inner), limits);
         if (either.isLeft(outcome)) {
             counters.platformFailures += 1;
-            noteFailedRead(outcome.left, startedReadAt);
+            recordFailedRead(outcome.left, readStartedAt);
             return undefined;
         }
-        noteAnsweredRead();
-        noteHeard(startedReadAt);
+        recordSuccessfulRead();
+        noteHeard(readStartedAt);
         for (const head of outcome.right) {
-            tell({ head, source: { kind: "Platform" } });
+            reportClaim({ head, source: { kind: "Platform" } });
         }
         return outcome.right;
     };
 
-    const nextDutyDelay = (): Milliseconds =>
-        clock.monotonic() - startedAt < SETTLE_MS ?
-            SETTLE_MS * (1 + random()) :
-            drawJitter(random, Math.min(options.stepMs, LONGEST_DUTY_DELAY_MS));
+    const drawRoleUpdateDelay = (): Milliseconds =>
+        clock.monotonic() - startedAt < STARTUP_DELAY_MS ?
+            STARTUP_DELAY_MS * (1 + random()) :
+            drawJitter(random, Math.min(options.stepMs, MAX_ROLE_UPDATE_DELAY_MS));
 
-    const nextReadDelay = (): Milliseconds => {
-        const exponent = Math.min(failuresInARow, MAX_BACKOFF_EXPONENT);
-        const backoff = failuresInARow === 0 ?
+    const drawReadDelay = (): Milliseconds => {
+        const exponent = Math.min(consecutiveFailures, MAX_BACKOFF_EXPONENT);
+        const backoff = consecutiveFailures === 0 ?
             0 :
             drawBackoff(random, exponent, options.intervalMs, options.backoffMaximumMs);
         return Math.max(drawJitter(random, options.intervalMs), backoff);
     };
 
-    const readIfOnDuty = async (signal: AbortSignal): Promise<void> => {
-        if (duty.isReading()) {
+    const readIfReading = async (signal: AbortSignal): Promise<void> => {
+        if (role.isReading()) {
             await readHeads(signal);
         }
     };
@@ -148,14 +148,14 @@
     return {
         start: (signal) => {
             const loop = { clock, logger, signal };
-            void runPeriodically({ ...loop, delay: nextDutyDelay, run: () => duty.update(signal) });
-            void runPeriodically({ ...loop, delay: nextReadDelay, run: () => readIfOnDuty(signal) });
+            void runPeriodically({ ...loop, delay: drawRoleUpdateDelay, run: () => role.update(signal) });
+            void runPeriodically({ ...loop, delay: drawReadDelay, run: () => readIfReading(signal) });
         },
         readHeads,
-        platformAge: () => heardAt === undefined ? undefined : Math.max(0, clock.monotonic() - heardAt),
-        rank: duty.rank,
-        isReader: duty.isReader,
-        isReading: duty.isReading,
-        isFollowing: () => duty.isReading() && heardAt !== undefined && failuresInARow === 0,
+        platformAge: () => lastContactAt === undefined ? undefined : Math.max(0, clock.monotonic() - lastContactAt),
+        rank: role.rank,
+        isReader: role.isReader,
+        isReading: role.isReading,
+        isFollowingPlatform: () => role.isReading() && lastContactAt !== undefined && consecutiveFailures === 0,
     };
 };
--- a/packages/oleandergap-distribution/src/ports.ts
+++ b/packages/oleandergap-distribution/src/ports.ts
@@ -74,7 +74,7 @@
 }
 
 /** Told each time that a part of an answer has arrived. */
-export type NoteProgress = () => void;
+export type ProgressListener = () => void;
 
 /** Calls to another node. Each ends when `signal` aborts, and in any case after the client's own timeout. */
 export interface PeerPort {
@@ -84,13 +84,13 @@
         peer: PeerAddress,
         query: DeltasQuery,
         signal: AbortSignal,
-        onProgress?: NoteProgress,
+        onProgress?: ProgressListener,
     ) => TaskEither<PeerError, VersionAnswer>;
     readonly document: (
         peer: PeerAddress,
         query: DocumentQuery,
         signal: AbortSignal,
-        onProgress?: NoteProgress,
+        onProgress?: ProgressListener,
     ) => TaskEither<PeerError, PartnerDocument>;
 }
 
--- a/packages/oleandergap-distribution/src/pullsUnderWay.ts
+++ b/packages/oleandergap-distribution/src/pullsUnderWay.ts
@@ -6,27 +6,27 @@
 import { formatClaimSource, type Claim, type ClaimSource } from "./claimBook.js";
 import type { PullOptions } from "./options.js";
 import { startTimer } from "./periodic.js";
-import type { NoteProgress } from "./ports.js";
+import type { ProgressListener } from "./ports.js";
 import type { FetchFailure } from "./versionFetcher.js";
 
 /** One question to one source. */
 export interface PullAttempt {
     readonly source: ClaimSource;
     /** The newest version that is known of when the question is asked. */
-    readonly wanted: Head;
+    readonly newestHead: Head;
     /** What this source told, if it told anything. */
     readonly claim: Claim | undefined;
 }
 
 /** What questions are asked with. */
-export interface PullsUnderWayDependencies {
+export interface InFlightPullsDependencies {
     readonly clock: Clock;
     readonly options: Pick<PullOptions, "answerPatienceMs" | "arrivingPatienceMs">;
     /** Asks one source; must end when the signal aborts. */
-    readonly ask: (
+    readonly sendRequest: (
         attempt: PullAttempt,
         signal: AbortSignal,
-        onProgress: NoteProgress,
+        onProgress: ProgressListener,
     ) => Promise<Either<FetchFailure, void>>;
     /** A newer version came into force. */
     readonly onDelivered: () => void;
@@ -36,10 +36,10 @@
 }
 
 /** None at first. */
-export interface PullsUnderWay {
+export interface InFlightPulls {
     readonly isEmpty: () => boolean;
-    readonly hasPlace: () => boolean;
-    readonly isAsked: (source: ClaimSource) => boolean;
+    readonly hasFreeSlot: () => boolean;
+    readonly isInFlight: (source: ClaimSource) => boolean;
     readonly start: (attempt: PullAttempt) => void;
     /** Calls `onEnd` when it is time to ask another source too. */
     readonly startPatience: (onEnd: () => void) => CancelTimer;
@@ -47,39 +47,39 @@
      * Gives up the questions whose answers bring nothing that is still wanted; nothing is told of them any more. False
      * when there are none.
      */
-    readonly giveUpUnless: (isWanted: (head: Head) => boolean) => boolean;
+    readonly cancelUnless: (isWanted: (head: Head) => boolean) => boolean;
 }
 
-interface RunningPull {
+interface InFlightPull {
     readonly attempt: PullAttempt;
     readonly startedAt: Milliseconds;
     readonly abort: () => void;
     /** When a part of the answer last came. */
-    progressAt: Milliseconds;
+    lastProgressAt: Milliseconds;
 }
 
 /** Sources that are asked at the same time: two of them may be dead or behind full links. */
-const MAX_PULLS_AT_ONCE = 3;
+const MAX_CONCURRENT_PULLS = 3;
 
 /** Creates an empty set of questions. */
-export const createPullsUnderWay = (
-    { clock, options, ask, onDelivered, onFailed, signal }: PullsUnderWayDependencies,
-): PullsUnderWay => {
-    const running = new Map<string, RunningPull>();
+export const createInFlightPulls = (
+    { clock, options, sendRequest, onDelivered, onFailed, signal }: InFlightPullsDependencies,
+): InFlightPulls => {
+    const pulls = new Map<string, InFlightPull>();
 
     const run = async (key: string, attempt: PullAttempt): Promise<void> => {
         const link = linkSignal(signal);
         const startedAt = clock.monotonic();
-        const pull: RunningPull = { attempt, startedAt, abort: link.abort, progressAt: Number.NEGATIVE_INFINITY };
-        running.set(key, pull);
-        const outcome = await ask(attempt, link.signal, () => {
-            pull.progressAt = clock.monotonic();
+        const pull: InFlightPull = { attempt, startedAt, abort: link.abort, lastProgressAt: Number.NEGATIVE_INFINITY };
+        pulls.set(key, pull);
+        const outcome = await sendRequest(attempt, link.signal, () => {
+            pull.lastProgressAt = clock.monotonic();
         });
         link.release();
-        if (running.get(key) !== pull) {
+        if (pulls.get(key) !== pull) {
             return;
         }
-        running.delete(key);
+        pulls.delete(key);
         if (either.isLeft(outcome)) {
             onFailed(attempt, outcome.left, startedAt);
             return;
@@ -93,11 +93,11 @@
      */
     const isArriving = (): boolean => {
         const now = clock.monotonic();
-        return [...running.values()].some(({ startedAt, progressAt }) =>
-            now - progressAt < options.answerPatienceMs && now - startedAt < options.arrivingPatienceMs);
+        return [...pulls.values()].some(({ startedAt, lastProgressAt }) =>
+            now - lastProgressAt < options.answerPatienceMs && now - startedAt < options.arrivingPatienceMs);
     };
 
-    const startPatience: PullsUnderWay["startPatience"] = (onEnd) => {
+    const startPatience: InFlightPulls["startPatience"] = (onEnd) => {
         let cancel: CancelTimer = () => undefined;
         const wait = (): void => {
             cancel = startTimer(clock, signal, options.answerPatienceMs, () => (isArriving() ? wait() : onEnd()));
@@ -107,18 +107,18 @@
     };
 
     return {
-        isEmpty: () => running.size === 0,
-        hasPlace: () => running.size < MAX_PULLS_AT_ONCE,
+        isEmpty: () => pulls.size === 0,
+        hasFreeSlot: () => pulls.size < MAX_CONCURRENT_PULLS,
         startPatience,
-        isAsked: (source) => running.has(formatClaimSource(source)),
+        isInFlight: (source) => pulls.has(formatClaimSource(source)),
         start: (attempt) => void run(formatClaimSource(attempt.source), attempt),
-        giveUpUnless: (isWanted) => {
-            const unwanted = [...running].filter(([, { attempt }]) => !isWanted(attempt.wanted));
-            for (const [key, { abort }] of unwanted) {
-                running.delete(key);
+        cancelUnless: (isWanted) => {
+            const obsoletePulls = [...pulls].filter(([, { attempt }]) => !isWanted(attempt.newestHead));
+            for (const [key, { abort }] of obsoletePulls) {
+                pulls.delete(key);
                 abort();
             }
-            return unwanted.length > 0;
+            return obsoletePulls.length > 0;
         },
     };
 };
--- a/packages/oleandergap-distribution/src/readBudget.ts
+++ b/packages/oleandergap-distribution/src/readBudget.ts
@@ -40,49 +40,49 @@
 /** A reader may read the heads and the deltas of each partner in a row. */
 const READER_BURST = 6;
 /** An ordinary node reads after a change that was accepted at it while it was behind, or to recover. */
-const ORDINARY_BURST = 3;
+const NON_READER_BURST = 3;
 /** Reads of a recovery from the platform: the heads, and a document of each of two partners. */
 const READS_PER_RECOVERY = 1 + 2 * READS_PER_DOCUMENT;
 
 /** Creates the budget of one node; its rate follows the node's rank and the size of its zone. */
 export const createReadBudget = ({ clock, options, reader, zoneSize, rank }: ReadBudgetDependencies): ReadBudget => {
-    const readersOfFleet = options.zones * (reader.readers + reader.standbys);
-    const nodesOfFleet = (): number => options.zones * Math.max(1, zoneSize());
+    const fleetReaderCount = options.zones * (reader.readers + reader.standbys);
+    const countFleetNodes = (): number => options.zones * Math.max(1, zoneSize());
 
     const readerBucket = createTokenBucket({
         clock,
-        ratePerSecond: () => options.readerReadsPerSecond / readersOfFleet,
+        ratePerSecond: () => options.readerReadsPerSecond / fleetReaderCount,
         burst: READER_BURST,
     });
-    const ordinaryBucket = createTokenBucket({
+    const nonReaderBucket = createTokenBucket({
         clock,
-        ratePerSecond: () => options.recoveryReadsPerSecond / nodesOfFleet(),
-        burst: ORDINARY_BURST,
+        ratePerSecond: () => options.recoveryReadsPerSecond / countFleetNodes(),
+        burst: NON_READER_BURST,
     });
-    const bucket = (): TokenBucket =>
-        rank() < reader.readers + reader.standbys ? readerBucket : ordinaryBucket;
+    const getBucket = (): TokenBucket =>
+        rank() < reader.readers + reader.standbys ? readerBucket : nonReaderBucket;
 
-    let owed = 0;
-    const payOwed = (): void => {
-        while (owed > 0 && bucket().tryTake()) {
-            owed -= 1;
+    let owedReads = 0;
+    const repayOwedReads = (): void => {
+        while (owedReads > 0 && getBucket().tryTake()) {
+            owedReads -= 1;
         }
     };
 
     return {
         tryTake: (reads = 1) => {
-            payOwed();
-            if (owed > 0 || !bucket().tryTake()) {
+            repayOwedReads();
+            if (owedReads > 0 || !getBucket().tryTake()) {
                 return false;
             }
-            owed = reads - 1;
+            owedReads = reads - 1;
             return true;
         },
         timeToNext: () => {
-            payOwed();
-            return bucket().timeToNext();
+            repayOwedReads();
+            return getBucket().timeToNext();
         },
         fleetTurn: () =>
-            (nodesOfFleet() * READS_PER_RECOVERY / options.recoveryReadsPerSecond) * MILLISECONDS_PER_SECOND,
+            (countFleetNodes() * READS_PER_RECOVERY / options.recoveryReadsPerSecond) * MILLISECONDS_PER_SECOND,
     };
 };
--- a/packages/oleandergap-distribution/src/readerDuty.ts
+++ b/packages/oleandergap-distribution/src/readerDuty.ts
@@ -9,21 +9,21 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, LinkClass, Milliseconds } from "oleandergap-types";
 import { rankByRendezvous } from "oleandergap-utils";
-import { callWithin } from "./boundedCall.js";
+import { callWithTimeout } from "./boundedCall.js";
 import type { ReaderOptions } from "./options.js";
 import type { FleetMember, FleetPort, PeerAddress, PeerPort } from "./ports.js";
 
-const classOf = ({ linkClass }: FleetMember): LinkClass => linkClass ?? 0;
+const getLinkClass = ({ linkClass }: FleetMember): LinkClass => linkClass ?? 0;
 
 /** Members of the zone in the order in which they take up reading: wide links first, by hash among equals. */
 export const rankReaders = (fleet: Pick<FleetPort, "self" | "members">): readonly FleetMember[] =>
     [...rankByRendezvous(`readers/${fleet.self().zone}`, fleet.members(), (member) => member.id)]
-        .sort((left, right) => classOf(right) - classOf(left));
+        .sort((left, right) => getLinkClass(right) - getLinkClass(left));
 
 /** Readers of a zone whatever their links: one alone may be dead or cut off for a while unnoticed. */
-const FEWEST_READERS = 2;
+const MIN_READERS = 2;
 /** Links of neighbouring classes, up to four times as wide as each other, count as alike. */
-const LIKE_CLASSES = 1;
+const SIMILAR_CLASS_DISTANCE = 1;
 
 /**
  * How many of the ranked members read. Those with far narrower links than the first stand by while two others read: in
@@ -31,13 +31,13 @@
  * of 0.37 MB came, and those that read one in time had it 0.1 s after the first in the median.
  */
 export const countReaders = (ranked: readonly FleetMember[], readers: number): number => {
-    const widest = ranked[0] === undefined ? 0 : classOf(ranked[0]);
-    const alike = ranked.filter((member) => classOf(member) >= widest - LIKE_CLASSES).length;
-    return Math.min(readers, Math.max(alike, FEWEST_READERS));
+    const widest = ranked[0] === undefined ? 0 : getLinkClass(ranked[0]);
+    const similarMembers = ranked.filter((member) => getLinkClass(member) >= widest - SIMILAR_CLASS_DISTANCE).length;
+    return Math.min(readers, Math.max(similarMembers, MIN_READERS));
 };
 
 /** What a reader's duty works with. */
-export interface ReaderDutyDependencies {
+export interface ReaderRoleDependencies {
     readonly fleet: Pick<FleetPort, "self" | "members">;
     readonly peers: Pick<PeerPort, "ping">;
     readonly clock: Clock;
@@ -49,7 +49,7 @@
 }
 
 /** Whether this node polls the platform for its availability zone. */
-export interface ReaderDuty {
+export interface ReaderRole {
     /** Ranks the members anew and, as a standby, asks those before this node for a sign of the platform. */
     readonly update: (signal: AbortSignal) => Promise<void>;
     /** Infinite before the first update and while this node is not among the members. */
@@ -61,41 +61,41 @@
 }
 
 /** Creates the duty of one node; nobody polls before the first update. */
-export const createReaderDuty = ({
+export const createReaderRole = ({
     fleet,
     peers,
     clock,
     options,
     timeoutMs,
     noteHeard,
-}: ReaderDutyDependencies): ReaderDuty => {
+}: ReaderRoleDependencies): ReaderRole => {
     /**
      * When the platform was last heard from by a better ranked node, and the creation of the duty until then; what this
      * node reads itself does not end its own duty.
      */
-    let signAt = clock.monotonic();
+    let lastContactAt = clock.monotonic();
     let rank = Number.POSITIVE_INFINITY;
     let { readers } = options;
     let isReading = false;
 
     const updateRank = (): readonly PeerAddress[] => {
         const ranked = rankReaders(fleet);
-        const position = ranked.findIndex((member) => member.id === fleet.self().id);
-        rank = position < 0 ? Number.POSITIVE_INFINITY : position;
+        const ownIndex = ranked.findIndex((member) => member.id === fleet.self().id);
+        rank = ownIndex < 0 ? Number.POSITIVE_INFINITY : ownIndex;
         readers = countReaders(ranked, options.readers);
         return ranked.slice(0, Math.min(rank, options.readers + options.standbys));
     };
 
     /** Asks one node after the other until one has a recent sign of the platform. */
-    const askForSign = async (betterRanked: readonly PeerAddress[], signal: AbortSignal): Promise<void> => {
+    const queryBetterRanked = async (betterRanked: readonly PeerAddress[], signal: AbortSignal): Promise<void> => {
         for (const peer of betterRanked) {
-            const askedAt = clock.monotonic();
-            const bound = { clock, timeoutMs, signal };
-            const answer = await callWithin((inner) => peers.ping(peer, inner), bound);
+            const requestedAt = clock.monotonic();
+            const limits = { clock, timeoutMs, signal };
+            const answer = await callWithTimeout((inner) => peers.ping(peer, inner), limits);
             const age = either.isRight(answer) ? answer.right.platformAgeMs : undefined;
             if (age !== undefined) {
-                signAt = Math.max(signAt, askedAt - age);
-                noteHeard(signAt);
+                lastContactAt = Math.max(lastContactAt, requestedAt - age);
+                noteHeard(lastContactAt);
             }
             if (age !== undefined && age < options.stepMs) {
                 return;
@@ -117,9 +117,9 @@
             isReading = false;
             return;
         }
-        await askForSign(betterRanked, signal);
+        await queryBetterRanked(betterRanked, signal);
         const standbyRank = rank - readers + 1;
-        isReading = clock.monotonic() - signAt > standbyRank * options.stepMs;
+        isReading = clock.monotonic() - lastContactAt > standbyRank * options.stepMs;
     };
 
     return { update, rank: () => rank, isReader: () => rank < readers, isReading: () => isReading };
--- a/packages/oleandergap-distribution/src/recovery.ts
+++ b/packages/oleandergap-distribution/src/recovery.ts
@@ -15,7 +15,7 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Head, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
 import { drawBackoff, pickSeveral, type Random } from "oleandergap-utils";
-import { callWithin } from "./boundedCall.js";
+import { callWithTimeout } from "./boundedCall.js";
 import type { Claim } from "./claimBook.js";
 import type { PullOptions, RecoveryOptions } from "./options.js";
 import type { FleetPort, PeerAddress, PeerPort } from "./ports.js";
@@ -30,9 +30,9 @@
     readonly readPlatformHeads: (signal: AbortSignal) => Promise<readonly Head[] | undefined>;
     readonly isReader: () => boolean;
     readonly budget: Pick<ReadBudget, "timeToNext" | "fleetTurn">;
-    readonly tell: (claim: Claim) => void;
-    readonly pullerOf: (partner: PartnerName) => VersionPuller;
-    readonly sequenceOf: (partner: PartnerName) => Sequence;
+    readonly reportClaim: (claim: Claim) => void;
+    readonly getPuller: (partner: PartnerName) => VersionPuller;
+    readonly getSequence: (partner: PartnerName) => Sequence;
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
@@ -50,60 +50,60 @@
 type RoundOutcome =
     | RecoveryOutcome
     /** The versions that were named have arrived, too late to be taken for the newest. */
-    | { readonly kind: "TookLong" };
+    | { readonly kind: "TimeExceeded" };
 
 /** Distance between two looks at whether the versions have arrived. */
 const ARRIVAL_CHECK_MS = 100;
 /** A round whose versions took longer to arrive is followed by another one; well within the time to follow a change. */
-const LONGEST_ROUND_MS = 1_000;
+const MAX_ROUND_MS = 1_000;
 /** Such rounds in a row after which the node is ready all the same: its link is slow, and it keeps on following. */
-const MOST_LONG_ROUNDS = 3;
+const MAX_SLOW_ROUNDS = 3;
 /** Most doublings of the wait between rounds. */
 const MAX_ROUND_EXPONENT = 10;
 
 /** The heads that one or more recovered sources named; undefined when none answered. */
-type NamedHeads = readonly Head[] | undefined;
+type ReportedHeads = readonly Head[] | undefined;
 
 /** Resolves when the node may serve, or when the signal aborts. */
 export const recoverConfiguration = async (
     dependencies: RecoveryDependencies,
     signal: AbortSignal,
 ): Promise<RecoveryOutcome> => {
-    const { partners, fleet, peers, budget, clock, random, options, tell } = dependencies;
-    const ownReadAt = clock.monotonic() + options.platformAfterMs + random() * budget.fleetTurn();
+    const { partners, fleet, peers, budget, clock, random, options, reportClaim } = dependencies;
+    const platformReadAllowedAt = clock.monotonic() + options.platformAfterMs + random() * budget.fleetTurn();
 
-    const askPeer = async (peer: PeerAddress): Promise<NamedHeads> => {
-        const bound = { clock, timeoutMs: dependencies.pull.timeoutMs, signal };
-        const answer = await callWithin((inner) => peers.heads(peer, inner), bound);
+    const fetchPeerHeads = async (peer: PeerAddress): Promise<ReportedHeads> => {
+        const limits = { clock, timeoutMs: dependencies.pull.timeoutMs, signal };
+        const answer = await callWithTimeout((inner) => peers.heads(peer, inner), limits);
         if (either.isLeft(answer)) {
             return undefined;
         }
         const heads = answer.right.heads.filter((head) => partners.includes(head.partner));
         for (const head of heads) {
-            tell({ head, source: { kind: "Peer", peer } });
+            reportClaim({ head, source: { kind: "Peer", peer } });
         }
         return answer.right.ready ? heads : undefined;
     };
 
-    const askPeers = async (candidates: readonly PeerAddress[]): Promise<NamedHeads> => {
+    const fetchHeadsFromPeers = async (candidates: readonly PeerAddress[]): Promise<ReportedHeads> => {
         const others = candidates.filter((peer) => peer.id !== fleet.self().id);
-        const answers = await Promise.all(pickSeveral(random, others, options.peersAsked).map(askPeer));
-        const named = answers.filter((heads) => heads !== undefined);
-        return named.length === 0 ? undefined : named.flat();
+        const answers = await Promise.all(pickSeveral(random, others, options.peersAsked).map(fetchPeerHeads));
+        const reportedHeads = answers.filter((heads) => heads !== undefined);
+        return reportedHeads.length === 0 ? undefined : reportedHeads.flat();
     };
 
     /**
      * Readers go to the platform at once, so that the zone soon has a source. All others first give them some time, and
      * then draw a moment from the time that the whole fleet needs to recover one by one under the budget.
      */
-    const mayReadPlatform = (): boolean =>
-        dependencies.isReader() || (clock.monotonic() >= ownReadAt && budget.timeToNext() === 0);
+    const canReadPlatform = (): boolean =>
+        dependencies.isReader() || (clock.monotonic() >= platformReadAllowedAt && budget.timeToNext() === 0);
 
     const hasArrived = (heads: readonly Head[]): boolean =>
         partners.every((partner) => {
-            const named = heads.filter((head) => head.partner === partner).map((head) => head.sequence);
-            const believed = dependencies.pullerOf(partner).expectedSequence();
-            return dependencies.sequenceOf(partner) >= Math.min(believed, Math.max(0, ...named));
+            const reportedSequences = heads.filter((head) => head.partner === partner).map((head) => head.sequence);
+            const expectedSequence = dependencies.getPuller(partner).expectedSequence();
+            return dependencies.getSequence(partner) >= Math.min(expectedSequence, Math.max(0, ...reportedSequences));
         });
 
     const waitForArrival = async (heads: readonly Head[]): Promise<void> => {
@@ -116,38 +116,38 @@
      * A version that nobody delivers is not waited for, but with none at all a node would answer every request as one
      * for an unknown service, and other nodes would recover the empty table from it.
      */
-    const lacksVersion = (heads: readonly Head[]): boolean =>
-        heads.some(({ partner, sequence }) => sequence > 0 && dependencies.sequenceOf(partner) === 0);
+    const hasMissingVersion = (heads: readonly Head[]): boolean =>
+        heads.some(({ partner, sequence }) => sequence > 0 && dependencies.getSequence(partner) === 0);
 
-    let longRounds = 0;
+    let slowRounds = 0;
     /** Counts the rounds in a row that took too long; true when this one has to be followed by another. */
-    const noteRoundTime = (namedAt: Milliseconds): boolean => {
-        longRounds = clock.monotonic() - namedAt > LONGEST_ROUND_MS ? longRounds + 1 : 0;
-        return longRounds > 0 && longRounds < MOST_LONG_ROUNDS;
+    const mustRepeatRound = (reportedAt: Milliseconds): boolean => {
+        slowRounds = clock.monotonic() - reportedAt > MAX_ROUND_MS ? slowRounds + 1 : 0;
+        return slowRounds > 0 && slowRounds < MAX_SLOW_ROUNDS;
     };
 
     /** The versions of the first source that names some; undefined when no source did. */
     const runRound = async (): Promise<RoundOutcome | undefined> => {
         const sources = [
-            { source: "zone", ask: () => askPeers(fleet.members()) },
-            { source: "otherZones", ask: () => askPeers(fleet.contacts()) },
+            { source: "zone", fetchHeads: () => fetchHeadsFromPeers(fleet.members()) },
+            { source: "otherZones", fetchHeads: () => fetchHeadsFromPeers(fleet.contacts()) },
             {
                 source: "platform",
-                ask: async () => mayReadPlatform() ? dependencies.readPlatformHeads(signal) : undefined,
+                fetchHeads: async () => canReadPlatform() ? dependencies.readPlatformHeads(signal) : undefined,
             },
         ] as const;
-        for (const { source, ask } of sources) {
-            const heads = await ask();
+        for (const { source, fetchHeads } of sources) {
+            const heads = await fetchHeads();
             if (heads === undefined) {
                 continue;
             }
-            const namedAt = clock.monotonic();
+            const reportedAt = clock.monotonic();
             await waitForArrival(heads);
             if (signal.aborted) {
                 return { kind: "Aborted" };
             }
-            if (!lacksVersion(heads)) {
-                return noteRoundTime(namedAt) ? { kind: "TookLong" } : { kind: "Recovered", source };
+            if (!hasMissingVersion(heads)) {
+                return mustRepeatRound(reportedAt) ? { kind: "TimeExceeded" } : { kind: "Recovered", source };
             }
         }
         return undefined;
@@ -155,7 +155,7 @@
 
     for (let round = 0; !signal.aborted; round++) {
         const outcome = await runRound();
-        if (outcome?.kind === "TookLong") {
+        if (outcome?.kind === "TimeExceeded") {
             dependencies.logger.info("the versions took long to arrive; asking for newer ones", { round });
             continue;
         }
--- a/packages/oleandergap-distribution/src/scoreRange.ts
+++ b/packages/oleandergap-distribution/src/scoreRange.ts
@@ -30,20 +30,20 @@
     readonly members: readonly PeerAddress[];
 }
 
-interface Scored {
+interface ScoredMember {
     readonly member: PeerAddress;
     readonly score: number;
 }
 
-const compareScored = (left: Scored, right: Scored): number =>
+const compareScoredMembers = (left: ScoredMember, right: ScoredMember): number =>
     left.score - right.score || (left.member.id < right.member.id ? -1 : 1);
 
-const scoreMembers = (head: Head, members: readonly PeerAddress[], range: ScoreRange): readonly Scored[] => {
+const scoreMembers = (head: Head, members: readonly PeerAddress[], range: ScoreRange): readonly ScoredMember[] => {
     const key = `${head.partner}/${head.digest}`;
     return members
         .map((member) => ({ member, score: hashText(`${key}\n${member.id}`) }))
         .filter(({ score }) => score >= range.from && score < range.to)
-        .sort(compareScored);
+        .sort(compareScoredMembers);
 };
 
 /** The members of a range, in the order of a version. */
@@ -60,15 +60,15 @@
     range: ScoreRange,
     count: number,
 ): readonly RangePart[] => {
-    const scored = scoreMembers(head, members, range);
-    const parts = Math.min(count, scored.length);
-    const starts = Array.from({ length: parts }, (_, part) => Math.floor((part * scored.length) / parts));
-    const boundaryAt = (part: number): number => {
-        const start = starts[part];
-        return start === undefined ? range.to : scored[start]?.score ?? range.to;
+    const scoredMembers = scoreMembers(head, members, range);
+    const parts = Math.min(count, scoredMembers.length);
+    const startIndexes = Array.from({ length: parts }, (_, part) => Math.floor((part * scoredMembers.length) / parts));
+    const getBoundary = (part: number): number => {
+        const start = startIndexes[part];
+        return start === undefined ? range.to : scoredMembers[start]?.score ?? range.to;
     };
-    return starts.map((start, part) => ({
-        range: { from: part === 0 ? range.from : boundaryAt(part), to: boundaryAt(part + 1) },
-        members: scored.slice(start, starts[part + 1]).map(({ member }) => member),
+    return startIndexes.map((start, part) => ({
+        range: { from: part === 0 ? range.from : getBoundary(part), to: getBoundary(part + 1) },
+        members: scoredMembers.slice(start, startIndexes[part + 1]).map(({ member }) => member),
     }));
 };
--- a/packages/oleandergap-distribution/src/spread.ts
+++ b/packages/oleandergap-distribution/src/spread.ts
@@ -3,7 +3,7 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Head, Milliseconds, PartnerName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import { createArrivals, type Arrivals } from "./arrivals.js";
+import { createArrivalLog, type ArrivalLog } from "./arrivals.js";
 import type { Claim } from "./claimBook.js";
 import { createHeadReceiver, type HeadReceiver } from "./headReceiver.js";
 import type { DistributionOptions } from "./options.js";
@@ -58,11 +58,11 @@
 }
 
 /** Applied versions that are remembered for measurements. */
-const MAX_APPLIED_REMEMBERED = 64;
+const MAX_APPLIED_VERSIONS = 64;
 
 /** The parts of one node's distribution, wired to each other; nothing runs yet. */
 interface SpreadParts {
-    readonly arrivals: Arrivals;
+    readonly arrivalLog: ArrivalLog;
     readonly budget: ReadBudget;
     readonly counters: SpreadCounters;
     readonly createPuller: (partner: PartnerName) => VersionPuller;
@@ -71,17 +71,17 @@
     readonly reader: PlatformReader;
     readonly receiver: HeadReceiver;
     /** Hands a claim to the puller of its partner. */
-    readonly tell: (claim: Claim) => void;
+    readonly reportClaim: (claim: Claim) => void;
     readonly compareWithRandomPeer: () => Promise<void>;
 }
 
 const createSpreadParts = (dependencies: SpreadDependencies): SpreadParts => {
     const { partners, fleet, clock, backgroundClock = clock, logger, options } = dependencies;
-    const arrivals = createArrivals({ clock, logger });
+    const arrivalLog = createArrivalLog({ clock, logger });
     const counters = createCounters();
     const peerHeads = createPeerHeads();
 
-    const tell = (claim: Claim): void => pullers.get(claim.head.partner)?.tell(claim);
+    const reportClaim = (claim: Claim): void => pullers.get(claim.head.partner)?.reportClaim(claim);
     const budget = createReadBudget({
         clock,
         options: options.budget,
@@ -93,20 +93,20 @@
         ...dependencies,
         clock: backgroundClock,
         budget,
-        tell,
+        reportClaim,
         options: options.reader,
         pull: options.pull,
         counters,
     });
-    const fetchVersion = createVersionFetcher({ ...dependencies, budget, arrivals, peerHeads, counters });
+    const fetchVersion = createVersionFetcher({ ...dependencies, budget, arrivalLog, peerHeads, counters });
     const createPuller = (partner: PartnerName): VersionPuller => createVersionPuller({
         ...dependencies,
         partner,
         fetchVersion,
-        otherPeers: () => fleet.members().filter((member) => member.id !== fleet.self().id),
+        listFallbackPeers: () => fleet.members().filter((member) => member.id !== fleet.self().id),
         budget,
-        arrivals,
-        followsPlatform: reader.isFollowing,
+        arrivalLog,
+        isFollowingPlatform: reader.isFollowingPlatform,
         options: options.pull,
         counters,
     });
@@ -122,8 +122,8 @@
         ...dependencies,
         peerHeads,
         pusher,
-        tell,
-        arrivals,
+        reportClaim,
+        arrivalLog,
         options: options.spread,
         counters,
     });
@@ -135,7 +135,18 @@
         options: options.pull,
     });
 
-    return { arrivals, budget, counters, createPuller, pullers, pusher, reader, receiver, tell, compareWithRandomPeer };
+    return {
+        arrivalLog,
+        budget,
+        counters,
+        createPuller,
+        pullers,
+        pusher,
+        reader,
+        receiver,
+        reportClaim,
+        compareWithRandomPeer,
+    };
 };
 
 /** Creates the distribution of one node. */
@@ -144,45 +155,45 @@
     // Each wait listens to the signal for as long as it lasts, so more than the default of ten listeners is no leak.
     setMaxListeners(0, signal);
     const parts = createSpreadParts(dependencies);
-    const { arrivals, budget, counters, pullers, pusher, reader, receiver, tell } = parts;
+    const { arrivalLog, budget, counters, pullers, pusher, reader, receiver, reportClaim } = parts;
     const applied: AppliedVersion[] = [];
-    const announced = new Map<PartnerName, Head>();
+    const pendingAnnouncements = new Map<PartnerName, Head>();
     let isReady = false;
 
-    const pushIfAnnounced = (head: Head): void => {
-        const awaited = announced.get(head.partner);
-        if (awaited !== undefined && head.sequence >= awaited.sequence) {
-            announced.delete(head.partner);
+    const pushAnnounced = (head: Head): void => {
+        const announcedHead = pendingAnnouncements.get(head.partner);
+        if (announcedHead !== undefined && head.sequence >= announcedHead.sequence) {
+            pendingAnnouncements.delete(head.partner);
             pusher.pushToOtherZones(head);
         }
     };
 
-    const noteApplied = (head: Head): void => {
+    const recordApplied = (head: Head): void => {
         applied.push({ partner: head.partner, sequence: head.sequence, appliedAt: clock.now() });
-        applied.splice(0, applied.length - MAX_APPLIED_REMEMBERED);
-        arrivals.noteApplied(head, store.deltaTo(head.partner, head.sequence)?.changes.length);
-        showAsReader();
+        applied.splice(0, applied.length - MAX_APPLIED_VERSIONS);
+        arrivalLog.noteApplied(head, store.deltaTo(head.partner, head.sequence)?.changes.length);
+        sendHeadsAsReader();
         pusher.pushToZone(head);
-        pushIfAnnounced(head);
+        pushAnnounced(head);
     };
 
     /**
      * A zone whose readers are cut off from the platform hears of a version from the readers of the others: in a model
      * of two zones within 0.4 s each time, and without this at their next check, 2 s apart in the mean.
      */
-    const showAsReader = (): void => {
+    const sendHeadsAsReader = (): void => {
         if (reader.isReading()) {
-            pusher.showToOtherZones();
+            pusher.sendHeadsToOtherZones();
         }
     };
 
-    const showToOtherZone = (): void => {
+    const sendHeadsToRandomZone = (): void => {
         if (reader.isReading()) {
-            pusher.showToOtherZone();
+            pusher.sendHeadsToRandomZone();
         }
     };
 
-    const repeat = (interval: Milliseconds, run: () => void | Promise<void>): void => {
+    const startPeriodicTask = (interval: Milliseconds, run: () => void | Promise<void>): void => {
         const delay = (): Milliseconds => drawJitter(random, interval);
         void runPeriodically({ clock: backgroundClock, logger, signal, delay, run });
     };
@@ -190,11 +201,11 @@
     return {
         ...receiver,
         start: () => {
-            const unsubscribe = store.subscribe(noteApplied);
+            const unsubscribe = store.subscribe(recordApplied);
             signal.addEventListener("abort", unsubscribe, { once: true });
             reader.start(signal);
-            repeat(options.spread.checkIntervalMs, parts.compareWithRandomPeer);
-            repeat(options.spread.zoneCheckIntervalMs, showToOtherZone);
+            startPeriodicTask(options.spread.checkIntervalMs, parts.compareWithRandomPeer);
+            startPeriodicTask(options.spread.zoneCheckIntervalMs, sendHeadsToRandomZone);
         },
         recover: async () => {
             const outcome = await recoverConfiguration({
@@ -202,9 +213,9 @@
                 readPlatformHeads: reader.readHeads,
                 isReader: reader.isReader,
                 budget,
-                tell,
-                pullerOf: (partner) => pullers.get(partner) ?? parts.createPuller(partner),
-                sequenceOf: (partner) => store.document(partner).sequence,
+                reportClaim,
+                getPuller: (partner) => pullers.get(partner) ?? parts.createPuller(partner),
+                getSequence: (partner) => store.document(partner).sequence,
                 options: options.recovery,
                 pull: options.pull,
             }, signal);
@@ -212,11 +223,11 @@
             return outcome;
         },
         announce: (head) => {
-            announced.set(head.partner, head);
-            tell({ head, source: { kind: "Platform" } });
-            const own = store.heads().find((candidate) => candidate.partner === head.partner);
-            if (own !== undefined) {
-                pushIfAnnounced(own);
+            pendingAnnouncements.set(head.partner, head);
+            reportClaim({ head, source: { kind: "Platform" } });
+            const currentHead = store.heads().find((candidate) => candidate.partner === head.partner);
+            if (currentHead !== undefined) {
+                pushAnnounced(currentHead);
             }
         },
         isReady: () => isReady,
--- a/packages/oleandergap-distribution/src/versionFetcher.ts
+++ b/packages/oleandergap-distribution/src/versionFetcher.ts
@@ -2,14 +2,14 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { PartnerDocument, PartnerName } from "oleandergap-types";
-import type { ArrivalOrigin, Arrivals } from "./arrivals.js";
-import { callWithin, type CallBound } from "./boundedCall.js";
+import type { ArrivalOrigin, ArrivalLog } from "./arrivals.js";
+import { callWithTimeout, type CallLimits } from "./boundedCall.js";
 import type { ClaimSource } from "./claimBook.js";
 import type { PeerHeads } from "./peerHeads.js";
 import type {
     ConfigurationSourcePort,
     ConfigurationStorePort,
-    NoteProgress,
+    ProgressListener,
     PeerAddress,
     PeerPort,
 } from "./ports.js";
@@ -29,49 +29,49 @@
     readonly peers: Pick<PeerPort, "deltasSince" | "document">;
     readonly source: Pick<ConfigurationSourcePort, "readDeltas" | "readDocument" | "holdsDocuments">;
     readonly budget: ReadBudget;
-    readonly arrivals: Pick<Arrivals, "offerFrom">;
+    readonly arrivalLog: Pick<ArrivalLog, "offerFrom">;
     /** Learns that a peer holds what it has just delivered. */
     readonly peerHeads: Pick<PeerHeads, "note">;
     readonly counters: SpreadCounters;
 }
 
 /** How long a fetch may take, and who is told while its answer arrives. */
-export interface FetchBound extends CallBound {
-    readonly onProgress?: NoteProgress;
+export interface FetchLimits extends CallLimits {
+    readonly onProgress?: ProgressListener;
 }
 
 /** Fetches from one source; a right result means that a newer version came into force. */
 export type FetchVersion = (
     partner: PartnerName,
     from: ClaimSource,
-    bound: FetchBound,
+    limits: FetchLimits,
 ) => Promise<Either<FetchFailure, void>>;
 
 type FetchResult = Either<FetchFailure, void>;
 
-const noAnswer = (failure: { readonly kind: string }): FetchResult =>
+const createNoAnswerResult = (failure: { readonly kind: string }): FetchResult =>
     either.left({ kind: "NoAnswer", detail: failure.kind });
 
-const refused = (refusal: { readonly kind: string }): FetchResult =>
+const createRefusedResult = (refusal: { readonly kind: string }): FetchResult =>
     either.left({ kind: "Refused", detail: refusal.kind });
 
 /** Creates the function that fetches; it never rejects. */
 export const createVersionFetcher = (
-    { store, peers, source, budget, arrivals, peerHeads, counters }: VersionFetcherDependencies,
+    { store, peers, source, budget, arrivalLog, peerHeads, counters }: VersionFetcherDependencies,
 ): FetchVersion => {
-    const sequenceOf = (partner: PartnerName): number => store.document(partner).sequence;
+    const getSequence = (partner: PartnerName): number => store.document(partner).sequence;
 
     const offer = (
         partner: PartnerName,
         origin: ArrivalOrigin,
         apply: () => Either<{ readonly kind: string }, unknown>,
     ): FetchResult => {
-        const before = sequenceOf(partner);
-        const outcome = arrivals.offerFrom(origin, apply);
+        const before = getSequence(partner);
+        const outcome = arrivalLog.offerFrom(origin, apply);
         if (either.isLeft(outcome)) {
-            return refused(outcome.left);
+            return createRefusedResult(outcome.left);
         }
-        return sequenceOf(partner) > before ? either.right(undefined) : either.left({ kind: "NothingNewer" });
+        return getSequence(partner) > before ? either.right(undefined) : either.left({ kind: "NothingNewer" });
     };
 
     const offerPeerDocument = (peer: PeerAddress, document: PartnerDocument): FetchResult => {
@@ -83,19 +83,23 @@
     const fetchPeerDocument = async (
         partner: PartnerName,
         peer: PeerAddress,
-        bound: FetchBound,
+        limits: FetchLimits,
     ): Promise<FetchResult> => {
-        const { onProgress } = bound;
-        const answer = await callWithin((signal) => peers.document(peer, { partner }, signal, onProgress), bound);
-        return either.isLeft(answer) ? noAnswer(answer.left) : offerPeerDocument(peer, answer.right);
+        const { onProgress } = limits;
+        const answer = await callWithTimeout((signal) => peers.document(peer, { partner }, signal, onProgress), limits);
+        return either.isLeft(answer) ? createNoAnswerResult(answer.left) : offerPeerDocument(peer, answer.right);
     };
 
-    const fetchFromPeer = async (partner: PartnerName, peer: PeerAddress, bound: FetchBound): Promise<FetchResult> => {
-        const query = { partner, sequence: sequenceOf(partner) };
-        const { onProgress } = bound;
-        const answer = await callWithin((signal) => peers.deltasSince(peer, query, signal, onProgress), bound);
+    const fetchFromPeer = async (
+        partner: PartnerName,
+        peer: PeerAddress,
+        limits: FetchLimits,
+    ): Promise<FetchResult> => {
+        const query = { partner, sequence: getSequence(partner) };
+        const { onProgress } = limits;
+        const answer = await callWithTimeout((signal) => peers.deltasSince(peer, query, signal, onProgress), limits);
         if (either.isLeft(answer)) {
-            return noAnswer(answer.left);
+            return createNoAnswerResult(answer.left);
         }
         const version = answer.right;
         if (version.kind === "Document") {
@@ -107,51 +111,51 @@
         version.deltas.slice(-1).forEach((last) => peerHeads.note(peer.id, last));
         const outcome = offer(partner, { way: "steps", peer: peer.id }, () =>
             store.offerDeltas(partner, version.deltas));
-        const mayFit = either.isRight(outcome) || outcome.left.kind !== "Refused";
-        return mayFit ? outcome : fetchPeerDocument(partner, peer, bound);
+        const isConclusive = either.isRight(outcome) || outcome.left.kind !== "Refused";
+        return isConclusive ? outcome : fetchPeerDocument(partner, peer, limits);
     };
 
-    const takeReads = (reads: number): boolean => {
-        const isTaken = budget.tryTake(reads);
-        counters.platformReads += isTaken ? reads : 0;
-        counters.readsPutOff += isTaken ? 0 : 1;
-        return isTaken;
+    const tryTakeReads = (reads: number): boolean => {
+        const areTaken = budget.tryTake(reads);
+        counters.platformReads += areTaken ? reads : 0;
+        counters.readsPutOff += areTaken ? 0 : 1;
+        return areTaken;
     };
 
-    const fetchPlatformDocument = async (partner: PartnerName, bound: CallBound): Promise<FetchResult> => {
+    const fetchPlatformDocument = async (partner: PartnerName, limits: CallLimits): Promise<FetchResult> => {
         // Charged for reads that are not made, a node would run out of budget in a quick run of changes, and one would
         // see it stay at an old version until the run is over.
-        if (source.holdsDocuments !== true && !takeReads(READS_PER_DOCUMENT)) {
+        if (source.holdsDocuments !== true && !tryTakeReads(READS_PER_DOCUMENT)) {
             return either.left({ kind: "OverBudget" });
         }
         counters.documentPulls += 1;
-        const answer = await callWithin((signal) => source.readDocument(partner, signal), bound);
+        const answer = await callWithTimeout((signal) => source.readDocument(partner, signal), limits);
         return either.isLeft(answer) ?
-            noAnswer(answer.left) :
+            createNoAnswerResult(answer.left) :
             offer(partner, { way: "platform" }, () => store.offerDocument(answer.right));
     };
 
-    const fetchFromPlatform = async (partner: PartnerName, bound: CallBound): Promise<FetchResult> => {
-        if (sequenceOf(partner) === 0 || source.holdsDocuments === true) {
-            return fetchPlatformDocument(partner, bound);
+    const fetchFromPlatform = async (partner: PartnerName, limits: CallLimits): Promise<FetchResult> => {
+        if (getSequence(partner) === 0 || source.holdsDocuments === true) {
+            return fetchPlatformDocument(partner, limits);
         }
-        if (!takeReads(1)) {
+        if (!tryTakeReads(1)) {
             return either.left({ kind: "OverBudget" });
         }
-        const after = sequenceOf(partner);
-        const answer = await callWithin((signal) => source.readDeltas(partner, after, signal), bound);
+        const after = getSequence(partner);
+        const answer = await callWithTimeout((signal) => source.readDeltas(partner, after, signal), limits);
         if (either.isLeft(answer)) {
-            return noAnswer(answer.left);
+            return createNoAnswerResult(answer.left);
         }
         const outcome = answer.right.length === 0 ?
             either.left<FetchFailure, void>({ kind: "Refused", detail: "no deltas" }) :
             offer(partner, { way: "platform" }, () => store.offerDeltas(partner, answer.right));
-        const mayFit = either.isRight(outcome) || outcome.left.kind !== "Refused";
-        return mayFit ? outcome : fetchPlatformDocument(partner, bound);
+        const isConclusive = either.isRight(outcome) || outcome.left.kind !== "Refused";
+        return isConclusive ? outcome : fetchPlatformDocument(partner, limits);
     };
 
-    return (partner, from, bound) =>
+    return (partner, from, limits) =>
         from.kind === "Peer" ?
-            fetchFromPeer(partner, from.peer, bound) :
-            fetchFromPlatform(partner, bound);
+            fetchFromPeer(partner, from.peer, limits) :
+            fetchFromPlatform(partner, limits);
 };
--- a/packages/oleandergap-distribution/src/versionHandover.ts
+++ b/packages/oleandergap-distribution/src/versionHandover.ts
@@ -12,7 +12,7 @@
 export type SendSpreadMessage = SpreadOutlet["send"];
 
 /** What handing over works with. */
-export interface HandOverDependencies {
+export interface HandoverSenderDependencies {
     readonly store: Pick<ConfigurationStorePort, "deltaTo">;
     readonly delegator: Pick<Delegator, "delegate">;
     readonly fleet: Pick<FleetPort, "self" | "members">;
@@ -25,7 +25,7 @@
  * Hands a version over to the first of `candidates` that acknowledges it, for it to pass on to `range`, or, without a
  * range, to its own availability zone. `takeOver` is called when the turn comes to this node itself.
  */
-export type HandOver = (
+export type SendHandover = (
     head: Head,
     candidates: readonly PeerAddress[],
     range: ScoreRange | undefined,
@@ -46,20 +46,21 @@
  */
 const findHolder = (
     head: Head,
-    { fleet, peerHeads }: Pick<HandOverDependencies, "fleet" | "peerHeads">,
+    { fleet, peerHeads }: Pick<HandoverSenderDependencies, "fleet" | "peerHeads">,
 ): PeerAddress | undefined => {
     const members = fleet.members();
-    const ownClass = members.find(({ id }) => id === fleet.self().id)?.linkClass ?? 0;
-    const wider = members.filter(({ id, linkClass = 0 }) => linkClass > ownClass && peerHeads.holds(id, head));
-    const widest = wider.reduce<FleetMember | undefined>((best, member) =>
+    const ownLinkClass = members.find(({ id }) => id === fleet.self().id)?.linkClass ?? 0;
+    const widerHolders = members.filter(({ id, linkClass = 0 }) =>
+        linkClass > ownLinkClass && peerHeads.holds(id, head));
+    const widestHolder = widerHolders.reduce<FleetMember | undefined>((best, member) =>
         best === undefined || (member.linkClass ?? 0) > (best.linkClass ?? 0) ? member : best, undefined);
-    return widest === undefined ? undefined : toAddress(widest);
+    return widestHolder === undefined ? undefined : toAddress(widestHolder);
 };
 
 /** Creates the function that hands versions over. */
-export const createHandOver = (
-    dependencies: HandOverDependencies,
-): HandOver => {
+export const createHandoverSender = (
+    dependencies: HandoverSenderDependencies,
+): SendHandover => {
     const { store, delegator, peerHeads, options, send } = dependencies;
 
     const createMessage = (
@@ -67,12 +68,12 @@
         delta: CompactDelta | undefined,
         range: ScoreRange | undefined,
     ): SpreadMessage => {
-        const ranged = range === undefined ? {} : { range };
+        const rangeField = range === undefined ? {} : { range };
         if (delta !== undefined) {
-            return { kind: "Step", delta, ...ranged };
+            return { kind: "Step", delta, ...rangeField };
         }
         const holder = findHolder(head, dependencies);
-        return { kind: "Offer", head, ...ranged, ...holder === undefined ? {} : { holder } };
+        return { kind: "Offer", head, ...rangeField, ...holder === undefined ? {} : { holder } };
     };
 
     /** The step to `head` if it fits into a datagram. */
@@ -93,8 +94,8 @@
             takeOver,
             timeoutMs: options.acknowledgeTimeoutMs * (delta === undefined ? OFFER_TIMEOUT_FACTOR : 1),
             send: (to) => {
-                const isHeldThere = peerHeads.holds(to.id, head);
-                send(to, createMessage(head, isHeldThere ? undefined : delta, range));
+                const isAlreadyHeld = peerHeads.holds(to.id, head);
+                send(to, createMessage(head, isAlreadyHeld ? undefined : delta, range));
             },
         });
     };
--- a/packages/oleandergap-distribution/src/versionPuller.ts
+++ b/packages/oleandergap-distribution/src/versionPuller.ts
@@ -8,14 +8,14 @@
 import type { Logger } from "oleandergap-logger";
 import type { CancelTimer, Clock, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
 import { drawBackoff, type Random } from "oleandergap-utils";
-import type { Arrivals } from "./arrivals.js";
+import type { ArrivalLog } from "./arrivals.js";
 import { choosePull } from "./choosePull.js";
-import { createClaimBook, formatClaimSource, type Claim, type ClaimSource } from "./claimBook.js";
+import { createClaimRegistry, formatClaimSource, type Claim, type ClaimSource } from "./claimBook.js";
 import type { PullOptions } from "./options.js";
 import type { ConfigurationStorePort, PeerAddress } from "./ports.js";
 import { startTimer } from "./periodic.js";
-import { createFailureReport } from "./pullFailures.js";
-import { createPullsUnderWay, type PullAttempt } from "./pullsUnderWay.js";
+import { createFailureReporter } from "./pullFailures.js";
+import { createInFlightPulls, type PullAttempt } from "./pullsUnderWay.js";
 import type { ReadBudget } from "./readBudget.js";
 import type { SpreadCounters } from "./statistics.js";
 import type { FetchFailure, FetchVersion } from "./versionFetcher.js";
@@ -26,11 +26,11 @@
     readonly store: Pick<ConfigurationStorePort, "document" | "isWanted">;
     readonly fetchVersion: FetchVersion;
     /** Peers to try when those who told a head do not deliver it. */
-    readonly otherPeers: () => readonly PeerAddress[];
+    readonly listFallbackPeers: () => readonly PeerAddress[];
     readonly budget: Pick<ReadBudget, "timeToNext">;
-    readonly arrivals: Pick<Arrivals, "noteHeard" | "noteQuestion" | "noteFailedPull">;
+    readonly arrivalLog: Pick<ArrivalLog, "noteHeard" | "noteQuestion" | "noteFailedPull">;
     /** Whether this node hears of new versions from the platform itself at the moment. */
-    readonly followsPlatform: () => boolean;
+    readonly isFollowingPlatform: () => boolean;
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
@@ -42,7 +42,7 @@
 /** Follows one partner's versions. */
 export interface VersionPuller {
     /** Notes that `source` claims to hold a head; pulls it if it is newer than what is in force. */
-    readonly tell: (claim: Claim) => void;
+    readonly reportClaim: (claim: Claim) => void;
     /** The highest sequence that is still believed to exist, never below what is in force. */
     readonly expectedSequence: () => Sequence;
 }
@@ -52,14 +52,14 @@
     /** At least one question is under way; the timer ends the patience with it. */
     | { readonly kind: "Pulling"; readonly cancel: CancelTimer }
     /** After a failure; other questions may be under way. */
-    | { readonly kind: "Waiting"; readonly cancel: CancelTimer }
+    | { readonly kind: "BackingOff"; readonly cancel: CancelTimer }
     /** For the next read of the platform; peers may be asked meanwhile. */
     | { readonly kind: "OverBudget"; readonly cancel: CancelTimer }
     /** A peer told a head that this node is about to hear from the platform. */
-    | { readonly kind: "Patient"; readonly cancel: CancelTimer };
+    | { readonly kind: "AwaitingPlatform"; readonly cancel: CancelTimer };
 
 /** Whether the version came into force in another way while its holder was asked. */
-const isOvertaken = (
+const isSuperseded = (
     { store }: Pick<VersionPullerDependencies, "store">,
     { claim }: PullAttempt,
     failure: FetchFailure,
@@ -73,83 +73,93 @@
  * the other.
  */
 export const createVersionPuller = (dependencies: VersionPullerDependencies): VersionPuller => {
-    const { partner, store, fetchVersion, otherPeers, budget, arrivals, followsPlatform } = dependencies;
+    const { partner, store, fetchVersion, listFallbackPeers, budget, arrivalLog, isFollowingPlatform } = dependencies;
     const { clock, random, options, counters, signal } = dependencies;
-    const book = createClaimBook({ clock, options });
+    const registry = createClaimRegistry({ clock, options });
     let state: PullerState = { kind: "Idle" };
-    let failuresInARow = 0;
-    let lastFailed: string | undefined;
+    let consecutiveFailures = 0;
+    let lastFailedSource: string | undefined;
 
-    const sequence = (): Sequence => store.document(partner).sequence;
-    const reportFailure = createFailureReport({ ...dependencies, book, sequence });
+    const getSequence = (): Sequence => store.document(partner).sequence;
+    const reportFailure = createFailureReporter({ ...dependencies, registry, sequence: getSequence });
 
-    const hasFailedLast = (source: ClaimSource): boolean => formatClaimSource(source) === lastFailed;
+    const isLastFailedSource = (source: ClaimSource): boolean => formatClaimSource(source) === lastFailedSource;
 
-    const waitBefore = (delay: number): void => {
-        state = { kind: "Waiting", cancel: startTimer(clock, signal, delay, pullNext) };
+    const retryAfterDelay = (delay: number): void => {
+        state = { kind: "BackingOff", cancel: startTimer(clock, signal, delay, pullNext) };
     };
 
     /** Peers that told of the version are asked at once: the next read may be many seconds away. */
-    const waitForRead = (): void => {
-        const knowsPeers = book.claims().some(({ source }) => source.kind === "Peer" && !underWay.isAsked(source));
+    const waitForReadBudget = (): void => {
+        const hasUnaskedPeers = registry.claims().some(({ source }) =>
+            source.kind === "Peer" && !inFlightPulls.isInFlight(source));
         const backoff = drawBackoff(random, 0, options.backoffBaseMs, options.backoffMaximumMs);
-        const delay = knowsPeers ? backoff : budget.timeToNext() + backoff;
+        const delay = hasUnaskedPeers ? backoff : budget.timeToNext() + backoff;
         state = { kind: "OverBudget", cancel: startTimer(clock, signal, delay, pullNext) };
     };
 
-    const noteFailure = (attempt: PullAttempt, failure: FetchFailure, startedAt: Milliseconds): void => {
-        lastFailed = formatClaimSource(attempt.source);
+    const handleFailure = (attempt: PullAttempt, failure: FetchFailure, startedAt: Milliseconds): void => {
+        lastFailedSource = formatClaimSource(attempt.source);
         if (failure.kind === "OverBudget") {
-            waitForRead();
+            waitForReadBudget();
             return;
         }
         reportFailure(attempt, failure, startedAt);
-        const exponent = Math.min(failuresInARow, MAX_BACKOFF_EXPONENT);
-        failuresInARow += 1;
-        waitBefore(drawBackoff(random, exponent, options.backoffBaseMs, options.backoffMaximumMs));
+        const exponent = Math.min(consecutiveFailures, MAX_BACKOFF_EXPONENT);
+        consecutiveFailures += 1;
+        retryAfterDelay(drawBackoff(random, exponent, options.backoffBaseMs, options.backoffMaximumMs));
     };
 
-    const underWay = createPullsUnderWay({
+    const inFlightPulls = createInFlightPulls({
         clock,
         options,
-        ask: ({ source }, pullSignal, onProgress) => {
+        sendRequest: ({ source }, pullSignal, onProgress) => {
             counters.pulls += 1;
-            arrivals.noteQuestion(partner);
+            arrivalLog.noteQuestion(partner);
             const timeoutMs = source.kind === "Peer" ? options.longestMs : options.platformTimeoutMs;
             return fetchVersion(partner, source, { clock, timeoutMs, signal: pullSignal, onProgress });
         },
         onDelivered: () => {
-            failuresInARow = 0;
-            lastFailed = undefined;
+            consecutiveFailures = 0;
+            lastFailedSource = undefined;
             cancelTimer();
             pullNext();
         },
         onFailed: (attempt, failure, startedAt) => {
             cancelTimer();
-            if (isOvertaken(dependencies, attempt, failure)) {
+            if (isSuperseded(dependencies, attempt, failure)) {
                 pullNext();
                 return;
             }
-            noteFailure(attempt, failure, startedAt);
+            handleFailure(attempt, failure, startedAt);
         },
         signal,
     });
 
     const pullNext = (): void => {
         state = { kind: "Idle" };
-        book.settle(store.isWanted);
-        underWay.giveUpUnless(store.isWanted);
-        const attempt = underWay.hasPlace() ?
-            choosePull({ claims: book.claims(), isAsked: underWay.isAsked, hasFailedLast, otherPeers, random }) :
+        registry.settle(store.isWanted);
+        inFlightPulls.cancelUnless(store.isWanted);
+        const attempt = inFlightPulls.hasFreeSlot() ?
+            choosePull({
+                claims: registry.claims(),
+                isInFlight: inFlightPulls.isInFlight,
+                isLastFailedSource,
+                listFallbackPeers,
+                random,
+            }) :
             undefined;
         if (attempt !== undefined && !signal.aborted) {
-            underWay.start(attempt);
+            inFlightPulls.start(attempt);
         }
-        if (underWay.isEmpty()) {
-            failuresInARow = 0;
+        if (inFlightPulls.isEmpty()) {
+            consecutiveFailures = 0;
             return;
         }
-        state = { kind: "Pulling", cancel: underWay.hasPlace() ? underWay.startPatience(pullNext) : () => undefined };
+        state = {
+            kind: "Pulling",
+            cancel: inFlightPulls.hasFreeSlot() ? inFlightPulls.startPatience(pullNext) : () => undefined,
+        };
     };
 
     const cancelTimer = (): void => {
@@ -159,37 +169,37 @@
     };
 
     const startPulling = (isFromPlatform: boolean): void => {
-        if (isFromPlatform || options.peerPatienceMs === 0 || !followsPlatform()) {
+        if (isFromPlatform || options.peerPatienceMs === 0 || !isFollowingPlatform()) {
             pullNext();
             return;
         }
-        state = { kind: "Patient", cancel: startTimer(clock, signal, options.peerPatienceMs, pullNext) };
+        state = { kind: "AwaitingPlatform", cancel: startTimer(clock, signal, options.peerPatienceMs, pullNext) };
     };
 
     return {
-        tell: (claim) => {
+        reportClaim: (claim) => {
             if (!store.isWanted(claim.head)) {
                 return;
             }
-            arrivals.noteHeard(claim.head);
-            const isNews = book.note(claim);
+            arrivalLog.noteHeard(claim.head);
+            const isNewest = registry.note(claim);
             const isFromPlatform = claim.source.kind === "Platform";
-            const endsWait = state.kind === "Waiting" && isNews && !hasFailedLast(claim.source);
-            const endsPatience = state.kind === "Patient" && isFromPlatform;
-            const sparesRead = state.kind === "OverBudget" && !isFromPlatform;
-            if (endsWait || endsPatience || sparesRead) {
+            const shouldStopBackoff = state.kind === "BackingOff" && isNewest && !isLastFailedSource(claim.source);
+            const shouldStopAwaitingPlatform = state.kind === "AwaitingPlatform" && isFromPlatform;
+            const canAvoidPlatformRead = state.kind === "OverBudget" && !isFromPlatform;
+            if (shouldStopBackoff || shouldStopAwaitingPlatform || canAvoidPlatformRead) {
                 cancelTimer();
                 state = { kind: "Idle" };
             }
             if (state.kind === "Idle") {
                 startPulling(isFromPlatform);
             }
-            else if (underWay.giveUpUnless(store.isWanted)) {
+            else if (inFlightPulls.cancelUnless(store.isWanted)) {
                 // Answers for what is in force by now would take the places of those for what is newer.
                 cancelTimer();
                 pullNext();
             }
         },
-        expectedSequence: () => Math.max(sequence(), book.claims()[0]?.head.sequence ?? 0),
+        expectedSequence: () => Math.max(getSequence(), registry.claims()[0]?.head.sequence ?? 0),
     };
 };
