--- a/packages/oleandergap-distribution/src/versionPusher.ts
+++ b/packages/oleandergap-distribution/src/versionPusher.ts
@@ -11,7 +11,7 @@
 import type { ConfigurationStorePort, FleetPort, PeerAddress, SpreadOutlet } from "./ports.js";
 import { divideRange, orderMembers, WHOLE_RANGE, type ScoreRange } from "./scoreRange.js";
 import type { SpreadCounters } from "./statistics.js";
-import { createHandOver, type SendSpreadMessage } from "./versionHandover.js";
+import { createHandoverSender, type SendSpreadMessage } from "./versionHandover.js";
 import { groupByZone } from "./zones.js";
 
 /** What a version pusher works with. */
@@ -46,13 +46,13 @@
     /** Spreads a version that was accepted here to all other zones. */
     readonly pushToOtherZones: (head: Head) => void;
     /** Shows this node's heads to one random contact of another zone. */
-    readonly showToOtherZone: () => void;
+    readonly sendHeadsToRandomZone: () => void;
     /** Shows this node's heads to one contact of each other zone. */
-    readonly showToOtherZones: () => void;
+    readonly sendHeadsToOtherZones: () => void;
 }
 
 /** Handovers that wait for a pull; beyond it the oldest are dropped, and their senders turn to other members. */
-const MAX_HANDOVERS = 16;
+const MAX_PENDING_HANDOVERS = 16;
 
 const createCountingSend = (outlet: SpreadOutlet, counters: SpreadCounters): SendSpreadMessage => (to, message) => {
     counters.messagesSent += 1;
@@ -60,7 +60,7 @@
 };
 
 /** The requests to pass on one version that this node has met, by requester and range. */
-interface Passed {
+interface ForwardedVersion {
     readonly sequence: Sequence;
     readonly requests: Set<string>;
 }
@@ -77,24 +77,24 @@
     counters,
     signal,
 }: VersionPusherDependencies): VersionPusher => {
-    const waiting = new Map<PartnerName, readonly Handover[]>();
-    const passed = new Map<PartnerName, Passed>();
-    const self = (): NodeId => fleet.self().id;
-    const sequenceOf = (partner: PartnerName): Sequence => store.document(partner).sequence;
-    const delegator = createDelegator({ self, sequenceOf, clock, signal });
+    const pendingHandovers = new Map<PartnerName, readonly Handover[]>();
+    const forwardedVersions = new Map<PartnerName, ForwardedVersion>();
+    const getSelfId = (): NodeId => fleet.self().id;
+    const getSequence = (partner: PartnerName): Sequence => store.document(partner).sequence;
+    const delegator = createDelegator({ self: getSelfId, getSequence, clock, signal });
 
     const send = createCountingSend(outlet, counters);
-    const handOver = createHandOver({ store, delegator, fleet, peerHeads, options, send });
+    const sendHandover = createHandoverSender({ store, delegator, fleet, peerHeads, options, send });
 
     /** False when the same request has come before, as when its acknowledgement was lost. */
-    const notePassed = (head: Head, requester: NodeId, range: ScoreRange): boolean => {
-        const before = passed.get(head.partner);
+    const recordForwarding = (head: Head, requester: NodeId, range: ScoreRange): boolean => {
+        const before = forwardedVersions.get(head.partner);
         const requests = before?.sequence === head.sequence ? before.requests : new Set<string>();
         const request = `${requester}/${range.from}-${range.to}`;
         if (requests.has(request)) {
             return false;
         }
-        passed.set(head.partner, { sequence: head.sequence, requests: requests.add(request) });
+        forwardedVersions.set(head.partner, { sequence: head.sequence, requests: requests.add(request) });
         return true;
     };
 
@@ -103,47 +103,47 @@
      * may stand in it, the range would otherwise come back to that member, which has passed it on and would do
      * nothing.
      */
-    const passOn = (head: Head, requester: NodeId, range: ScoreRange): void => {
-        if (!notePassed(head, requester, range)) {
+    const forward = (head: Head, requester: NodeId, range: ScoreRange): void => {
+        if (!recordForwarding(head, requester, range)) {
             return;
         }
-        const lacking = fleet.members().filter((member) =>
-            member.id !== self() && !peerHeads.holds(member.id, head));
-        for (const part of divideRange(head, lacking, range, options.treeFanOut)) {
-            handOver(head, part.members, part.range, () => undefined);
+        const membersWithoutVersion = fleet.members().filter((member) =>
+            member.id !== getSelfId() && !peerHeads.holds(member.id, head));
+        for (const part of divideRange(head, membersWithoutVersion, range, options.treeFanOut)) {
+            sendHandover(head, part.members, part.range, () => undefined);
         }
     };
 
-    const bringToZone = (head: Head): void => {
+    const startZoneSpread = (head: Head): void => {
         const ordered = orderMembers(head, fleet.members());
         const first = ordered[0];
-        if (first === undefined || first.id === self()) {
-            passOn(head, self(), WHOLE_RANGE);
+        if (first === undefined || first.id === getSelfId()) {
+            forward(head, getSelfId(), WHOLE_RANGE);
         }
         else if (!peerHeads.holds(first.id, head)) {
-            handOver(head, ordered, WHOLE_RANGE, () => passOn(head, self(), WHOLE_RANGE));
+            sendHandover(head, ordered, WHOLE_RANGE, () => forward(head, getSelfId(), WHOLE_RANGE));
         }
     };
 
-    const acknowledgeTo = (to: PeerAddress, partner: PartnerName): void => {
-        send(to, { kind: "Holding", partner, sequence: sequenceOf(partner) });
+    const sendAcknowledgement = (to: PeerAddress, partner: PartnerName): void => {
+        send(to, { kind: "Holding", partner, sequence: getSequence(partner) });
     };
 
     /** Acknowledges and passes on; false when the version came from another zone. */
-    const fulfil = ({ from, head, range }: Handover): boolean => {
-        acknowledgeTo(from, head.partner);
+    const completeHandover = ({ from, head, range }: Handover): boolean => {
+        sendAcknowledgement(from, head.partner);
         if (range === undefined) {
             return false;
         }
         // A lower version needs no passing on: the one in force here has its own spread.
-        if (sequenceOf(head.partner) === head.sequence) {
-            passOn(head, from.id, range);
+        if (getSequence(head.partner) === head.sequence) {
+            forward(head, from.id, range);
         }
         return true;
     };
 
     /** Shows this node's heads to one of `contacts`. */
-    const showTo = (contacts: readonly PeerAddress[]): void => {
+    const sendHeadsToOneOf = (contacts: readonly PeerAddress[]): void => {
         const contact = pickOne(random, contacts);
         if (contact !== undefined) {
             counters.headsSent += 1;
@@ -152,36 +152,40 @@
     };
 
     const takeHandovers = (head: Head): readonly Handover[] => {
-        const handovers = waiting.get(head.partner) ?? [];
-        waiting.set(head.partner, handovers.filter((handover) => handover.head.sequence > head.sequence));
+        const handovers = pendingHandovers.get(head.partner) ?? [];
+        pendingHandovers.set(head.partner, handovers.filter((handover) => handover.head.sequence > head.sequence));
         return handovers.filter((handover) => handover.head.sequence <= head.sequence);
     };
 
     return {
         accept: (handover) => {
             const { partner, sequence } = handover.head;
-            if (sequence <= sequenceOf(partner)) {
-                fulfil(handover);
+            if (sequence <= getSequence(partner)) {
+                completeHandover(handover);
                 return;
             }
-            waiting.set(partner, [...waiting.get(partner) ?? [], handover].slice(-MAX_HANDOVERS));
+            pendingHandovers.set(
+                partner,
+                [...pendingHandovers.get(partner) ?? [], handover].slice(-MAX_PENDING_HANDOVERS),
+            );
         },
         acknowledge: (from, version) => {
             peerHeads.note(from.id, version);
             delegator.acknowledge(from.id, version);
         },
         pushToZone: (head) => {
-            const isSpreading = takeHandovers(head).map(fulfil).some((isFromZone) => isFromZone);
-            if (!isSpreading) {
-                bringToZone(head);
+            const isForwardedInZone = takeHandovers(head).map(completeHandover).some((isFromZone) => isFromZone);
+            if (!isForwardedInZone) {
+                startZoneSpread(head);
             }
         },
         pushToOtherZones: (head) => {
             for (const contacts of groupByZone(fleet.contacts()).values()) {
-                handOver(head, pickSeveral(random, contacts, contacts.length), undefined, () => undefined);
+                sendHandover(head, pickSeveral(random, contacts, contacts.length), undefined, () => undefined);
             }
         },
-        showToOtherZone: () => showTo(pickOne(random, [...groupByZone(fleet.contacts()).values()]) ?? []),
-        showToOtherZones: () => [...groupByZone(fleet.contacts()).values()].forEach(showTo),
+        sendHeadsToRandomZone: () =>
+            sendHeadsToOneOf(pickOne(random, [...groupByZone(fleet.contacts()).values()]) ?? []),
+        sendHeadsToOtherZones: () => [...groupByZone(fleet.contacts()).values()].forEach(sendHeadsToOneOf),
     };
 };
