--- a/packages/oleandergap-distribution/src/arrivals.ts
+++ b/packages/oleandergap-distribution/src/arrivals.ts
@@ -1,64 +1,71 @@
 /**
- * Says of each version that comes into force how it came to this node and how long that took. A version that is late at
- * one node can then be explained from its log: by the way that it took, by the pulls that failed before it, or by the
- * time that it took to check.
+ * Logs for each version that comes into force how it reached this node and how long that took. If a version is late at
+ * one node, the log of that node then shows the cause: the path of the version, the pulls that failed before it, or the
+ * duration of the store's check.
  */
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Head, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
 import { createTokenBucket } from "oleandergap-utils";
 
-/** How a version reached the store: read from the platform, as one step in a datagram, or pulled from a peer. */
+/**
+ * How a version reached the store: read from the platform, as a delta in a datagram, or pulled from a peer as deltas
+ * (`steps`) or as a whole document.
+ */
 export type ArrivalMethod = "platform" | "datagram" | "steps" | "document";
 
-/** Where a version came from. */
+/** Source of a version, and how it arrived. */
 export interface ArrivalOrigin {
     readonly way: ArrivalMethod;
-    /** The peer's id; undefined for the platform. */
+    /** Id of the peer; undefined for the platform. */
     readonly peer?: string;
 }
 
-/** A pull that brought nothing. */
+/** A pull that returned no newer version. */
 export interface FailedPull {
     readonly partner: PartnerName;
-    /** The peer's id, or `platform`. */
+    /** Id of the peer, or `platform`. */
     readonly source: string;
     readonly reason: string;
     readonly durationMs: Milliseconds;
 }
 
-/** What arrivals are recorded with. */
+/** Dependencies of the arrival log. */
 export interface ArrivalLogDependencies {
     readonly clock: Clock;
     readonly logger: Logger;
 }
 
-/** The record of one node. */
+/** Log of the versions that arrive at one node. */
 export interface ArrivalLog {
-    /** Notes that somebody claims to hold a version that is not in force here. */
+    /** Records that a source claims to hold a version that is not in force at this node. */
     readonly noteHeard: (head: Head) => void;
-    /** Notes that a source is asked for a version. */
+    /** Counts a request for a version. */
     readonly noteQuestion: (partner: PartnerName) => void;
-    /** Offers a version to the store; what comes into force meanwhile came from `origin`. */
+    /** Runs `offer`, which offers a version to the store. Attributes versions applied during the call to `origin`. */
     readonly offerFrom: <Result>(origin: ArrivalOrigin, offer: () => Result) => Result;
-    /** Writes the line of a version that has just come into force; `cells` is how many it changed, if that is known. */
+    /** Logs a version that has just come into force. `cells` is the number of changed cells, if known. */
     readonly noteApplied: (head: Head, cells: number | undefined) => void;
+    /** Logs a failed pull, up to a rate limit. */
     readonly noteFailedPull: (pull: FailedPull) => void;
 }
 
-/** Lines on failed pulls: while nobody answers, a node tries several times a second for as long as that lasts. */
+/**
+ * Rate limit of log lines about failed pulls. While no source responds, a node retries several times per second for
+ * the whole duration of the outage.
+ */
 const FAILURE_LOG_LINES_PER_SECOND = 2;
 const FAILURE_LOG_BURST = 10;
 
-/** A version that was heard of, and when first. */
+/** A claimed version, and the time at which it was first claimed. */
 interface ObservedVersion {
     readonly sequence: Sequence;
     readonly at: Milliseconds;
 }
 
-/** Versions remembered that were heard of and are not in force. */
+/** Maximum number of claimed versions per partner that are tracked until they come into force. */
 const MAX_OBSERVED_VERSIONS = 32;
 
-/** Creates an empty record. */
+/** Creates an empty arrival log. */
 export const createArrivalLog = ({ clock, logger }: ArrivalLogDependencies): ArrivalLog => {
     const observedVersions = new Map<PartnerName, readonly ObservedVersion[]>();
     const failureLogBucket = createTokenBucket({
@@ -66,12 +73,15 @@
         ratePerSecond: () => FAILURE_LOG_LINES_PER_SECOND,
         burst: FAILURE_LOG_BURST,
     });
-    /** Questions since the last version came into force. */
+    /** Number of requests per partner since the last version came into force. */
     const requestCounts = new Map<PartnerName, number>();
     let suppressedLines = 0;
     let currentOffer: { readonly origin: ArrivalOrigin; readonly startedAt: Milliseconds } | undefined;
 
-    /** The earliest sign of the version itself or of one that holds it; forgets what is in force now. */
+    /**
+     * Returns when this version or a higher one was first claimed. Removes the entries up to this version, which is now
+     * in force.
+     */
     const takeObservedAt = ({ partner, sequence }: Head): Milliseconds | undefined => {
         const observed = observedVersions.get(partner) ?? [];
         observedVersions.set(partner, observed.filter((other) => other.sequence > sequence));
--- a/packages/oleandergap-distribution/src/boundedCall.ts
+++ b/packages/oleandergap-distribution/src/boundedCall.ts
@@ -1,29 +1,29 @@
-/** Puts a bound on how long a call may take, whatever the callee does with its abort signal. */
+/** Limits the duration of a call, even if the callee ignores its abort signal. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { afterReading } from "oleandergap-utils";
 
-/** Why a bounded call gave no result of its own. */
+/** Reason why a call with a timeout returned no result of its own. */
 export type CallFailure =
     | { readonly kind: "TimedOut" }
     | { readonly kind: "Threw"; readonly detail: string };
 
-/** How long a call may take, by which clock, and what ends it early. */
+/** Timeout of a call, the clock that measures it, and a signal that ends the call early. */
 export interface CallLimits {
     readonly clock: Clock;
     readonly timeoutMs: Milliseconds;
-    /** Ends the call early. */
+    /** Ends the call early when aborted. */
     readonly signal: AbortSignal;
 }
 
 /**
  * Runs `call` for at most the given time and never rejects.
  *
- * A peer that accepts a connection and then goes silent would keep its caller waiting for good, and with it whatever
- * the caller does one at a time; one would see one partner's versions stop arriving at one node. The timer resolves
- * the call even when the callee ignores the abort.
+ * Without a timeout, a peer that accepts a connection and then stops responding would block its caller forever, along
+ * with all work that the caller does sequentially. The versions of one partner would then stop arriving at one node.
+ * The timer resolves the call even if the callee ignores the abort.
  */
 export const callWithTimeout = <Failure, Result>(
     call: (signal: AbortSignal) => TaskEither<Failure, Result>,
--- a/packages/oleandergap-distribution/src/choosePull.ts
+++ b/packages/oleandergap-distribution/src/choosePull.ts
@@ -1,25 +1,26 @@
-/** Chooses whom to ask next for a version. */
+/** Chooses the source of the next request for a version. */
 import { pickOne, type Random } from "oleandergap-utils";
 import type { Claim, ClaimSource } from "./claimBook.js";
 import type { PeerAddress } from "./ports.js";
 import type { PullAttempt } from "./pullsUnderWay.js";
 
-/** What the choice depends on. */
+/** Inputs of the choice. */
 export interface PullChoice {
-    /** Highest first. */
+    /** The current claims, highest sequence first. */
     readonly claims: readonly Claim[];
-    /** Whether a question to this source is under way. */
+    /** Returns whether a request to this source is in flight. */
     readonly isInFlight: (source: ClaimSource) => boolean;
-    /** Whether the last question that failed went to this source. */
+    /** Returns whether this source caused the most recent failure. */
     readonly isLastFailedSource: (source: ClaimSource) => boolean;
-    /** Peers to try when those who told a head do not deliver it. */
+    /** Returns the peers to try if the sources that claimed a head do not deliver it. */
     readonly listFallbackPeers: () => readonly PeerAddress[];
     readonly random: Random;
 }
 
 /**
- * Whoever told the highest head goes first. After a failure somebody else is asked, or one silent or lying peer could
- * hold a node back for as long as it keeps telling higher heads. Undefined when nobody is left to ask.
+ * Returns the next request, or undefined if no source is available. The source that claims the highest head is
+ * preferred. After a failure another source is chosen. Otherwise a single peer that does not respond, or that sends
+ * false heads, could keep a node behind for as long as it claims higher heads.
  */
 export const choosePull = (
     { claims, isInFlight, isLastFailedSource, listFallbackPeers, random }: PullChoice,
--- a/packages/oleandergap-distribution/src/claimBook.ts
+++ b/packages/oleandergap-distribution/src/claimBook.ts
@@ -1,67 +1,69 @@
 /**
- * The heads of one partner that others claim to hold. A claim says whom to ask; it never changes what is in force.
+ * Stores the heads of one partner that other nodes or the platform claim to hold. A claim selects the source of a pull;
+ * it never changes the version in force.
  */
 import type { Clock, Head, Milliseconds } from "oleandergap-types";
 import type { PullOptions } from "./options.js";
 import type { PeerAddress } from "./ports.js";
 
-/** Who holds a version, and can be asked for it. */
+/** A source from which a version can be fetched. */
 export type ClaimSource =
     | { readonly kind: "Peer"; readonly peer: PeerAddress }
     | { readonly kind: "Platform" };
 
-/** A head, and a source that is said to hold it. */
+/** A head, and the source that claims to hold it. */
 export interface Claim {
     readonly head: Head;
     readonly source: ClaimSource;
 }
 
 /**
- * What a failed attempt says of the claim. `Unanswered`: nothing, the source may be dead, busy, or behind a full link.
- * `Disproved`: the source answered, and did not deliver what it claims to hold.
+ * Meaning of a failed attempt for the claim. `Unanswered`: the claim remains unverified, because the source may be
+ * dead, busy, or behind a saturated link. `Disproved`: the source responded but did not deliver the version that it
+ * claims to hold.
  */
 export type ClaimFailure = "Unanswered" | "Disproved";
 
-/** Claims kept at most, so that a peer that makes up heads cannot fill the memory. */
+/** Maximum number of claims, so that a peer that invents heads cannot exhaust the memory. */
 const MAX_CLAIMS = 8;
-/** Claims set aside, or counted as failed, that are remembered at most. */
+/** Maximum number of entries for ignored claims, and for claims with failed attempts. */
 const MAX_BOUNDED_ENTRIES = 32;
 
-/** The platform, or the id of the peer, for a log. */
+/** Returns `platform` or the id of the peer, for logs and as a key. */
 export const formatClaimSource = (source: ClaimSource): string =>
     source.kind === "Platform" ? "platform" : source.peer.id;
 
 const formatClaim = ({ head, source }: Claim): string =>
     `${formatClaimSource(source)} ${head.sequence}:${head.digest}`;
 
-/** Highest first; among equals, the latest claim first. */
+/** Sorts by sequence, highest first. The stable sort keeps the latest claim first among equal sequences. */
 const compareClaims = (left: Claim, right: Claim): number => right.head.sequence - left.head.sequence;
 
-/** What a claim book works with. */
+/** Dependencies of a claim registry. */
 export interface ClaimRegistryDependencies {
     readonly clock: Clock;
     readonly options: Pick<PullOptions, "attemptsPerHead" | "keepUnansweredMs" | "setAsideMs">;
 }
 
-/** The claims to one partner's heads, with those that could not be verified set aside for a while. */
+/** Claims to hold heads of one partner. Claims that could not be verified are ignored for a while. */
 export interface ClaimRegistry {
-    /** Notes a claim; true when it is higher than every other one that is still believed. */
+    /** Records a claim. Returns whether its head is higher than those of all other current claims. */
     readonly note: (claim: Claim) => boolean;
-    /** The claims that are still believed, highest first. */
+    /** Returns the current claims, highest sequence first. */
     readonly claims: () => readonly Claim[];
-    /** Forgets the claims to heads that are not wanted any more. */
+    /** Removes the claims to heads that are no longer wanted. */
     readonly settle: (isWanted: (head: Head) => boolean) => void;
-    /** Counts a failed attempt to get a head from one who claims it; true when the claim is believed no more. */
+    /** Counts a failed attempt to fetch a claimed head from its source. Returns whether the claim was dropped. */
     readonly countFailure: (claim: Claim, failure: ClaimFailure) => boolean;
 }
 
-/** The failed attempts at one claim. */
+/** Number of failed attempts for one claim, and the time of the first one. */
 interface FailureCount {
     readonly count: number;
     readonly since: Milliseconds;
 }
 
-/** A map that forgets its oldest entries. */
+/** Sets a map entry and evicts the oldest entries above the limit. */
 const setBounded = <Value>(map: Map<string, Value>, key: string, value: Value): void => {
     map.delete(key);
     map.set(key, value);
@@ -71,19 +73,20 @@
 };
 
 /**
- * Creates an empty book.
+ * Creates an empty registry.
  *
- * A peer that lies, or that died after it told its head, leaves a claim that nobody can prove. Believed for good, it
- * would keep a node asking, and keep a restarted node from becoming ready. After some failed attempts the claim is
- * therefore dropped, and one that was disproved not believed for a while.
+ * A peer that sends a false head, or that dies after it sent its head, leaves a claim that no source can satisfy. If
+ * such a claim were kept forever, the node would keep sending requests, and a restarted node would never become ready.
+ * The claim is therefore dropped after several failed attempts, and a disproved claim is also ignored for a while.
  *
- * Only the claim of that source: the head may be true, and others hold it. Were the head set aside, three questions
- * that run out of time on a full link would keep a node at an old version for seconds after the link is free. A source
- * that did not answer is believed again as soon as it shows its head once more, which the dead never do.
+ * Only the claim of that source is dropped, because the head may exist and other sources may hold it. If the head
+ * itself were ignored, three requests that time out on a saturated link would keep a node at an old version for seconds
+ * after the link is free again. A source that did not respond is trusted again as soon as it sends its head once more;
+ * a dead source never does.
  *
- * While sources do not answer, the claim is kept for some seconds whatever their number: questions that fail at once
- * would use up the attempts within a part of a second, and a node that hears of the version only once would then stay
- * behind, though others hold it.
+ * While sources do not respond, a claim is kept for at least some seconds, whatever the number of failed attempts.
+ * Requests that fail immediately would otherwise use up the attempts within a fraction of a second. A node that
+ * receives the head only once would then stay behind although other nodes hold the version.
  */
 export const createClaimRegistry = ({ clock, options }: ClaimRegistryDependencies): ClaimRegistry => {
     let claims: readonly Claim[] = [];
--- a/packages/oleandergap-distribution/src/compactDelta.ts
+++ b/packages/oleandergap-distribution/src/compactDelta.ts
@@ -1,7 +1,7 @@
 /**
- * A delta as it travels in a datagram. It leaves out what the receiver knows already: the digest that it extends and
- * the values before. Nothing is taken on trust, because the receiver's store still checks the digest of the result,
- * which covers all cells; and a delta that small costs hardly more bytes than the head that would announce it.
+ * Encoding of a delta in a datagram. It omits the data that the receiver already has: the base digest and the previous
+ * values. The delta needs no trust in the sender, because the receiver's store checks the digest of the result, which
+ * covers all cells. Such a small delta needs hardly more bytes than the head that would announce it.
  */
 import { getRowIndex, readCell } from "oleandergap-configuration";
 import {
@@ -17,7 +17,7 @@
 import { z } from "zod";
 import { packText } from "oleandergap-membership";
 
-/** A delta without its base digest and without the values before; a cell without `after` was removed. */
+/** Schema of a delta without its base digest and previous values. A cell without `after` was removed. */
 export const compactDeltaSchema = deltaSchema.pick({
     partner: true,
     sequence: true,
@@ -34,7 +34,7 @@
 const compactChange = ({ cell, after }: CellChange): CompactDelta["changes"][number] =>
     after === undefined ? { cell } : { cell, after };
 
-/** Leaves out what the receiver knows already; `expandDelta` is the inverse. */
+/** Omits the data that the receiver already has; `expandDelta` is the inverse. */
 export const compactDelta = ({ partner, sequence, baseSequence, digest, changes }: Delta): CompactDelta => ({
     partner,
     sequence,
@@ -45,7 +45,8 @@
 
 const expandChange = (document: PartnerDocument) =>
     ({ cell, after }: CompactDelta["changes"][number]): CellChange => {
-        // Looked up by row: put together for this, the plain cells would cost more than the rest of the step.
+        // Reads the cell through the row index. Building all plain cells for one lookup would cost more than applying
+        // the rest of the delta.
         const before = readCell(getRowIndex(document), cell);
         return {
             cell,
@@ -54,7 +55,7 @@
         };
     };
 
-/** The whole delta, or undefined when `document` is not the version that it extends. */
+/** Returns the full delta, or undefined if `document` is not the version that the delta extends. */
 export const expandDelta = (compact: CompactDelta, document: PartnerDocument): Delta | undefined =>
     document.partner === compact.partner && document.sequence === getBaseSequence(compact) ?
         {
@@ -67,10 +68,10 @@
         } :
         undefined;
 
-/** Steps of more cells are not measured: none of them fits into a datagram, and to compress them would take long. */
+/** Deltas with more cells are not measured, because none of them fits into a datagram and compression would be slow. */
 const MAX_MEASURED_CELLS = 200;
 
-/** Size in a datagram, in bytes; infinite for a step that surely does not fit. */
+/** Returns the size of a delta in a datagram, in bytes; infinite for a delta that certainly does not fit. */
 export const measureCompactDelta = (delta: CompactDelta): number =>
     delta.changes.length > MAX_MEASURED_CELLS ?
         Number.POSITIVE_INFINITY :
--- a/packages/oleandergap-distribution/src/delegation.ts
+++ b/packages/oleandergap-distribution/src/delegation.ts
@@ -1,48 +1,50 @@
 /**
- * Hands a version to one of several candidates and makes sure that one of them has taken it.
+ * Delegates a version to one of several candidates and retries until one of them acknowledges it.
  *
- * A datagram may be lost, and a candidate may be dead or frozen without anybody knowing yet. Without an
- * acknowledgement, everybody behind that candidate would miss the version until some later comparison; one would see
- * a part of a zone lag by a second or more. Each candidate is therefore tried twice, and then the next one takes its
- * place.
+ * A datagram may be lost, and a candidate may be dead or frozen before the membership detects it. Without an
+ * acknowledgement, all members below that candidate in the forwarding tree would miss the version until a later
+ * comparison, and a part of the zone would lag by a second or more. If a candidate does not acknowledge the version in
+ * time, the next candidate is therefore tried, in turn and repeatedly, up to a maximum number of attempts.
  */
 import type { CancelTimer, Clock, Head, NodeId, PartnerName, Sequence } from "oleandergap-types";
 import { startTimer } from "./periodic.js";
 import type { PeerAddress } from "./ports.js";
 
-/** A version that one of several candidates is to take over. */
+/** A version that one of several candidates must accept and forward. */
 export interface Delegation {
     readonly head: Head;
-    /** In the order in which they are tried, over and over; all belong to the same range or zone. */
+    /** Candidates in the order in which they are tried, cyclically. All belong to the same range or zone. */
     readonly candidates: readonly PeerAddress[];
     readonly send: (to: PeerAddress) => void;
+    /** Timeout of an acknowledgement, in milliseconds. */
     readonly timeoutMs: number;
-    /** Called instead of `send` when the turn comes to a candidate that is this node itself. */
+    /** Called instead of `send` if the next candidate is this node itself. */
     readonly takeOver: () => void;
 }
 
-/** What a delegator works with; its timers end when `signal` aborts. */
+/** Dependencies of a delegator. Its timers end when `signal` aborts. */
 export interface DelegatorDependencies {
     readonly self: () => NodeId;
-    /** The version in force; a delegation of a lower one is dropped, because the higher one has its own. */
+    /** Returns the sequence in force. Delegations of lower versions are dropped, as the higher one has its own. */
     readonly getSequence: (partner: PartnerName) => Sequence;
     readonly clock: Clock;
     readonly signal: AbortSignal;
 }
 
-/** A version by its number alone. */
+/** A version without its digest. */
 export type HeldVersion = Pick<Head, "partner" | "sequence">;
 
-/** Sends delegations again until they are acknowledged. */
+/** Retries delegations until they are acknowledged. */
 export interface Delegator {
+    /** Starts a delegation. */
     readonly delegate: (delegation: Delegation) => void;
-    /** Notes that a peer has a version in force. */
+    /** Records that a peer has a version in force, which ends the delegations to it up to that version. */
     readonly acknowledge: (peer: NodeId, version: HeldVersion) => void;
 }
 
-/** Beyond these, the version is left to the heads that ride on the membership's datagrams. */
+/** Maximum number of attempts. After them, only the heads piggybacked on membership datagrams spread the version. */
 const MAX_ATTEMPTS = 5;
-/** A timer later than this was held up by a frozen process; what it was to send is no news any more. */
+/** A timer that fires later than this was delayed by a frozen process. Its version is outdated and is not sent. */
 const STALE_AFTER_MS = 1_000;
 
 const formatPendingKey = (peer: NodeId, partner: PartnerName): string => `${peer}/${partner}`;
--- a/packages/oleandergap-distribution/src/headReceiver.ts
+++ b/packages/oleandergap-distribution/src/headReceiver.ts
@@ -1,4 +1,4 @@
-/** What a node does with the heads and versions that reach it in datagrams. */
+/** Handles the heads and versions that a node receives in datagrams. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Head, NodeId, PartnerName } from "oleandergap-types";
 import { createTokenBucket } from "oleandergap-utils";
@@ -12,7 +12,7 @@
 import type { SpreadCounters } from "./statistics.js";
 import type { VersionPusher } from "./versionPusher.js";
 
-/** What a head receiver works with. */
+/** Dependencies of a head receiver. */
 export interface HeadReceiverDependencies {
     readonly partners: readonly PartnerName[];
     readonly store: Pick<ConfigurationStorePort, "heads" | "document" | "offerDeltas">;
@@ -26,20 +26,21 @@
     readonly counters: SpreadCounters;
 }
 
-/** The entry points for all that arrives in datagrams. */
+/** Entry points for the messages of the distribution that arrive in datagrams. */
 export interface HeadReceiver {
-    /** Takes heads that rode on a datagram of the membership, or that a peer showed. */
+    /** Handles heads that were piggybacked on a datagram of the membership or sent by a peer. */
     readonly receiveHeads: (from: PeerAddress, heads: readonly Head[]) => void;
-    /** Takes a message that a node sent by `SpreadOutlet.send`. */
+    /** Handles a message that a node sent with `SpreadOutlet.send`. */
     readonly receive: (from: PeerAddress, message: SpreadMessage) => void;
 }
 
-/** Peers whose last answer is remembered; beyond it the oldest are forgotten. */
+/** Maximum number of peers whose last reply time is stored. If there are more, the oldest entries are removed. */
 const MAX_REMEMBERED_REPLIES = 256;
 
 /**
- * Limits the answers to peers that are behind. Without a limit, a peer that cannot take the newer version, or that
- * sends in a burst, would be answered datagram by datagram; one would see two nodes fill the link between them.
+ * Creates the rate limiter of replies to peers that are behind. Without a limit, a peer that cannot apply the newer
+ * version, or that sends a burst of datagrams, would receive a reply to each datagram. The two nodes would then
+ * saturate the link between them.
  */
 const createReplyLimiter = (
     clock: Clock,
@@ -63,7 +64,7 @@
     };
 };
 
-/** Creates the receiver of one node. What it receives is never trusted: the store checks every version. */
+/** Creates the receiver of one node. Received data is never trusted: the store validates every version. */
 export const createHeadReceiver = ({
     partners,
     store,
@@ -78,7 +79,7 @@
 }: HeadReceiverDependencies): HeadReceiver => {
     const tryTakeReply = createReplyLimiter(clock, options);
 
-    /** Whether we hold something that the sender's heads do not show. */
+    /** Returns whether this node holds a version that is newer than the sender's head of the same partner. */
     const isPeerBehind = (heads: readonly Head[]): boolean =>
         store.heads().some((localHead) => {
             const peerHead = heads.find((head) => head.partner === localHead.partner);
@@ -90,7 +91,7 @@
         reportClaim({ head, source: { kind: "Peer", peer: from } });
     };
 
-    /** Puts the step in force if it extends what is in force here. */
+    /** Applies the delta if it extends the version in force at this node. */
     const applyDelta = (from: PeerAddress, compact: CompactDelta): void => {
         const delta = expandDelta(compact, store.document(compact.partner));
         if (delta === undefined) {
@@ -113,15 +114,15 @@
         if (message.kind === "Offer" && message.holder !== undefined) {
             reportClaim({ head, source: { kind: "Peer", peer: message.holder } });
         }
-        // Does nothing once the step is in force. A step that does not fit, or that was damaged on its way, is
-        // refused by
-        // the store, and its sender is then asked by a pull.
+        // Has no effect if the delta was applied. The store rejects a delta that does not extend the version in force
+        // or that was corrupted in transit. The claim then starts a pull from the sender.
         reportClaim({ head, source: { kind: "Peer", peer: from } });
     };
 
     const receiveAcknowledgement = (from: PeerAddress, { partner, sequence }: Pick<Head, "partner" | "sequence">): void => {
         pusher.acknowledge(from, { partner, sequence });
-        // The peer is ahead. An acknowledgement names no digest; shown our heads, the peer answers with its own.
+        // The peer is ahead, but an acknowledgement contains no digest. The peer replies to the heads of this node with
+        // its own heads.
         if (sequence > store.document(partner).sequence) {
             outlet.sendHeads(from, store.heads());
         }
--- a/packages/oleandergap-distribution/src/index.ts
+++ b/packages/oleandergap-distribution/src/index.ts
@@ -1,4 +1,4 @@
-/** How an accepted version reaches every node. */
+/** Distributes accepted configuration versions to every node of the fleet. */
 export * from "./compactDelta.js";
 export * from "./options.js";
 export * from "./peerClient.js";
--- a/packages/oleandergap-distribution/src/peerClient.ts
+++ b/packages/oleandergap-distribution/src/peerClient.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to other nodes by trpc. Every answer is checked against its schema before it is handed on; a call that failed
- * in any way yields an error and nothing else.
+ * Calls other nodes over tRPC. Every response is validated against its schema before it is returned. A call that fails
+ * in any way returns only an error.
  */
 import { Agent } from "node:http";
 import { createTRPCClient, httpLink, TRPCClientError, type TRPCClient } from "@trpc/client";
@@ -23,17 +23,17 @@
 import { exchangeWithPeer, type ExchangeBytes, type ExchangeDependencies } from "./peerTransport.js";
 import type { ProgressListener, PeerAddress, PeerDirectoryPort, PeerPort } from "./ports.js";
 
-/** Value of the `authorization` header of calls to a node; undefined where no key is set. */
+/** Returns the `authorization` header for calls to a node; undefined if no key is set. */
 export type AuthorizeCall = (node: Pick<PeerAddress, "address" | "controlPort">) => string | undefined;
 
-/** What a peer client works with; without `authorize`, calls carry no proof of membership in the fleet. */
+/** Dependencies of a peer client. Without `authorize`, calls contain no proof of membership in the fleet. */
 export interface PeerClientDependencies {
     readonly clock: Clock;
     readonly options: PeerOptions;
     readonly authorize?: AuthorizeCall;
 }
 
-/** Counts since the client was created. */
+/** Counters since the creation of the client. */
 export interface PeerClientStatistics {
     readonly calls: number;
     readonly failures: number;
@@ -41,20 +41,21 @@
     readonly bytesReceived: number;
 }
 
-/** Calls to other nodes over connections that are reused for a short time. */
+/** Calls other nodes over connections that are reused for a short time. */
 export interface PeerClient extends PeerPort, PeerDirectoryPort {
     readonly stats: () => PeerClientStatistics;
-    /** Closes idle connections; calls that are running fail. */
+    /** Closes all connections. Calls in flight fail. */
     readonly close: () => void;
 }
 
-/** Connections that are kept open between calls, over all peers. */
+/** Maximum number of idle connections that are kept open between calls, per peer. */
 const MAX_IDLE_CONNECTIONS = 8;
-/** Connections to one peer at the same time. */
+/** Maximum number of concurrent connections to one peer. */
 const MAX_CONNECTIONS_PER_PEER = 4;
-/** Longest excerpt of a peer's error that is kept, in characters. */
+/** Maximum length of an error detail, in characters; longer ones are truncated. */
 const MAX_DETAIL_LENGTH = 200;
 
+/** Holds the error of the transport, because the tRPC library reports only its own error type. */
 interface CallErrorHolder {
     error: PeerError | undefined;
 }
@@ -69,7 +70,7 @@
     return `${pathname}${search}`;
 };
 
-/** Reads an error that came from the trpc library, or the transport's own when that failed. */
+/** Converts an error of the tRPC library. Returns the error of the transport instead if the transport failed. */
 const toPeerError = (error: unknown, failure: CallErrorHolder): PeerError => {
     if (failure.error !== undefined) {
         return failure.error;
@@ -93,7 +94,7 @@
     return either.left({ kind: "Malformed", detail });
 };
 
-/** Creates a client for all peers of this node. */
+/** Creates a client for calls to all peers of this node. */
 export const createPeerClient = (
     { clock, options, authorize = () => undefined }: PeerClientDependencies,
 ): PeerClient => {
--- a/packages/oleandergap-distribution/src/peerComparison.ts
+++ b/packages/oleandergap-distribution/src/peerComparison.ts
@@ -1,6 +1,6 @@
 /**
- * Compares heads with a random peer over TCP now and then. It finds what every datagram missed, as when a network drops
- * the datagrams between two nodes and lets connections through.
+ * Compares heads with a random peer over TCP (anti-entropy). It finds versions that no datagram delivered, for example
+ * because the network drops the datagrams between two nodes but allows connections.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock } from "oleandergap-types";
@@ -11,7 +11,7 @@
 import type { PeerHeads } from "./peerHeads.js";
 import type { FleetPort, PeerPort } from "./ports.js";
 
-/** What a comparison works with; it ends early when `signal` aborts. */
+/** Dependencies of a comparison. It ends early when `signal` aborts. */
 export interface PeerComparisonDependencies {
     readonly fleet: FleetPort;
     readonly peers: Pick<PeerPort, "heads">;
@@ -23,7 +23,7 @@
     readonly signal: AbortSignal;
 }
 
-/** Creates the function that makes one comparison; it never rejects. */
+/** Creates the function that runs one comparison. The function never rejects. */
 export const createPeerComparison = (
     { fleet, peers, peerHeads, receiveHeads, clock, random, options, signal }: PeerComparisonDependencies,
 ): (() => Promise<void>) => async () => {
@@ -34,8 +34,8 @@
         return;
     }
     const limits = { clock, timeoutMs: options.timeoutMs, signal };
-    const answer = await callWithTimeout((inner) => peers.heads(peer, inner), limits);
-    if (either.isRight(answer)) {
-        receiveHeads(peer, answer.right.heads);
+    const response = await callWithTimeout((inner) => peers.heads(peer, inner), limits);
+    if (either.isRight(response)) {
+        receiveHeads(peer, response.right.heads);
     }
 };
--- a/packages/oleandergap-distribution/src/peerError.ts
+++ b/packages/oleandergap-distribution/src/peerError.ts
@@ -1,12 +1,12 @@
-/** Why a call to another node gave no usable answer. Nothing of a failed call is ever applied. */
+/** Reason why a call to another node returned no usable response. No data of a failed call is ever applied. */
 export type PeerError =
-    /** No connection, a connection that broke off, or no answer in time. */
+    /** The connection failed or broke off, or the response did not arrive in time. */
     | { readonly kind: "Unreachable"; readonly detail: string }
-    /** The peer answered that it refuses the call. */
+    /** The peer responded with an error status. */
     | { readonly kind: "Refused"; readonly status: number; readonly detail: string }
-    /** The answer was larger than this node accepts. */
+    /** The response exceeded the size limit of this node. */
     | { readonly kind: "TooLarge"; readonly limitBytes: number }
-    /** The answer was not JSON or had the wrong shape. */
+    /** The response was not JSON or did not match the schema. */
     | { readonly kind: "Malformed"; readonly detail: string }
-    /** The caller gave the call up. */
+    /** The caller cancelled the call. */
     | { readonly kind: "Cancelled" };
--- a/packages/oleandergap-distribution/src/peerHeads.ts
+++ b/packages/oleandergap-distribution/src/peerHeads.ts
@@ -1,13 +1,13 @@
-/** Remembers which versions the peers have shown, so that nobody is sent what it already holds. */
+/** Tracks which versions the peers hold, so that no peer is sent a version that it already holds. */
 import type { Head, NodeId, PartnerName, Sequence } from "oleandergap-types";
 
-/** The highest version of each partner that each peer has shown. */
+/** The highest version of each partner that each peer is known to hold. */
 export interface PeerHeads {
-    /** Notes that a peer showed a head. */
+    /** Records that a peer holds a version. */
     readonly note: (peer: NodeId, head: Pick<Head, "partner" | "sequence">) => void;
-    /** Whether a peer has shown this version or a higher one. */
+    /** Returns whether a peer is known to hold this version or a higher one. */
     readonly holds: (peer: NodeId, head: Pick<Head, "partner" | "sequence">) => boolean;
-    /** Forgets all peers but these. */
+    /** Removes all peers except these. */
     readonly retain: (peers: ReadonlySet<NodeId>) => void;
 }
 
--- a/packages/oleandergap-distribution/src/peerRequestHandler.ts
+++ b/packages/oleandergap-distribution/src/peerRequestHandler.ts
@@ -1,6 +1,6 @@
 /**
- * Serves the peer router over Node's HTTP server. Answers carry only the headers that the client reads, because their
- * bytes count as control traffic, and are compressed when that pays.
+ * Serves the peer router over Node's HTTP server. Responses contain only the headers that the client reads, because
+ * their bytes count as control traffic. Large responses are compressed.
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { gzipSync } from "node:zlib";
@@ -10,18 +10,18 @@
 import type { PeerOptions } from "./options.js";
 import { peerRouter, type PeerRouterDependencies } from "./peerRouter.js";
 
-/** Where the router is mounted on the control port. */
+/** Path prefix of the router on the control port. */
 export const PEER_PATH = "/peer";
 
-/** Answers below this size, in bytes, are sent as they are: compressing them costs time and saves almost nothing. */
+/** Smaller responses, in bytes, are not compressed: compression would take time and save almost nothing. */
 const COMPRESSION_THRESHOLD_BYTES = 1_024;
-/** The fastest level: a document compresses tenfold at it already. */
+/** The fastest compression level. It already reduces a document to a tenth of its size. */
 const COMPRESSION_LEVEL = 1;
 
-/** Answers one request below {@link PEER_PATH}. Never throws. */
+/** Handles one request below {@link PEER_PATH}. Never throws. */
 export type PeerRequestHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** What a handler works with. */
+/** Dependencies and settings of a handler. */
 export interface PeerRequestHandlerOptions {
     readonly dependencies: PeerRouterDependencies;
     readonly logger: Logger;
@@ -68,7 +68,7 @@
     response.end(body);
 };
 
-/** Ends the connection too: the rest of an oversized question must not be taken for the next request. */
+/** Rejects the request and closes the connection, so that the rest of the body is not parsed as the next request. */
 const rejectOversizedRequest = (response: ServerResponse, limitBytes: number): void => {
     response.shouldKeepAlive = false;
     const text = JSON.stringify({ error: { message: `the question is larger than ${limitBytes} bytes` } });
@@ -105,10 +105,10 @@
 /** Creates the handler that the daemon's control server calls for every path below {@link PEER_PATH}. */
 export const createPeerRequestHandler = (handlerOptions: PeerRequestHandlerOptions): PeerRequestHandler =>
     (request, response) => {
-        // A peer that breaks off in the middle of its question makes the body's stream fail. Without this handler the
-        // error would end the whole process; here it ends only that connection.
+        // If a peer closes the connection in the middle of its request, the body stream fails. Without this handler,
+        // the error would end the whole process; with it, only the connection ends.
         handleRequest(request, response, handlerOptions).catch((error: unknown) => {
-            handlerOptions.logger.debug("a peer's question was dropped", { detail: describeError(error) });
+            handlerOptions.logger.debug("A peer request was dropped.", { detail: describeError(error) });
             response.destroy();
         });
     };
--- a/packages/oleandergap-distribution/src/peerRouter.ts
+++ b/packages/oleandergap-distribution/src/peerRouter.ts
@@ -1,4 +1,6 @@
-/** What a node answers to its peers. All procedures are queries: a peer can read this node's state, never change it. */
+/**
+ * RPC procedures that a node offers to its peers. All are queries: a peer can read this node's state but not change it.
+ */
 import { initTRPC, TRPCError } from "@trpc/server";
 import {
     zoneTargetsRequestSchema,
@@ -19,19 +21,19 @@
 } from "./peerSchemas.js";
 import type { ConfigurationStorePort, FleetPort, PeerAddress } from "./ports.js";
 
-/** What the router reads of its node. */
+/** The state of the node that the router reads. */
 export interface PeerRouterDependencies {
     readonly store: Pick<ConfigurationStorePort, "heads" | "document" | "deltasSince">;
     readonly fleet: FleetPort;
     readonly directory: Pick<TargetDirectory, "answerZoneTargets">;
     readonly random: Random;
-    /** Whether this node has recovered. */
+    /** Returns whether this node has recovered. */
     readonly isReady: () => boolean;
-    /** Time in milliseconds since the platform was last heard from; undefined when never. */
+    /** Returns the time in milliseconds since the last known response of the platform; undefined if there was none. */
     readonly platformAge: () => number | undefined;
 }
 
-/** Members of the own availability zone named in an answer to `contacts`. */
+/** Number of members of the local availability zone in a response of `contacts`. */
 const OWN_ZONE_CONTACTS = 16;
 
 const toContact = ({ id, zone, address, controlPort }: PeerAddress): PeerAddress => ({
@@ -69,7 +71,7 @@
 };
 
 const builder = initTRPC.context<PeerRouterDependencies>().create({
-    // The library's own shape carries a stack trace, which would go to any peer that asks badly.
+    // The default error shape of the library contains a stack trace, which must not be sent to peers.
     errorFormatter: ({ shape }) => ({
         code: shape.code,
         message: shape.message,
@@ -77,7 +79,7 @@
     }),
 });
 
-/** The procedures; the node that answers is the context, see `createPeerRequestHandler`. */
+/** The procedures. The context is the state of the responding node; see `createPeerRequestHandler`. */
 export const peerRouter = builder.router({
     ping: builder.procedure.query(({ ctx }): PingAnswer => {
         const age = ctx.platformAge();
@@ -100,5 +102,5 @@
     contacts: builder.procedure.query(({ ctx }): ContactsAnswer => answerContacts(ctx)),
 });
 
-/** The type that the client is checked against. */
+/** Type of the router, against which calls of the client are type-checked. */
 export type PeerRouter = typeof peerRouter;
--- a/packages/oleandergap-distribution/src/peerSchemas.ts
+++ b/packages/oleandergap-distribution/src/peerSchemas.ts
@@ -1,6 +1,6 @@
 /**
- * Questions and answers between nodes. Both sides check what they receive. Those about targets are the membership's,
- * see `zoneTargetsRequestSchema` there.
+ * Schemas of the requests and responses between nodes. Both sides validate what they receive. The membership package
+ * defines the messages about targets; see `zoneTargetsRequestSchema`.
  */
 import {
     deltaSchema,
@@ -13,39 +13,42 @@
 } from "oleandergap-types";
 import { z } from "zod";
 
-/** Most partners that one answer names. */
+/** Maximum number of partners in one response. */
 const MAX_PARTNERS = 16;
-/** Most contacts in one answer. */
+/** Maximum number of contacts in one response. */
 export const MAX_CONTACTS = 64;
-/** Most deltas in one answer; a node further behind takes the whole document. */
+/** Maximum number of deltas in one response. A node that is further behind receives the whole document. */
 export const MAX_DELTAS_PER_ANSWER = 256;
 
-/** Answer to `ping`: whether the node has recovered, and when the platform was last heard from. */
+/** Response of `ping`: whether the node has recovered, and how recently the platform responded. */
 export const pingAnswerSchema = z.strictObject({
     id: nodeIdSchema,
     ready: z.boolean(),
-    /** Time since the platform was last heard from, as far as the answering node knows; absent when never. */
+    /** Time since the last platform response known to the responding node; absent if there was none. */
     platformAgeMs: z.number().nonnegative().optional(),
 });
 /** See {@link pingAnswerSchema}. */
 export type PingAnswer = z.infer<typeof pingAnswerSchema>;
 
-/** Answer to `heads`: the versions in force. */
+/** Response of `heads`: the versions in force. */
 export const headsAnswerSchema = z.strictObject({
-    /** Whether the answering node has itself recovered, so that its heads say what the fleet knows. */
+    /** Whether the responding node has recovered, so that its heads reflect the versions known to the fleet. */
     ready: z.boolean(),
     heads: z.array(headSchema).max(MAX_PARTNERS),
 });
 /** See {@link headsAnswerSchema}. */
 export type HeadsAnswer = z.infer<typeof headsAnswerSchema>;
 
-/** Question of `deltasSince`: a partner, and the version that the asking node holds. */
+/** Request of `deltasSince`: a partner, and the version that the requesting node holds. */
 export const deltasQuerySchema = z.strictObject({ partner: partnerNameSchema, sequence: sequenceSchema });
 
-/** Question of `document`: the partner whose whole version is asked for. */
+/** Request of `document`: the partner whose document is requested. */
 export const documentQuerySchema = z.strictObject({ partner: partnerNameSchema });
 
-/** The steps that were asked for; none when the answering node holds nothing newer; or the whole document. */
+/**
+ * Response of `deltasSince`: the requested deltas, or the whole document. The list of deltas is empty if the responding
+ * node holds no newer version.
+ */
 export const versionAnswerSchema = z.discriminatedUnion("kind", [
     z.strictObject({ kind: z.literal("Deltas"), deltas: z.array(deltaSchema).max(MAX_DELTAS_PER_ANSWER) }),
     z.strictObject({ kind: z.literal("Document"), document: documentSchema }),
@@ -53,10 +56,10 @@
 /** See {@link versionAnswerSchema}. */
 export type VersionAnswer = z.infer<typeof versionAnswerSchema>;
 
-/** Where another node is reached. */
+/** Identity and network address of another node. */
 export const contactSchema = memberSchema.pick({ id: true, zone: true, address: true, controlPort: true });
 
-/** Answer to `contacts`: nodes of the own and of other availability zones. */
+/** Response of `contacts`: nodes of the local availability zone and of other availability zones. */
 export const contactsAnswerSchema = z.strictObject({ contacts: z.array(contactSchema).max(MAX_CONTACTS) });
 /** See {@link contactsAnswerSchema}. */
 export type ContactsAnswer = z.infer<typeof contactsAnswerSchema>;
--- a/packages/oleandergap-distribution/src/peerTransport.ts
+++ b/packages/oleandergap-distribution/src/peerTransport.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP exchange below the peer client, on Node's own HTTP client. The global `fetch` would send about 150 bytes of
- * browser headers with every request and bounds neither the time nor the size of an answer.
+ * HTTP transport of the peer client, based on Node's HTTP client. The global `fetch` would add about 150 bytes of
+ * browser headers to every request and limits neither the time nor the size of a response.
  */
 import { request as startRequest, type Agent, type ClientRequest, type IncomingMessage } from "node:http";
 import { pipeline, Transform } from "node:stream";
@@ -12,45 +12,46 @@
 import type { PeerError } from "./peerError.js";
 import type { ProgressListener } from "./ports.js";
 
-/** One question to a peer, and the bounds on its answer. */
+/** One request to a peer, and the limits of its response. */
 export interface PeerExchange {
     readonly address: string;
     readonly port: number;
     readonly path: string;
-    /** Proves that this node belongs to the fleet; undefined where no key is set. */
+    /** Authorization header, which proves that this node belongs to the fleet; undefined if no key is set. */
     readonly authorization: string | undefined;
-    /** JSON, or undefined for a question without input. */
+    /** JSON body, or undefined for a request without input. */
     readonly body: string | undefined;
-    /** Largest answer, in bytes after decompression. */
+    /** Maximum size of the response, in bytes after decompression. */
     readonly answerBytes: number;
-    /** Longest silence: until the answer begins, and between two parts of it. */
+    /** Maximum wait for the start of the response and between two parts of it. */
     readonly timeoutMs: Milliseconds;
-    /** Longest time in all. */
+    /** Maximum total time. */
     readonly longestMs: Milliseconds;
+    /** Cancels the exchange when aborted. */
     readonly signal: AbortSignal;
     readonly onProgress?: ProgressListener | undefined;
 }
 
-/** An answer that arrived whole, decompressed; its HTTP status may be an error. */
+/** A complete, decompressed response. The HTTP status may be an error status. */
 export interface ExchangeResponse {
     readonly status: number;
     readonly text: string;
 }
 
-/** An answer, or why there is none. */
+/** The response, or the reason why there is none. */
 export type ExchangeResult = Either<PeerError, ExchangeResponse>;
 
-/** Bytes that went over connections to peers, with headers of HTTP and without those of TCP and IP. */
+/** Bytes transferred over connections to peers, including HTTP headers but without TCP and IP headers. */
 export interface ExchangeBytes {
     readonly sent: number;
     readonly received: number;
 }
 
-/** What an exchange works with. */
+/** Dependencies of an exchange. */
 export interface ExchangeDependencies {
     readonly agent: Agent;
     readonly clock: Clock;
-    /** Called once per exchange that had a connection. */
+    /** Called once per started exchange with its bytes. */
     readonly countBytes: (bytes: ExchangeBytes) => void;
 }
 
@@ -59,7 +60,7 @@
     return typeof code === "string" ? `${code} ${error.message}` : error.message;
 };
 
-/** Passes on what it is given, and tells of each part. */
+/** Creates a stream that passes data through and reports each part. */
 const createProgressReporter = (noteProgress: () => void): Transform => new Transform({
     transform: (part: Buffer, _encoding, pass) => {
         noteProgress();
@@ -67,7 +68,10 @@
     },
 });
 
-/** Whoever reads the result meets the error of a connection that breaks off, or the exchange would hang. */
+/**
+ * Decompresses the body if necessary. If the connection breaks off, reading the returned stream fails; without this,
+ * the exchange would hang.
+ */
 const decodeBody = (response: IncomingMessage, noteProgress: () => void): NodeJS.ReadableStream => {
     const progressReporter = createProgressReporter(noteProgress);
     const ignore = (): void => undefined;
@@ -131,7 +135,7 @@
     received: (request.socket?.bytesRead ?? 0) - before.received,
 });
 
-/** Bytes that a kept connection had carried before this exchange. */
+/** Watches the request for its connection. Returns a getter of the bytes that the connection had carried before. */
 const watchInitialBytes = (request: ClientRequest): () => ExchangeBytes => {
     let before: ExchangeBytes = { sent: 0, received: 0 };
     request.once("socket", (socket) => {
@@ -141,11 +145,11 @@
 };
 
 const formatPassedLimit = (passedLimit: PassedLimit, { timeoutMs, longestMs }: PeerExchange): string =>
-    passedLimit === "silence" ? `silent for ${timeoutMs} ms` : `no whole answer within ${longestMs} ms`;
+    passedLimit === "silence" ? `no data for ${timeoutMs} ms` : `no complete response within ${longestMs} ms`;
 
 /**
- * Sends one question and reads the whole answer. A connection that went silent is closed at the timeout, so the next
- * exchange with that peer opens a new one.
+ * Sends one request and reads the complete response. A connection that stops delivering data is closed at the timeout,
+ * so that the next exchange with that peer opens a new connection.
  */
 export const exchangeWithPeer = async (
     exchange: PeerExchange,
--- a/packages/oleandergap-distribution/src/periodic.ts
+++ b/packages/oleandergap-distribution/src/periodic.ts
@@ -1,13 +1,13 @@
-/** Timers and loops that end when their signal aborts. */
+/** Timers and loops that stop when their signal aborts. */
 import type { Logger } from "oleandergap-logger";
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 
-/** Work that is repeated until `signal` aborts. */
+/** A task that is repeated until `signal` aborts. */
 export interface PeriodicTask {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly signal: AbortSignal;
-    /** The wait before each run. */
+    /** Returns the wait before the next run. */
     readonly delay: () => Milliseconds;
     readonly run: () => void | Promise<void>;
 }
@@ -17,11 +17,11 @@
         await run();
     }
     catch (error) {
-        logger.error("a periodic task failed", { detail: String(error) });
+        logger.error("A periodic task failed.", { detail: String(error) });
     }
 };
 
-/** Resolves when the signal aborts. A run that fails is logged, and the loop goes on. */
+/** Runs a task repeatedly and resolves when the signal aborts. A failed run is logged and does not end the loop. */
 export const runPeriodically = async (task: PeriodicTask): Promise<void> => {
     while (!task.signal.aborted) {
         await task.clock.sleep(task.delay(), task.signal);
@@ -31,7 +31,7 @@
     }
 };
 
-/** Runs `callback` once after `delay`, unless it is cancelled or the signal aborts before. */
+/** Runs `callback` once after `delay`, unless the timer is cancelled or the signal aborts first. */
 export const startTimer = (
     clock: Clock,
     signal: AbortSignal,
@@ -53,5 +53,8 @@
     return cancel;
 };
 
-/** Half to one and a half times `mean`, so that nodes that started together drift apart. */
+/**
+ * Returns a random delay between 0.5 and 1.5 times `mean`. The jitter desynchronizes nodes that started at the same
+ * time.
+ */
 export const drawJitter = (random: () => number, mean: Milliseconds): Milliseconds => mean * (0.5 + random());
--- a/packages/oleandergap-distribution/src/platformReader.ts
+++ b/packages/oleandergap-distribution/src/platformReader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the platform's heads on behalf of an availability zone, while this node is on duty, and waits longer and longer
- * while the platform does not answer.
+ * Reads the platform's heads for an availability zone while this node is a reader. Uses exponential backoff while the
+ * platform does not respond.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
@@ -15,7 +15,7 @@
 import { createReaderRole } from "./readerDuty.js";
 import type { SpreadCounters } from "./statistics.js";
 
-/** What a platform reader works with. */
+/** Dependencies of a platform reader. */
 export interface PlatformReaderDependencies {
     readonly partners: readonly PartnerName[];
     readonly fleet: Pick<FleetPort, "self" | "members">;
@@ -31,31 +31,34 @@
     readonly counters: SpreadCounters;
 }
 
-/** One node's part in reading the platform for its availability zone. */
+/** Reads the platform on one node, for its availability zone. */
 export interface PlatformReader {
-    /** Polls or stands by until the signal aborts. */
+    /** Polls the platform, or acts as a standby, until the signal aborts. */
     readonly start: (signal: AbortSignal) => void;
-    /** Reads the heads once, if the budget allows; undefined when nothing was learnt. */
+    /** Reads the heads once. Returns undefined if the budget is exhausted or the read failed. */
     readonly readHeads: (signal: AbortSignal) => Promise<readonly Head[] | undefined>;
-    /** Time since the platform was last heard from by this node or by one that it asked; undefined when never. */
+    /** Returns the time since the last platform response at this node or at a queried peer; undefined if none. */
     readonly platformAge: () => Milliseconds | undefined;
+    /** Returns this node's rank among the candidate readers of its zone; infinite if it has none. */
     readonly rank: () => number;
-    /** Whether its rank makes this node poll. */
+    /** Returns whether the rank alone makes this node poll. */
     readonly isReader: () => boolean;
-    /** Whether this node polls now. */
+    /** Returns whether this node polls now. */
     readonly isReading: () => boolean;
-    /** Whether it polls, and the platform answered the last time. */
+    /** Returns whether this node polls and its last read of the platform succeeded. */
     readonly isFollowingPlatform: () => boolean;
 }
 
-/** Wait before the first poll, so that a node that starts with many others has met them and knows its rank. */
+/**
+ * Wait before the first poll. It lets a node that starts together with many others discover them and compute its rank.
+ */
 const STARTUP_DELAY_MS = 500;
-/** Longest mean wait between two looks at the ranks, which change when a reader dies. */
+/** Maximum mean interval between updates of the reader role. The ranks change when a reader dies. */
 const MAX_ROLE_UPDATE_DELAY_MS = 1_500;
-/** Most doublings of the wait while the platform does not answer. */
+/** Maximum number of doublings of the backoff while the platform does not respond. */
 const MAX_BACKOFF_EXPONENT = 10;
 
-/** Creates the reader of one node; it does nothing before `start` or `readHeads`. */
+/** Creates the reader of one node. It is idle until `start` or `readHeads` is called. */
 export const createPlatformReader = ({
     partners,
     fleet,
@@ -71,7 +74,7 @@
     counters,
 }: PlatformReaderDependencies): PlatformReader => {
     const startedAt = clock.monotonic();
-    /** When the platform was last heard from, by this node or another. */
+    /** Time of the latest platform response at this node or at a queried peer. */
     let lastContactAt: Milliseconds | undefined;
     let consecutiveFailures = 0;
     let outageStartedAt = startedAt;
@@ -81,11 +84,13 @@
     };
     const role = createReaderRole({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, noteHeard });
 
-    /** One line when the platform is lost and one when it is back, whatever the number of reads between. */
+    /**
+     * Logs one line when the platform stops responding. `recordSuccessfulRead` logs one line when it responds again.
+     */
     const recordFailedRead = (failure: { readonly kind: string }, readStartedAt: Milliseconds): void => {
         if (consecutiveFailures === 0) {
             outageStartedAt = readStartedAt;
-            logger.warn("The platform does not answer.", {
+            logger.warn("The platform does not respond.", {
                 reason: failure.kind,
                 detail: "detail" in failure ? String(failure.detail) : undefined,
                 durationMs: Math.round(clock.monotonic() - readStartedAt),
@@ -96,7 +101,7 @@
 
     const recordSuccessfulRead = (): void => {
         if (consecutiveFailures > 0) {
-            logger.info("The platform answers again.", {
+            logger.info("The platform responds again.", {
                 failedReads: consecutiveFailures,
                 lostMs: Math.round(clock.monotonic() - outageStartedAt),
             });
--- a/packages/oleandergap-distribution/src/ports.ts
+++ b/packages/oleandergap-distribution/src/ports.ts
@@ -1,6 +1,6 @@
 /**
- * What this package needs of the store, the membership, the network and the platform. The wiring of the daemon passes
- * the real ones; tests pass fakes.
+ * Interfaces through which this package uses the store, the membership, the network and the platform. The daemon
+ * passes the real implementations; tests pass fakes.
  */
 import type { Either } from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
@@ -18,65 +18,68 @@
 import type { ContactsAnswer, HeadsAnswer, PingAnswer, VersionAnswer } from "./peerSchemas.js";
 import type { SpreadMessage } from "./spreadMessage.js";
 
-/** Where a peer is reached. */
+/** Identity and network address of a peer. */
 export type PeerAddress = Pick<Member, "id" | "zone" | "address" | "controlPort">;
 
-/** A member of the own availability zone. */
+/** A member of the local availability zone. */
 export type FleetMember = PeerAddress & Pick<Member, "linkClass">;
 
-/** Why the store did not apply a version; only the kind is looked at, for the log. */
+/** Reason why the store did not apply a version. Only `kind` is used, for the log. */
 export interface VersionRefusal {
     readonly kind: string;
 }
 
-/** The versions that this node holds. It applies a version whole or not at all, and never a lower or equal one. */
+/**
+ * The store of the versions that this node holds. It applies a version completely or not at all, and it never applies
+ * a version whose sequence is lower than or equal to the one in force.
+ */
 export interface ConfigurationStorePort {
     readonly heads: () => readonly Head[];
     readonly document: (partner: PartnerName) => PartnerDocument;
-    /** The steps that follow `sequence`; undefined when they are no longer held. */
+    /** Returns the deltas that follow `sequence`, or undefined if the store no longer holds them. */
     readonly deltasSince: (partner: PartnerName, sequence: Sequence) => readonly Delta[] | undefined;
-    /** The step that led to version `sequence`; undefined when it is not held. */
+    /** Returns the delta that led to version `sequence`, or undefined if the store does not hold it. */
     readonly deltaTo: (partner: PartnerName, sequence: Sequence) => Delta | undefined;
-    /** Whether fetching `head` makes sense: it is above the version in force and was not found invalid before. */
+    /** Returns whether `head` is above the version in force and was not found invalid before. */
     readonly isWanted: (head: Head) => boolean;
     readonly offerDocument: (document: PartnerDocument) => Either<VersionRefusal, unknown>;
     readonly offerDeltas: (partner: PartnerName, deltas: readonly Delta[]) => Either<VersionRefusal, unknown>;
-    /** Calls `listener` after each version that was applied; the result ends it. */
+    /** Calls `listener` after each applied version. Returns a function that ends the subscription. */
     readonly subscribe: (listener: (head: Head) => void) => () => void;
 }
 
-/** The nodes that this node knows. */
+/** The nodes in this node's membership view. */
 export interface FleetPort {
     readonly self: () => PeerAddress;
-    /** Members of the own availability zone that are not known to be dead, with this node. */
+    /** Returns the members of the local availability zone that are not marked as dead, including this node. */
     readonly members: () => readonly FleetMember[];
-    /** Some nodes of the other availability zones. */
+    /** Returns some nodes of the other availability zones. */
     readonly contacts: () => readonly PeerAddress[];
 }
 
-/** Sends without waiting and without any promise that the message arrives. */
+/** Sends datagrams without waiting and without a delivery guarantee. */
 export interface SpreadOutlet {
-    /** Heads are only claims: whoever hears a higher one pulls the version itself. */
+    /** Sends heads. The receiver treats them as unverified claims and pulls the version itself if a head is higher. */
     readonly sendHeads: (to: PeerAddress, heads: readonly Head[]) => void;
     readonly send: (to: PeerAddress, message: SpreadMessage) => void;
 }
 
-/** Asks for the steps after a version. */
+/** Requests the deltas after a version. */
 export interface DeltasQuery {
     readonly partner: PartnerName;
-    /** The highest version that the asking node holds. */
+    /** Highest version that the requesting node holds. */
     readonly sequence: Sequence;
 }
 
-/** Asks for the whole version in force. */
+/** Requests the whole document of the version in force. */
 export interface DocumentQuery {
     readonly partner: PartnerName;
 }
 
-/** Told each time that a part of an answer has arrived. */
+/** Called each time a part of a response arrives. */
 export type ProgressListener = () => void;
 
-/** Calls to another node. Each ends when `signal` aborts, and in any case after the client's own timeout. */
+/** Calls to another node. Each call ends when `signal` aborts, and at the latest after the client's own timeout. */
 export interface PeerPort {
     readonly ping: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, PingAnswer>;
     readonly heads: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, HeadsAnswer>;
@@ -94,7 +97,7 @@
     ) => TaskEither<PeerError, PartnerDocument>;
 }
 
-/** Calls to another node on behalf of the membership. */
+/** Calls to another node that the membership uses. */
 export interface PeerDirectoryPort {
     readonly zoneTargets: (
         peer: PeerAddress,
@@ -104,5 +107,5 @@
     readonly contacts: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, ContactsAnswer>;
 }
 
-/** Reads accepted versions from the platform; see `ConfigurationSource` for what each call costs. */
+/** Reads accepted versions from the platform. `ConfigurationSource` documents the cost of each call. */
 export type ConfigurationSourcePort = Pick<ConfigurationSource, "readHeads" | "readDeltas" | "readDocument" | "holdsDocuments">;
--- a/packages/oleandergap-distribution/src/pullFailures.ts
+++ b/packages/oleandergap-distribution/src/pullFailures.ts
@@ -1,4 +1,4 @@
-/** Counts and logs questions for a version that brought nothing, and books them against who was asked. */
+/** Counts and logs failed pulls, and records each failure for the claim of the source. */
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
 import type { ArrivalLog } from "./arrivals.js";
@@ -7,11 +7,11 @@
 import type { SpreadCounters } from "./statistics.js";
 import type { FetchFailure } from "./versionFetcher.js";
 
-/** What failures are reported with. */
+/** Dependencies of a failure reporter. */
 export interface FailureReporterDependencies {
     readonly partner: PartnerName;
     readonly registry: Pick<ClaimRegistry, "countFailure">;
-    /** The version in force. */
+    /** Returns the sequence of the version in force. */
     readonly sequence: () => Sequence;
     readonly arrivalLog: Pick<ArrivalLog, "noteFailedPull">;
     readonly clock: Clock;
@@ -19,13 +19,13 @@
     readonly counters: SpreadCounters;
 }
 
-/** Reports one failure; `startedAt` is when the question was asked. */
+/** Reports one failure; `startedAt` is the time at which the request was sent. */
 export type ReportFailure = (attempt: PullAttempt, failure: FetchFailure, startedAt: Milliseconds) => void;
 
 const formatFailure = (failure: FetchFailure): string =>
     "detail" in failure ? `${failure.kind}: ${failure.detail}` : failure.kind;
 
-/** Creates the reports of one partner's questions. */
+/** Creates the failure reporter of one partner's pulls. */
 export const createFailureReporter = (
     { partner, registry, sequence, arrivalLog, clock, logger, counters }: FailureReporterDependencies,
 ): ReportFailure => ({ source, claim }, failure, startedAt) => {
@@ -37,11 +37,12 @@
         reason: formatFailure(failure),
         durationMs: clock.monotonic() - startedAt,
     });
-    // A node without any version has nothing to fall back to: set aside, a true head would keep it out for as long.
+    // A node without any version keeps all claims. If it ignored the claim to an existing head for a while, it could
+    // not become ready during that time.
     const claimFailure = failure.kind === "NoAnswer" ? "Unanswered" : "Disproved";
     if (claim !== undefined && sequence() > 0 && registry.countFailure(claim, claimFailure)) {
         counters.claimsSetAside += 1;
-        logger.warn("A claimed version could not be had from its holder.", {
+        logger.warn("A claimed version could not be fetched from the source that claimed it.", {
             partner,
             sequence: claim.head.sequence,
             source: sourceName,
--- a/packages/oleandergap-distribution/src/pullsUnderWay.ts
+++ b/packages/oleandergap-distribution/src/pullsUnderWay.ts
@@ -1,4 +1,4 @@
-/** The questions for one partner's version that are under way, each to another source. */
+/** Tracks the in-flight requests for one partner's version. Each request goes to a different source. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { CancelTimer, Clock, Head, Milliseconds } from "oleandergap-types";
@@ -9,43 +9,44 @@
 import type { ProgressListener } from "./ports.js";
 import type { FetchFailure } from "./versionFetcher.js";
 
-/** One question to one source. */
+/** One request to one source. */
 export interface PullAttempt {
     readonly source: ClaimSource;
-    /** The newest version that is known of when the question is asked. */
+    /** The newest claimed version at the time of the request. */
     readonly newestHead: Head;
-    /** What this source told, if it told anything. */
+    /** The claim of this source; undefined if this source made no claim. */
     readonly claim: Claim | undefined;
 }
 
-/** What questions are asked with. */
+/** Dependencies of the in-flight pulls. */
 export interface InFlightPullsDependencies {
     readonly clock: Clock;
     readonly options: Pick<PullOptions, "answerPatienceMs" | "arrivingPatienceMs">;
-    /** Asks one source; must end when the signal aborts. */
+    /** Sends a request to one source. The request must end when the signal aborts. */
     readonly sendRequest: (
         attempt: PullAttempt,
         signal: AbortSignal,
         onProgress: ProgressListener,
     ) => Promise<Either<FetchFailure, void>>;
-    /** A newer version came into force. */
+    /** Called after a newer version came into force. */
     readonly onDelivered: () => void;
+    /** Called after a request failed; `startedAt` is the time at which it was sent. */
     readonly onFailed: (attempt: PullAttempt, failure: FetchFailure, startedAt: Milliseconds) => void;
-    /** Ends all questions. */
+    /** Ends all requests when aborted. */
     readonly signal: AbortSignal;
 }
 
-/** None at first. */
+/** The in-flight requests for one partner's version. */
 export interface InFlightPulls {
     readonly isEmpty: () => boolean;
     readonly hasFreeSlot: () => boolean;
     readonly isInFlight: (source: ClaimSource) => boolean;
     readonly start: (attempt: PullAttempt) => void;
-    /** Calls `onEnd` when it is time to ask another source too. */
+    /** Starts a timer that calls `onEnd` when another source should be tried in parallel. */
     readonly startPatience: (onEnd: () => void) => CancelTimer;
     /**
-     * Gives up the questions whose answers bring nothing that is still wanted; nothing is told of them any more. False
-     * when there are none.
+     * Cancels the requests for versions that are no longer wanted. The callbacks are not called for cancelled requests.
+     * Returns whether any request was cancelled.
      */
     readonly cancelUnless: (isWanted: (head: Head) => boolean) => boolean;
 }
@@ -54,14 +55,14 @@
     readonly attempt: PullAttempt;
     readonly startedAt: Milliseconds;
     readonly abort: () => void;
-    /** When a part of the answer last came. */
+    /** Time at which the last part of the response arrived. */
     lastProgressAt: Milliseconds;
 }
 
-/** Sources that are asked at the same time: two of them may be dead or behind full links. */
+/** Maximum number of concurrent requests. The third one covers two sources that are dead or behind saturated links. */
 const MAX_CONCURRENT_PULLS = 3;
 
-/** Creates an empty set of questions. */
+/** Creates an empty set of in-flight requests. */
 export const createInFlightPulls = (
     { clock, options, sendRequest, onDelivered, onFailed, signal }: InFlightPullsDependencies,
 ): InFlightPulls => {
@@ -88,8 +89,8 @@
     };
 
     /**
-     * Whether an answer is on its way and may still come in time. It may be this node's own link that is narrow: more
-     * answers would share it, and all of them be late.
+     * Returns whether a response is arriving and may still complete in time. The bottleneck may be the link of this
+     * node. Further responses would then share that link, and all of them would be late.
      */
     const isArriving = (): boolean => {
         const now = clock.monotonic();
--- a/packages/oleandergap-distribution/src/readBudget.ts
+++ b/packages/oleandergap-distribution/src/readBudget.ts
@@ -1,50 +1,51 @@
 /**
- * Bounds the platform reads of the whole fleet without any agreement: every node derives its share from the number of
- * nodes that it knows.
+ * Limits the platform reads of the whole fleet without coordination: every node computes its share from the number of
+ * nodes in its membership view.
  *
- * After a failure that hits many nodes at once, each of them would turn to the platform in the same moment; one would
- * see the platform overloaded just when it is needed, and the retries keep it so. The shares of all nodes add up to
- * the configured total, whatever their number.
+ * After a failure of many nodes, all of them would read the platform at the same time. The platform would be overloaded
+ * just when it is needed, and the retries would keep it overloaded. The shares of all nodes add up to the configured
+ * total, whatever the number of nodes.
  */
 import { MILLISECONDS_PER_SECOND, type Clock, type Milliseconds } from "oleandergap-types";
 import { createTokenBucket, type TokenBucket } from "oleandergap-utils";
 import type { BudgetOptions, ReaderOptions } from "./options.js";
 
-/** Reads behind a whole document: its head, its snapshot, and the deltas after that. */
+/** Platform reads per whole document: the head, the snapshot, and the deltas after the snapshot. */
 export const READS_PER_DOCUMENT = 3;
 
-/** What a read budget works with. */
+/** Dependencies of a read budget. */
 export interface ReadBudgetDependencies {
     readonly clock: Clock;
     readonly options: BudgetOptions;
     readonly reader: Pick<ReaderOptions, "readers" | "standbys">;
-    /** Members of the own availability zone, this node included. */
+    /** Returns the number of members of the local availability zone, including this node. */
     readonly zoneSize: () => number;
-    /** This node's rank among the readers of its zone. */
+    /** Returns this node's rank among the candidate readers of its zone. */
     readonly rank: () => number;
 }
 
-/** One node's share of the platform reads that the fleet may spend. */
+/** One node's share of the platform reads allowed for the fleet. */
 export interface ReadBudget {
     /**
-     * Takes a call that makes `reads` platform reads, one by default. It may start as soon as there is one read; the
-     * others are owed, and no further call starts before they are paid.
+     * Tries to reserve budget for a call that makes `reads` platform reads, one by default. The call may start as soon
+     * as one read is available. The remaining reads are a debt, and no further call may start until it is repaid.
+     * Returns whether the call may start.
      */
     readonly tryTake: (reads?: number) => boolean;
-    /** Time until the next read, 0 when there is one. */
+    /** Returns the time until the next read is available; 0 if one is available now. */
     readonly timeToNext: () => Milliseconds;
-    /** Time in which the budget lets every node of the fleet recover from the platform, one after the other. */
+    /** Returns the time that the budget needs for every node of the fleet to recover from the platform in turn. */
     readonly fleetTurn: () => Milliseconds;
 }
 
-/** A reader may read the heads and the deltas of each partner in a row. */
+/** Burst of a reader: it may read the heads and the deltas of each partner without a pause. */
 const READER_BURST = 6;
-/** An ordinary node reads after a change that was accepted at it while it was behind, or to recover. */
+/** Burst of other nodes. They read after a change was accepted at them while they were behind, or to recover. */
 const NON_READER_BURST = 3;
-/** Reads of a recovery from the platform: the heads, and a document of each of two partners. */
+/** Platform reads per recovery: the heads, and one document of each of two partners. */
 const READS_PER_RECOVERY = 1 + 2 * READS_PER_DOCUMENT;
 
-/** Creates the budget of one node; its rate follows the node's rank and the size of its zone. */
+/** Creates the budget of one node. Its rate depends on the node's rank and on the size of its zone. */
 export const createReadBudget = ({ clock, options, reader, zoneSize, rank }: ReadBudgetDependencies): ReadBudget => {
     const fleetReaderCount = options.zones * (reader.readers + reader.standbys);
     const countFleetNodes = (): number => options.zones * Math.max(1, zoneSize());
--- a/packages/oleandergap-distribution/src/readerDuty.ts
+++ b/packages/oleandergap-distribution/src/readerDuty.ts
@@ -1,10 +1,12 @@
 /**
- * Which members of an availability zone read the platform. It follows from a rendezvous hash that each member computes
- * alone: the first few poll, some more stand by, and nobody else ever polls. Two nodes that both hold the duty cost a
- * read more; a duty that nobody holds for a moment costs a moment.
+ * Decides which members of an availability zone read the platform. Each member computes a ranking by rendezvous hash
+ * without coordination: the first few members poll, the next few are standbys, and all others never poll. If two nodes
+ * both act as the same reader for a moment, this costs one more read; if no node does, versions are late by that
+ * moment.
  *
- * Members with wide links come first. Where versions are read whole, a narrow link is full for seconds with each of
- * them, so that requests through that node wait, and the members that hear from it are late; see `countReaders`.
+ * Members with wide links rank first. If versions are read as whole documents, each of them saturates a narrow link for
+ * seconds. Requests through that node then wait, and the members that receive versions from it are late; see
+ * `countReaders`.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, LinkClass, Milliseconds } from "oleandergap-types";
@@ -15,20 +17,21 @@
 
 const getLinkClass = ({ linkClass }: FleetMember): LinkClass => linkClass ?? 0;
 
-/** Members of the zone in the order in which they take up reading: wide links first, by hash among equals. */
+/** Returns the members of the zone by reader rank: wide links first, then by hash among equal link classes. */
 export const rankReaders = (fleet: Pick<FleetPort, "self" | "members">): readonly FleetMember[] =>
     [...rankByRendezvous(`readers/${fleet.self().zone}`, fleet.members(), (member) => member.id)]
         .sort((left, right) => getLinkClass(right) - getLinkClass(left));
 
-/** Readers of a zone whatever their links: one alone may be dead or cut off for a while unnoticed. */
+/** Minimum number of readers per zone, whatever their links. A single reader may be dead or cut off undetected. */
 const MIN_READERS = 2;
-/** Links of neighbouring classes, up to four times as wide as each other, count as alike. */
+/** Largest class difference of links that count as similar. Links of adjacent classes differ up to fourfold. */
 const SIMILAR_CLASS_DISTANCE = 1;
 
 /**
- * How many of the ranked members read. Those with far narrower links than the first stand by while two others read: in
- * a fleet with a few wide links, eleven nodes with narrow ones lost the platform for three seconds each while versions
- * of 0.37 MB came, and those that read one in time had it 0.1 s after the first in the median.
+ * Returns how many of the ranked members read the platform. Members with much narrower links than the first one stay
+ * standbys if at least two other members read. In a fleet with a few wide links, eleven nodes with narrow links lost
+ * the platform for three seconds each during the transfer of versions of 0.37 MB. Nodes that read such a version in
+ * time received it 0.1 s (median) after the first node.
  */
 export const countReaders = (ranked: readonly FleetMember[], readers: number): number => {
     const widest = ranked[0] === undefined ? 0 : getLinkClass(ranked[0]);
@@ -36,31 +39,34 @@
     return Math.min(readers, Math.max(similarMembers, MIN_READERS));
 };
 
-/** What a reader's duty works with. */
+/** Dependencies of the reader role. */
 export interface ReaderRoleDependencies {
     readonly fleet: Pick<FleetPort, "self" | "members">;
     readonly peers: Pick<PeerPort, "ping">;
     readonly clock: Clock;
     readonly options: Pick<ReaderOptions, "readers" | "standbys" | "stepMs">;
-    /** Time that one question to a better ranked node may take. */
+    /** Timeout of one request to a better ranked node. */
     readonly timeoutMs: Milliseconds;
-    /** Called with the latest sign of the platform that better ranked nodes gave; never before the duty was created. */
+    /**
+     * Called with the time of the latest platform response that a better ranked node reported. It is never earlier than
+     * the creation of the role.
+     */
     readonly noteHeard: (at: Milliseconds) => void;
 }
 
-/** Whether this node polls the platform for its availability zone. */
+/** Decides whether this node polls the platform for its availability zone. */
 export interface ReaderRole {
-    /** Ranks the members anew and, as a standby, asks those before this node for a sign of the platform. */
+    /** Recomputes the ranking. A standby also asks the better ranked nodes how recently the platform responded. */
     readonly update: (signal: AbortSignal) => Promise<void>;
-    /** Infinite before the first update and while this node is not among the members. */
+    /** Returns the rank; infinite before the first update and while this node is not among the members. */
     readonly rank: () => number;
-    /** Whether this node's rank makes it poll, whatever the others do. */
+    /** Returns whether the rank alone makes this node poll, independent of the other nodes. */
     readonly isReader: () => boolean;
-    /** Whether this node polls now. */
+    /** Returns whether this node polls now. */
     readonly isReading: () => boolean;
 }
 
-/** Creates the duty of one node; nobody polls before the first update. */
+/** Creates the reader role of one node. The node does not poll before the first update. */
 export const createReaderRole = ({
     fleet,
     peers,
@@ -70,8 +76,8 @@
     noteHeard,
 }: ReaderRoleDependencies): ReaderRole => {
     /**
-     * When the platform was last heard from by a better ranked node, and the creation of the duty until then; what this
-     * node reads itself does not end its own duty.
+     * Time of the latest platform response at a better ranked node, initially the creation of the role. Reads of this
+     * node do not count, because a standby would otherwise end its own polling.
      */
     let lastContactAt = clock.monotonic();
     let rank = Number.POSITIVE_INFINITY;
@@ -86,13 +92,13 @@
         return ranked.slice(0, Math.min(rank, options.readers + options.standbys));
     };
 
-    /** Asks one node after the other until one has a recent sign of the platform. */
+    /** Pings the better ranked nodes in order until one reports a recent response of the platform. */
     const queryBetterRanked = async (betterRanked: readonly PeerAddress[], signal: AbortSignal): Promise<void> => {
         for (const peer of betterRanked) {
             const requestedAt = clock.monotonic();
             const limits = { clock, timeoutMs, signal };
-            const answer = await callWithTimeout((inner) => peers.ping(peer, inner), limits);
-            const age = either.isRight(answer) ? answer.right.platformAgeMs : undefined;
+            const response = await callWithTimeout((inner) => peers.ping(peer, inner), limits);
+            const age = either.isRight(response) ? response.right.platformAgeMs : undefined;
             if (age !== undefined) {
                 lastContactAt = Math.max(lastContactAt, requestedAt - age);
                 noteHeard(lastContactAt);
@@ -104,8 +110,9 @@
     };
 
     /**
-     * Readers may be dead, frozen, or alive and cut off from the platform; all three look the same to their zone: no
-     * fresh sign of the platform. Waiting by rank makes one standby step in at a time instead of all at once.
+     * Updates the rank and decides whether this node polls. Readers may be dead, frozen, or cut off from the platform.
+     * In each case no better ranked node reports a recent platform response. The waiting time grows with the rank, so
+     * that the standbys take over one at a time.
      */
     const update = async (signal: AbortSignal): Promise<void> => {
         const betterRanked = updateRank();
--- a/packages/oleandergap-distribution/src/recovery.ts
+++ b/packages/oleandergap-distribution/src/recovery.ts
@@ -1,15 +1,17 @@
 /**
- * What a node does between its start and being ready. It holds nothing, so it may have held a higher version before its
- * restart than the first peer that it asks holds now; it therefore asks several, takes the highest, and is ready only
- * when it holds what they named.
+ * Recovers the versions of a node after its start, before the node becomes ready. A started node holds no version.
+ * Before its restart it may have held a higher version than the first peer that it asks holds now. It therefore asks
+ * several peers, takes the highest heads, and becomes ready only when it holds the versions that they reported.
  *
- * Guarantee: when `recover` resolves, the node holds, for every partner, at least the highest version that any
- * recovered source named in the deciding round, but for versions that nobody could deliver with a matching digest; and
- * some version of each partner of which a source named one. The deciding round is a recent one: what was named before a
- * long pull may have been overtaken meanwhile, and a node that took it for the newest would serve by an old version.
- * Sources are, in this order, recovered peers of the own zone, recovered contacts in other zones, and the platform.
- * When all peers of the zone restarted at once, none of them is a source yet: the zone waits for another zone or the
- * platform. When neither answers, the node stays not ready and keeps trying.
+ * Guarantee: when `recover` resolves, the node holds for every partner at least the highest version that any recovered
+ * source reported in the deciding round, except for versions that no source could deliver with a matching digest. It
+ * also holds some version of each partner for which a source reported one. The deciding round must be recent. Versions
+ * that were reported before a long pull may have been superseded during the pull, and the node would then serve an old
+ * version as the newest one.
+ *
+ * The sources are tried in this order: recovered peers of the local zone, recovered contacts in other zones, and the
+ * platform. If all peers of the zone restarted at once, none of them is a source yet, and the zone waits for another
+ * zone or the platform. If neither responds, the node stays not ready and keeps trying.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
@@ -22,7 +24,7 @@
 import type { ReadBudget } from "./readBudget.js";
 import type { VersionPuller } from "./versionPuller.js";
 
-/** What a recovery works with. */
+/** Dependencies of a recovery. */
 export interface RecoveryDependencies {
     readonly partners: readonly PartnerName[];
     readonly fleet: FleetPort;
@@ -40,31 +42,33 @@
     readonly pull: Pick<PullOptions, "timeoutMs">;
 }
 
-/** Where the versions came from that made the node ready. */
+/** Result of a recovery; `source` is the source that reported the heads of the deciding round. */
 export type RecoveryOutcome =
     | { readonly kind: "Recovered"; readonly source: "zone" | "otherZones" | "platform" }
-    /** The signal aborted first. */
+    /** The signal aborted before the recovery was complete. */
     | { readonly kind: "Aborted" };
 
-/** How a round ended in which a source named heads. */
+/** Result of a round in which a source reported heads. */
 type RoundOutcome =
     | RecoveryOutcome
-    /** The versions that were named have arrived, too late to be taken for the newest. */
+    /** The reported versions arrived, but took so long that newer ones may exist. */
     | { readonly kind: "TimeExceeded" };
 
-/** Distance between two looks at whether the versions have arrived. */
+/** Interval between checks whether the versions have arrived. */
 const ARRIVAL_CHECK_MS = 100;
-/** A round whose versions took longer to arrive is followed by another one; well within the time to follow a change. */
+/** If the versions of a round take longer to arrive, the round is repeated. Well below the time limit for a change. */
 const MAX_ROUND_MS = 1_000;
-/** Such rounds in a row after which the node is ready all the same: its link is slow, and it keeps on following. */
+/**
+ * Number of consecutive slow rounds after which the node becomes ready anyway: its link is slow, and it keeps updating.
+ */
 const MAX_SLOW_ROUNDS = 3;
-/** Most doublings of the wait between rounds. */
+/** Maximum number of doublings of the wait between rounds. */
 const MAX_ROUND_EXPONENT = 10;
 
-/** The heads that one or more recovered sources named; undefined when none answered. */
+/** Heads that one or more recovered sources reported; undefined if no recovered source responded. */
 type ReportedHeads = readonly Head[] | undefined;
 
-/** Resolves when the node may serve, or when the signal aborts. */
+/** Recovers the versions of a node. Resolves when the node may serve, or when the signal aborts. */
 export const recoverConfiguration = async (
     dependencies: RecoveryDependencies,
     signal: AbortSignal,
@@ -74,27 +78,28 @@
 
     const fetchPeerHeads = async (peer: PeerAddress): Promise<ReportedHeads> => {
         const limits = { clock, timeoutMs: dependencies.pull.timeoutMs, signal };
-        const answer = await callWithTimeout((inner) => peers.heads(peer, inner), limits);
-        if (either.isLeft(answer)) {
+        const response = await callWithTimeout((inner) => peers.heads(peer, inner), limits);
+        if (either.isLeft(response)) {
             return undefined;
         }
-        const heads = answer.right.heads.filter((head) => partners.includes(head.partner));
+        const heads = response.right.heads.filter((head) => partners.includes(head.partner));
         for (const head of heads) {
             reportClaim({ head, source: { kind: "Peer", peer } });
         }
-        return answer.right.ready ? heads : undefined;
+        return response.right.ready ? heads : undefined;
     };
 
     const fetchHeadsFromPeers = async (candidates: readonly PeerAddress[]): Promise<ReportedHeads> => {
         const others = candidates.filter((peer) => peer.id !== fleet.self().id);
-        const answers = await Promise.all(pickSeveral(random, others, options.peersAsked).map(fetchPeerHeads));
-        const reportedHeads = answers.filter((heads) => heads !== undefined);
+        const responses = await Promise.all(pickSeveral(random, others, options.peersAsked).map(fetchPeerHeads));
+        const reportedHeads = responses.filter((heads) => heads !== undefined);
         return reportedHeads.length === 0 ? undefined : reportedHeads.flat();
     };
 
     /**
-     * Readers go to the platform at once, so that the zone soon has a source. All others first give them some time, and
-     * then draw a moment from the time that the whole fleet needs to recover one by one under the budget.
+     * Returns whether this node may read the platform now. Readers may do so immediately, so that the zone soon has a
+     * source. Other nodes first wait to give the readers time. After that, each node waits for a random part of the
+     * time that the budget needs for the nodes of the whole fleet to recover in turn.
      */
     const canReadPlatform = (): boolean =>
         dependencies.isReader() || (clock.monotonic() >= platformReadAllowedAt && budget.timeToNext() === 0);
@@ -113,20 +118,21 @@
     };
 
     /**
-     * A version that nobody delivers is not waited for, but with none at all a node would answer every request as one
-     * for an unknown service, and other nodes would recover the empty table from it.
+     * Returns whether a source reported a version of a partner of which this node holds no version. The node may become
+     * ready without the newest version if no source delivers it, but not without any version. It would otherwise treat
+     * every request as a request for an unknown service, and other nodes would recover the empty table from it.
      */
     const hasMissingVersion = (heads: readonly Head[]): boolean =>
         heads.some(({ partner, sequence }) => sequence > 0 && dependencies.getSequence(partner) === 0);
 
     let slowRounds = 0;
-    /** Counts the rounds in a row that took too long; true when this one has to be followed by another. */
+    /** Counts the consecutive slow rounds. Returns whether another round must follow this one. */
     const mustRepeatRound = (reportedAt: Milliseconds): boolean => {
         slowRounds = clock.monotonic() - reportedAt > MAX_ROUND_MS ? slowRounds + 1 : 0;
         return slowRounds > 0 && slowRounds < MAX_SLOW_ROUNDS;
     };
 
-    /** The versions of the first source that names some; undefined when no source did. */
+    /** Runs one round with the first source that reports heads. Returns undefined if no source completed the round. */
     const runRound = async (): Promise<RoundOutcome | undefined> => {
         const sources = [
             { source: "zone", fetchHeads: () => fetchHeadsFromPeers(fleet.members()) },
@@ -156,13 +162,13 @@
     for (let round = 0; !signal.aborted; round++) {
         const outcome = await runRound();
         if (outcome?.kind === "TimeExceeded") {
-            dependencies.logger.info("the versions took long to arrive; asking for newer ones", { round });
+            dependencies.logger.info("The versions took long to arrive; another recovery round follows.", { round });
             continue;
         }
         if (outcome !== undefined) {
             return outcome;
         }
-        dependencies.logger.info("no recovered source answered yet", { round });
+        dependencies.logger.info("No recovered source has responded yet.", { round });
         const exponent = Math.min(round, MAX_ROUND_EXPONENT);
         await clock.sleep(drawBackoff(random, exponent, options.roundBaseMs, options.roundMaximumMs), signal);
     }
--- a/packages/oleandergap-distribution/src/scoreRange.ts
+++ b/packages/oleandergap-distribution/src/scoreRange.ts
@@ -1,11 +1,12 @@
 /**
- * The order in which the members of an availability zone stand for the spread of one version, and how that order is
- * divided. Each member has a score, a hash of its name and the version. Whoever spreads a version over a range of
- * scores divides the members that it knows in that range into a few parts and hands each part to its first member.
+ * Orders the members of an availability zone for the forwarding of one version, and divides that order into parts. Each
+ * member has a score, which is a hash of its id and the version. A node that forwards a version over a range of scores
+ * divides the members that it knows in that range into a few parts. It hands each part to the first member of the part.
  *
- * The range travels with the version. Members whose views of the zone differ, as they do while nodes start and die,
- * thus disagree only about the nodes in question: a member that the sender does not know is reached by whoever knows
- * it. Positions in a tree that each computes alone would shift for everybody with every difference.
+ * The range is sent with the version. The membership views of nodes differ while nodes start and die. With ranges, such
+ * a difference affects only the members in question: a member that is unknown to the sender is reached by another node
+ * that knows it. If each node computed positions in a tree on its own, each difference would shift the positions of all
+ * members.
  */
 import type { Head } from "oleandergap-types";
 import { hashText } from "oleandergap-utils";
@@ -16,15 +17,15 @@
 
 const scoreSchema = z.number().int().min(0).max(SCORE_LIMIT);
 
-/** From `from` (included) to `to` (excluded). */
+/** Schema of a range of scores from `from` (inclusive) to `to` (exclusive). */
 export const scoreRangeSchema = z.strictObject({ from: scoreSchema, to: scoreSchema });
 /** See {@link scoreRangeSchema}. */
 export type ScoreRange = z.infer<typeof scoreRangeSchema>;
 
-/** All members. */
+/** The range that contains all members. */
 export const WHOLE_RANGE: ScoreRange = { from: 0, to: SCORE_LIMIT };
 
-/** A part of a range and its members, in order. */
+/** A part of a range, and its members ordered by score. */
 export interface RangePart {
     readonly range: ScoreRange;
     readonly members: readonly PeerAddress[];
@@ -46,14 +47,14 @@
         .sort(compareScoredMembers);
 };
 
-/** The members of a range, in the order of a version. */
+/** Returns the members of a range, in the order of the version `head`. */
 export const orderMembers = (
     head: Head,
     members: readonly PeerAddress[],
     range: ScoreRange = WHOLE_RANGE,
 ): readonly PeerAddress[] => scoreMembers(head, members, range).map(({ member }) => member);
 
-/** Divides a range into at most `count` parts with about equal numbers of members; together they cover all of it. */
+/** Divides a range into at most `count` parts with about equal numbers of members. The parts cover the whole range. */
 export const divideRange = (
     head: Head,
     members: readonly PeerAddress[],
--- a/packages/oleandergap-distribution/src/spread.ts
+++ b/packages/oleandergap-distribution/src/spread.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of the distribution together: what is heard, pulled, put in force and passed on. */
+/** Wires the components of the distribution that receive, pull, apply and forward versions. */
 import { setMaxListeners } from "node:events";
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Head, Milliseconds, PartnerName } from "oleandergap-types";
@@ -25,7 +25,7 @@
 import { createVersionPuller, type VersionPuller } from "./versionPuller.js";
 import { createVersionPusher, type VersionPusher } from "./versionPusher.js";
 
-/** What the distribution of one node works with. */
+/** Dependencies of the distribution of one node. */
 export interface SpreadDependencies {
     readonly partners: readonly PartnerName[];
     readonly store: ConfigurationStorePort;
@@ -34,33 +34,33 @@
     readonly peers: PeerPort;
     readonly source: ConfigurationSourcePort;
     readonly clock: Clock;
-    /** For periodic work; what follows a version as it comes is timed by `clock`. */
+    /** Clock for periodic work. `clock` times the handling of versions as they arrive. */
     readonly backgroundClock?: Clock;
     readonly random: Random;
     readonly logger: Logger;
     readonly options: DistributionOptions;
-    /** Ends all that `start` began. */
+    /** Stops all work that `start` began. */
     readonly signal: AbortSignal;
 }
 
 /** The distribution of one node. */
 export interface Spread extends HeadReceiver {
-    /** Starts reading, checking and passing on. */
+    /** Starts reading the platform, comparing with peers, and forwarding applied versions. */
     readonly start: () => void;
-    /** Resolves when this node holds what the fleet knows and may serve; see `recoverConfiguration`. */
+    /** Resolves when this node holds the versions known to the fleet and may serve; see `recoverConfiguration`. */
     readonly recover: () => Promise<RecoveryOutcome>;
-    /** Called after a change was accepted at this node: brings it in force here and tells all zones. */
+    /** Called after a change was accepted at this node. Brings it in force at this node and spreads it to all zones. */
     readonly announce: (head: Head) => void;
     readonly isReady: () => boolean;
-    /** Time since the platform was last heard from; undefined when never. */
+    /** Returns the time since the last known response of the platform, or undefined if there was none. */
     readonly platformAge: () => Milliseconds | undefined;
     readonly stats: () => SpreadStatistics;
 }
 
-/** Applied versions that are remembered for measurements. */
+/** Maximum number of applied versions that `stats` returns, for measurements. */
 const MAX_APPLIED_VERSIONS = 64;
 
-/** The parts of one node's distribution, wired to each other; nothing runs yet. */
+/** The wired components of one node's distribution, before `start`. */
 interface SpreadParts {
     readonly arrivalLog: ArrivalLog;
     readonly budget: ReadBudget;
@@ -70,7 +70,7 @@
     readonly pusher: VersionPusher;
     readonly reader: PlatformReader;
     readonly receiver: HeadReceiver;
-    /** Hands a claim to the puller of its partner. */
+    /** Passes a claim to the puller of the claimed partner. */
     readonly reportClaim: (claim: Claim) => void;
     readonly compareWithRandomPeer: () => Promise<void>;
 }
@@ -152,7 +152,7 @@
 /** Creates the distribution of one node. */
 export const createSpread = (dependencies: SpreadDependencies): Spread => {
     const { store, clock, backgroundClock = clock, random, logger, options, signal } = dependencies;
-    // Each wait listens to the signal for as long as it lasts, so more than the default of ten listeners is no leak.
+    // Each pending wait adds a listener to the signal, so more than the default limit of ten is not a leak.
     setMaxListeners(0, signal);
     const parts = createSpreadParts(dependencies);
     const { arrivalLog, budget, counters, pullers, pusher, reader, receiver, reportClaim } = parts;
@@ -178,8 +178,9 @@
     };
 
     /**
-     * A zone whose readers are cut off from the platform hears of a version from the readers of the others: in a model
-     * of two zones within 0.4 s each time, and without this at their next check, 2 s apart in the mean.
+     * Sends this node's heads to the other zones if this node is a reader. A zone whose readers have lost the platform
+     * receives new versions this way: within 0.4 s each time in a model of two zones. Without it, such a zone would
+     * receive a version with the next periodic message, and these are sent every 2 s on average.
      */
     const sendHeadsAsReader = (): void => {
         if (reader.isReading()) {
--- a/packages/oleandergap-distribution/src/spreadTransport.ts
+++ b/packages/oleandergap-distribution/src/spreadTransport.ts
@@ -1,4 +1,4 @@
-/** Lets versions share the control port with the membership's datagrams. */
+/** Shares the control port between the datagrams of the distribution and those of the membership. */
 import {
     createMessageTransport,
     type DatagramTransport,
@@ -9,7 +9,7 @@
 import type { Member } from "oleandergap-types";
 import { spreadMessageSchema, type SpreadMessage } from "./spreadMessage.js";
 
-/** First byte of a datagram of the spread. */
+/** First byte of each datagram of the distribution. */
 const SPREAD_MARK = 0xc1;
 
 /** See `ReceiveMessage`. */
@@ -18,15 +18,15 @@
 /** See `MessageTransportStatistics`. */
 export type SpreadTransportStatistics = MessageTransportStatistics;
 
-/** A datagram transport that messages of the spread share with the membership. */
+/** Datagram transport that the messages of the distribution share with the membership. */
 export type SpreadTransport = MessageTransport<SpreadMessage>;
 
-/** The transport to share, and the sender that outgoing messages name. */
+/** Dependencies of the transport; `self` is the sender named in outgoing messages. */
 export interface SpreadTransportDependencies {
     readonly transport: DatagramTransport;
     readonly self: Pick<Member, "id" | "zone">;
 }
 
-/** Wraps a transport. */
+/** Wraps a datagram transport so that it also carries messages of the distribution. */
 export const createSpreadTransport = (dependencies: SpreadTransportDependencies): SpreadTransport =>
     createMessageTransport({ ...dependencies, mark: SPREAD_MARK, schema: spreadMessageSchema });
--- a/packages/oleandergap-distribution/src/statistics.ts
+++ b/packages/oleandergap-distribution/src/statistics.ts
@@ -1,47 +1,47 @@
-/** Counts of the distribution since the start of the process, for metrics and measurements. */
+/** Counters of the distribution since the start of the process, for metrics and measurements. */
 import type { Milliseconds, PartnerName, Sequence } from "oleandergap-types";
 
-/** When a version came into force at this node. */
+/** A version that came into force at this node, and when. */
 export interface AppliedVersion {
     readonly partner: PartnerName;
     readonly sequence: Sequence;
-    /** Wall-clock time. */
+    /** Wall-clock time in milliseconds. */
     readonly appliedAt: Milliseconds;
 }
 
-/** Mutable counts; each module raises its own. */
+/** Mutable counters. Each module increments its own. */
 export interface SpreadCounters {
-    /** Versions put in force from a delta in a datagram. */
+    /** Versions applied from a delta in a datagram. */
     inlineApplied: number;
     /** Deltas in datagrams that the store refused. */
     inlineRefused: number;
     pulls: number;
     pullFailures: number;
-    /** Pulls whose deltas did not fit and that took the whole document. */
+    /** Pulls that fetched the whole document, for example because the deltas did not apply. */
     documentPulls: number;
-    /** Claimed heads that no source could prove. */
+    /** Claims dropped after repeated failed requests to their source. */
     claimsSetAside: number;
-    /** Steps, offers and acknowledgements. */
+    /** Messages sent: deltas, offers and acknowledgements. */
     messagesSent: number;
     headsSent: number;
     repliesSent: number;
     platformReads: number;
     platformFailures: number;
-    /** Platform reads that the budget put off. */
+    /** Platform reads postponed because the read budget was exhausted. */
     readsPutOff: number;
 }
 
-/** The counts, with the present state of the node. */
+/** The counters and the current state of the node. */
 export interface SpreadStatistics extends Readonly<SpreadCounters> {
     readonly ready: boolean;
-    /** Rank of this node among the readers of its availability zone, 0 being the first. */
+    /** Zero-based rank of this node among the candidate readers of its availability zone. */
     readonly rank: number;
     /** Whether this node polls the platform. */
     readonly reading: boolean;
     readonly applied: readonly AppliedVersion[];
 }
 
-/** All counts at zero. */
+/** Creates counters that are all zero. */
 export const createCounters = (): SpreadCounters => ({
     inlineApplied: 0,
     inlineRefused: 0,
--- a/packages/oleandergap-distribution/src/versionFetcher.ts
+++ b/packages/oleandergap-distribution/src/versionFetcher.ts
@@ -1,4 +1,4 @@
-/** Gets a newer version of one partner from one source and offers it to the store, which checks it. */
+/** Fetches a newer version of one partner from one source and offers it to the store, which validates it. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { PartnerDocument, PartnerName } from "oleandergap-types";
@@ -16,31 +16,31 @@
 import type { SpreadCounters } from "./statistics.js";
 import { READS_PER_DOCUMENT, type ReadBudget } from "./readBudget.js";
 
-/** Why a source did not bring the store forward; nothing was applied. */
+/** Reason why a fetch did not bring a newer version into force. Nothing was applied. */
 export type FetchFailure =
     | { readonly kind: "NothingNewer" }
     | { readonly kind: "Refused"; readonly detail: string }
     | { readonly kind: "NoAnswer"; readonly detail: string }
     | { readonly kind: "OverBudget" };
 
-/** What a version fetcher works with. */
+/** Dependencies of a version fetcher. */
 export interface VersionFetcherDependencies {
     readonly store: ConfigurationStorePort;
     readonly peers: Pick<PeerPort, "deltasSince" | "document">;
     readonly source: Pick<ConfigurationSourcePort, "readDeltas" | "readDocument" | "holdsDocuments">;
     readonly budget: ReadBudget;
     readonly arrivalLog: Pick<ArrivalLog, "offerFrom">;
-    /** Learns that a peer holds what it has just delivered. */
+    /** Records that a peer holds the version that it has just delivered. */
     readonly peerHeads: Pick<PeerHeads, "note">;
     readonly counters: SpreadCounters;
 }
 
-/** How long a fetch may take, and who is told while its answer arrives. */
+/** Timeout of a fetch, and the listener for the progress of its response. */
 export interface FetchLimits extends CallLimits {
     readonly onProgress?: ProgressListener;
 }
 
-/** Fetches from one source; a right result means that a newer version came into force. */
+/** Fetches a version from one source. A right result means that a newer version came into force. */
 export type FetchVersion = (
     partner: PartnerName,
     from: ClaimSource,
@@ -55,7 +55,7 @@
 const createRefusedResult = (refusal: { readonly kind: string }): FetchResult =>
     either.left({ kind: "Refused", detail: refusal.kind });
 
-/** Creates the function that fetches; it never rejects. */
+/** Creates the function that fetches versions. The function never rejects. */
 export const createVersionFetcher = (
     { store, peers, source, budget, arrivalLog, peerHeads, counters }: VersionFetcherDependencies,
 ): FetchVersion => {
@@ -86,8 +86,11 @@
         limits: FetchLimits,
     ): Promise<FetchResult> => {
         const { onProgress } = limits;
-        const answer = await callWithTimeout((signal) => peers.document(peer, { partner }, signal, onProgress), limits);
-        return either.isLeft(answer) ? createNoAnswerResult(answer.left) : offerPeerDocument(peer, answer.right);
+        const response = await callWithTimeout(
+            (signal) => peers.document(peer, { partner }, signal, onProgress),
+            limits,
+        );
+        return either.isLeft(response) ? createNoAnswerResult(response.left) : offerPeerDocument(peer, response.right);
     };
 
     const fetchFromPeer = async (
@@ -97,11 +100,11 @@
     ): Promise<FetchResult> => {
         const query = { partner, sequence: getSequence(partner) };
         const { onProgress } = limits;
-        const answer = await callWithTimeout((signal) => peers.deltasSince(peer, query, signal, onProgress), limits);
-        if (either.isLeft(answer)) {
-            return createNoAnswerResult(answer.left);
+        const response = await callWithTimeout((signal) => peers.deltasSince(peer, query, signal, onProgress), limits);
+        if (either.isLeft(response)) {
+            return createNoAnswerResult(response.left);
         }
-        const version = answer.right;
+        const version = response.right;
         if (version.kind === "Document") {
             return offerPeerDocument(peer, version.document);
         }
@@ -123,16 +126,16 @@
     };
 
     const fetchPlatformDocument = async (partner: PartnerName, limits: CallLimits): Promise<FetchResult> => {
-        // Charged for reads that are not made, a node would run out of budget in a quick run of changes, and one would
-        // see it stay at an old version until the run is over.
+        // No read is charged if the source already holds the documents. Otherwise a quick series of changes would
+        // exhaust the budget, and the node would stay at an old version until the end of the series.
         if (source.holdsDocuments !== true && !tryTakeReads(READS_PER_DOCUMENT)) {
             return either.left({ kind: "OverBudget" });
         }
         counters.documentPulls += 1;
-        const answer = await callWithTimeout((signal) => source.readDocument(partner, signal), limits);
-        return either.isLeft(answer) ?
-            createNoAnswerResult(answer.left) :
-            offer(partner, { way: "platform" }, () => store.offerDocument(answer.right));
+        const response = await callWithTimeout((signal) => source.readDocument(partner, signal), limits);
+        return either.isLeft(response) ?
+            createNoAnswerResult(response.left) :
+            offer(partner, { way: "platform" }, () => store.offerDocument(response.right));
     };
 
     const fetchFromPlatform = async (partner: PartnerName, limits: CallLimits): Promise<FetchResult> => {
@@ -143,13 +146,13 @@
             return either.left({ kind: "OverBudget" });
         }
         const after = getSequence(partner);
-        const answer = await callWithTimeout((signal) => source.readDeltas(partner, after, signal), limits);
-        if (either.isLeft(answer)) {
-            return createNoAnswerResult(answer.left);
+        const response = await callWithTimeout((signal) => source.readDeltas(partner, after, signal), limits);
+        if (either.isLeft(response)) {
+            return createNoAnswerResult(response.left);
         }
-        const outcome = answer.right.length === 0 ?
+        const outcome = response.right.length === 0 ?
             either.left<FetchFailure, void>({ kind: "Refused", detail: "no deltas" }) :
-            offer(partner, { way: "platform" }, () => store.offerDeltas(partner, answer.right));
+            offer(partner, { way: "platform" }, () => store.offerDeltas(partner, response.right));
         const isConclusive = either.isRight(outcome) || outcome.left.kind !== "Refused";
         return isConclusive ? outcome : fetchPlatformDocument(partner, limits);
     };
--- a/packages/oleandergap-distribution/src/versionHandover.ts
+++ b/packages/oleandergap-distribution/src/versionHandover.ts
@@ -1,4 +1,4 @@
-/** Sends a version to one of several candidates, in the smallest message that can carry it. */
+/** Sends a version to one of several candidates, in the smallest message that suits the candidate. */
 import type { Head } from "oleandergap-types";
 import { compactDelta, measureCompactDelta, type CompactDelta } from "./compactDelta.js";
 import type { Delegator } from "./delegation.js";
@@ -8,10 +8,10 @@
 import type { ScoreRange } from "./scoreRange.js";
 import type { SpreadMessage } from "./spreadMessage.js";
 
-/** Sends a message without any promise that it arrives. */
+/** Sends a message without a delivery guarantee. */
 export type SendSpreadMessage = SpreadOutlet["send"];
 
-/** What handing over works with. */
+/** Dependencies of the handover sender. */
 export interface HandoverSenderDependencies {
     readonly store: Pick<ConfigurationStorePort, "deltaTo">;
     readonly delegator: Pick<Delegator, "delegate">;
@@ -22,8 +22,9 @@
 }
 
 /**
- * Hands a version over to the first of `candidates` that acknowledges it, for it to pass on to `range`, or, without a
- * range, to its own availability zone. `takeOver` is called when the turn comes to this node itself.
+ * Hands over a version to the first of `candidates` that acknowledges it. That candidate forwards the version to
+ * `range` or, without a range, to its own availability zone. If the next candidate is this node itself, `takeOver` is
+ * called instead.
  */
 export type SendHandover = (
     head: Head,
@@ -32,17 +33,18 @@
     takeOver: () => void,
 ) => void;
 
-/** A version that must be pulled first is acknowledged later. */
+/** Factor on the acknowledgement timeout of an offer, because the receiver must pull the version first. */
 const OFFER_TIMEOUT_FACTOR = 2;
 
 const toAddress = ({ id, zone, address, controlPort }: PeerAddress): PeerAddress =>
     ({ id, zone, address, controlPort });
 
 /**
- * The member that is best asked for a version, if it is another one than this node. A large step that each member pulls
- * from the one before it in the tree travels through narrow links three times over; 0.1 MB to four members takes a
- * second of such a link, and one would see a zone behind for as many seconds as the tree is deep. In a model of 28
- * members the two with wide links carry such a step, and without this twelve members do.
+ * Returns the member with the widest link that holds the version, or undefined if no holder has a wider link than this
+ * node. Without it, each member would pull a large delta from its parent in the forwarding tree, so that the delta
+ * would pass narrow links at up to three levels of the tree. Sending 0.1 MB to four members takes one second on such a
+ * link, and the zone would lag by as many seconds as the tree has levels. In a model of 28 members, the two members
+ * with wide links serve such a delta; without this rule, twelve members do.
  */
 const findHolder = (
     head: Head,
@@ -57,7 +59,7 @@
     return widestHolder === undefined ? undefined : toAddress(widestHolder);
 };
 
-/** Creates the function that hands versions over. */
+/** Creates the function that hands over versions. */
 export const createHandoverSender = (
     dependencies: HandoverSenderDependencies,
 ): SendHandover => {
@@ -76,7 +78,7 @@
         return { kind: "Offer", head, ...rangeField, ...holder === undefined ? {} : { holder } };
     };
 
-    /** The step to `head` if it fits into a datagram. */
+    /** Returns the delta to `head` if it fits into a datagram, otherwise undefined. */
     const findInlineDelta = (head: Head): CompactDelta | undefined => {
         const delta = store.deltaTo(head.partner, head.sequence);
         if (delta === undefined || delta.digest !== head.digest) {
--- a/packages/oleandergap-distribution/src/versionPuller.ts
+++ b/packages/oleandergap-distribution/src/versionPuller.ts
@@ -1,9 +1,9 @@
 /**
- * Brings one partner's version forward from whoever claims to hold a newer one.
+ * Pulls newer versions of one partner from the sources that claim to hold them.
  *
- * A source may be silent, or its answer may trickle over a link that is full. If nobody else were asked meanwhile, a
- * node would stay behind for as long as that lasts, though others hold the version; so another one is asked when no
- * answer has come for a while, and the earlier questions go on.
+ * A source may not respond, or its response may arrive slowly over a saturated link. If the puller waited for that one
+ * source, the node would stay behind for the whole time although other sources hold the version. If no response has
+ * arrived after a delay, the puller therefore sends a request to another source and keeps the earlier requests running.
  */
 import type { Logger } from "oleandergap-logger";
 import type { CancelTimer, Clock, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
@@ -20,16 +20,16 @@
 import type { SpreadCounters } from "./statistics.js";
 import type { FetchFailure, FetchVersion } from "./versionFetcher.js";
 
-/** What a version puller works with. */
+/** Dependencies of a version puller. */
 export interface VersionPullerDependencies {
     readonly partner: PartnerName;
     readonly store: Pick<ConfigurationStorePort, "document" | "isWanted">;
     readonly fetchVersion: FetchVersion;
-    /** Peers to try when those who told a head do not deliver it. */
+    /** Returns the peers to try if the sources that claimed a head do not deliver it. */
     readonly listFallbackPeers: () => readonly PeerAddress[];
     readonly budget: Pick<ReadBudget, "timeToNext">;
     readonly arrivalLog: Pick<ArrivalLog, "noteHeard" | "noteQuestion" | "noteFailedPull">;
-    /** Whether this node hears of new versions from the platform itself at the moment. */
+    /** Returns whether this node currently receives new versions by polling the platform. */
     readonly isFollowingPlatform: () => boolean;
     readonly clock: Clock;
     readonly random: Random;
@@ -39,38 +39,38 @@
     readonly signal: AbortSignal;
 }
 
-/** Follows one partner's versions. */
+/** Keeps one partner's version up to date. */
 export interface VersionPuller {
-    /** Notes that `source` claims to hold a head; pulls it if it is newer than what is in force. */
+    /** Records a claim. Pulls the claimed version if it is newer than the version in force. */
     readonly reportClaim: (claim: Claim) => void;
-    /** The highest sequence that is still believed to exist, never below what is in force. */
+    /** Returns the highest sequence among the current claims, or the sequence in force if that is higher. */
     readonly expectedSequence: () => Sequence;
 }
 
 type PullerState =
     | { readonly kind: "Idle" }
-    /** At least one question is under way; the timer ends the patience with it. */
+    /** At least one request is in flight. When the timer fires, another source is tried. */
     | { readonly kind: "Pulling"; readonly cancel: CancelTimer }
-    /** After a failure; other questions may be under way. */
+    /** Waits after a failure. Other requests may be in flight. */
     | { readonly kind: "BackingOff"; readonly cancel: CancelTimer }
-    /** For the next read of the platform; peers may be asked meanwhile. */
+    /** Waits until the budget allows the next platform read. Peers may be tried in the meantime. */
     | { readonly kind: "OverBudget"; readonly cancel: CancelTimer }
-    /** A peer told a head that this node is about to hear from the platform. */
+    /** A peer claimed a head that this node expects to read from the platform shortly. */
     | { readonly kind: "AwaitingPlatform"; readonly cancel: CancelTimer };
 
-/** Whether the version came into force in another way while its holder was asked. */
+/** Returns whether the claimed version came into force in another way while the request was in flight. */
 const isSuperseded = (
     { store }: Pick<VersionPullerDependencies, "store">,
     { claim }: PullAttempt,
     failure: FetchFailure,
 ): boolean => failure.kind === "NothingNewer" && claim !== undefined && !store.isWanted(claim.head);
 
-/** Longest exponent of the back-off; the bound is reached before it. */
+/** Maximum exponent of the backoff. The backoff reaches its maximum before this exponent. */
 const MAX_BACKOFF_EXPONENT = 16;
 
 /**
- * Creates the puller of one partner. Partners have separate pullers, so that a pull of one that is stuck never delays
- * the other.
+ * Creates the puller of one partner. Each partner has its own puller, so that a pull that hangs never delays the
+ * versions of another partner.
  */
 export const createVersionPuller = (dependencies: VersionPullerDependencies): VersionPuller => {
     const { partner, store, fetchVersion, listFallbackPeers, budget, arrivalLog, isFollowingPlatform } = dependencies;
@@ -89,7 +89,10 @@
         state = { kind: "BackingOff", cancel: startTimer(clock, signal, delay, pullNext) };
     };
 
-    /** Peers that told of the version are asked at once: the next read may be many seconds away. */
+    /**
+     * Schedules the next pull after the read budget was exhausted. If a claiming peer has no request in flight, only
+     * the backoff applies, because the next platform read may be many seconds away.
+     */
     const waitForReadBudget = (): void => {
         const hasUnaskedPeers = registry.claims().some(({ source }) =>
             source.kind === "Peer" && !inFlightPulls.isInFlight(source));
@@ -195,7 +198,7 @@
                 startPulling(isFromPlatform);
             }
             else if (inFlightPulls.cancelUnless(store.isWanted)) {
-                // Answers for what is in force by now would take the places of those for what is newer.
+                // Requests for a version that is now in force would occupy the slots of requests for newer versions.
                 cancelTimer();
                 pullNext();
             }
--- a/packages/oleandergap-distribution/src/versionPusher.ts
+++ b/packages/oleandergap-distribution/src/versionPusher.ts
@@ -1,7 +1,8 @@
 /**
- * Passes on what this node has put in force. Inside an availability zone one member, the first in the version's order,
- * divides the zone among a few members, each of them its part among a few others, and so on, so that every member
- * receives a version about once. Whoever learns of a version in another way brings it to that first member.
+ * Forwards the versions that have come into force at this node. Each version has its own order of the members of an
+ * availability zone. The first member in this order divides the zone among a few members, each of them divides its part
+ * among a few others, and so on. Every member thus receives a version about once. A member that obtains a version in
+ * another way hands it over to that first member.
  */
 import type { Clock, Head, NodeId, PartnerName, Sequence } from "oleandergap-types";
 import { pickOne, pickSeveral, type Random } from "oleandergap-utils";
@@ -14,7 +15,7 @@
 import { createHandoverSender, type SendSpreadMessage } from "./versionHandover.js";
 import { groupByZone } from "./zones.js";
 
-/** What a version pusher works with. */
+/** Dependencies of a version pusher. */
 export interface VersionPusherDependencies {
     readonly store: Pick<ConfigurationStorePort, "heads" | "document" | "deltaTo">;
     readonly fleet: FleetPort;
@@ -27,31 +28,34 @@
     readonly signal: AbortSignal;
 }
 
-/** A version that was handed to this node, and whom to tell when it is in force here. */
+/** A version that was handed over to this node, and the sender that expects an acknowledgement. */
 export interface Handover {
     readonly from: PeerAddress;
     readonly head: Head;
-    /** The members to pass it on to; undefined when it came from another zone. */
+    /** The members to which this node forwards the version; undefined if the sender is in another zone. */
     readonly range: ScoreRange | undefined;
 }
 
-/** Passes versions on to the own availability zone and to the others. */
+/** Forwards versions to the local availability zone and to the other zones. */
 export interface VersionPusher {
-    /** Notes a version that was handed over. It is acknowledged and passed on as soon as it is in force. */
+    /** Accepts a version that was handed over. Acknowledges and forwards it as soon as it is in force. */
     readonly accept: (handover: Handover) => void;
-    /** Notes a peer's acknowledgement. */
+    /** Records a peer's acknowledgement. */
     readonly acknowledge: (from: PeerAddress, version: HeldVersion) => void;
-    /** Passes on a version that has just come into force here. */
+    /** Forwards a version that has just come into force at this node within the local zone. */
     readonly pushToZone: (head: Head) => void;
-    /** Spreads a version that was accepted here to all other zones. */
+    /** Hands over a version that was accepted at this node to all other zones. */
     readonly pushToOtherZones: (head: Head) => void;
-    /** Shows this node's heads to one random contact of another zone. */
+    /** Sends this node's heads to one random contact of another zone. */
     readonly sendHeadsToRandomZone: () => void;
-    /** Shows this node's heads to one contact of each other zone. */
+    /** Sends this node's heads to one random contact of each other zone. */
     readonly sendHeadsToOtherZones: () => void;
 }
 
-/** Handovers that wait for a pull; beyond it the oldest are dropped, and their senders turn to other members. */
+/**
+ * Maximum number of handovers per partner that wait for a pull. If there are more, the oldest are dropped, and their
+ * senders time out and try other members.
+ */
 const MAX_PENDING_HANDOVERS = 16;
 
 const createCountingSend = (outlet: SpreadOutlet, counters: SpreadCounters): SendSpreadMessage => (to, message) => {
@@ -59,7 +63,7 @@
     outlet.send(to, message);
 };
 
-/** The requests to pass on one version that this node has met, by requester and range. */
+/** The requests to forward one version that this node has handled, by requester and range. */
 interface ForwardedVersion {
     readonly sequence: Sequence;
     readonly requests: Set<string>;
@@ -86,7 +90,7 @@
     const send = createCountingSend(outlet, counters);
     const sendHandover = createHandoverSender({ store, delegator, fleet, peerHeads, options, send });
 
-    /** False when the same request has come before, as when its acknowledgement was lost. */
+    /** Records a request. Returns false for a repeated request, such as one whose acknowledgement was lost. */
     const recordForwarding = (head: Head, requester: NodeId, range: ScoreRange): boolean => {
         const before = forwardedVersions.get(head.partner);
         const requests = before?.sequence === head.sequence ? before.requests : new Set<string>();
@@ -99,9 +103,9 @@
     };
 
     /**
-     * Members that hold the version already are left out. They need no copy; and as a member that handed over a range
-     * may stand in it, the range would otherwise come back to that member, which has passed it on and would do
-     * nothing.
+     * Forwards a version to the members of a range that do not hold it yet. The range may include the member that
+     * handed it over. If that member were not excluded, the range could be handed back to it. It would then ignore the
+     * range, because it has already forwarded it.
      */
     const forward = (head: Head, requester: NodeId, range: ScoreRange): void => {
         if (!recordForwarding(head, requester, range)) {
@@ -129,20 +133,20 @@
         send(to, { kind: "Holding", partner, sequence: getSequence(partner) });
     };
 
-    /** Acknowledges and passes on; false when the version came from another zone. */
+    /** Acknowledges and forwards a version. Returns false if the sender is in another zone. */
     const completeHandover = ({ from, head, range }: Handover): boolean => {
         sendAcknowledgement(from, head.partner);
         if (range === undefined) {
             return false;
         }
-        // A lower version needs no passing on: the one in force here has its own spread.
+        // A lower version is not forwarded, because the version in force is forwarded on its own.
         if (getSequence(head.partner) === head.sequence) {
             forward(head, from.id, range);
         }
         return true;
     };
 
-    /** Shows this node's heads to one of `contacts`. */
+    /** Sends this node's heads to one random node of `contacts`. */
     const sendHeadsToOneOf = (contacts: readonly PeerAddress[]): void => {
         const contact = pickOne(random, contacts);
         if (contact !== undefined) {
@@ -151,6 +155,7 @@
         }
     };
 
+    /** Removes and returns the pending handovers up to the version `head`. */
     const takeHandovers = (head: Head): readonly Handover[] => {
         const handovers = pendingHandovers.get(head.partner) ?? [];
         pendingHandovers.set(head.partner, handovers.filter((handover) => handover.head.sequence > head.sequence));
--- a/packages/oleandergap-distribution/src/zones.ts
+++ b/packages/oleandergap-distribution/src/zones.ts
@@ -1,8 +1,8 @@
-/** Nodes by availability zone. */
+/** Groups nodes by availability zone. */
 import type { ZoneName } from "oleandergap-types";
 import type { PeerAddress } from "./ports.js";
 
-/** The nodes of each zone, in their given order. */
+/** Returns the nodes of each zone, in the order in which they were passed. */
 export const groupByZone = (nodes: readonly PeerAddress[]): ReadonlyMap<ZoneName, readonly PeerAddress[]> => {
     const groups = new Map<ZoneName, PeerAddress[]>();
     for (const node of nodes) {
