--- a/packages/oleandergap-distribution/src/__tests__/arrivals.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/arrivals.test.ts
@@ -18,8 +18,8 @@
 
 const createHead = (sequence: number): Head => ({ partner: "halloway", sequence, digest: "00" });
 
-describe("createArrivals", () => {
-    it("says how a version came and how long after the first sign of it", async () => {
+describe("createArrivalLog", () => {
+    it("logs how a version arrived and how long after its first claim", async () => {
         const lines: LogLine[] = [];
         const clock = createManualClock();
         const arrivalLog = createArrivalLog({ clock, logger: createRecordingLogger(lines) });
@@ -38,7 +38,7 @@
         ]);
     });
 
-    it("bounds the lines on failed pulls and counts those left out", async () => {
+    it("limits the log lines about failed pulls and counts the suppressed ones", async () => {
         const lines: LogLine[] = [];
         const clock = createManualClock();
         const arrivalLog = createArrivalLog({ clock, logger: createRecordingLogger(lines) });
--- a/packages/oleandergap-distribution/src/__tests__/boundedCall.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/boundedCall.test.ts
@@ -4,10 +4,9 @@
 import { callWithTimeout } from "../boundedCall.js";
 
 describe("callWithin", () => {
-    it("gives up on a callee that never answers and ignores its signal", async () => {
-        // Symptom: one partner's versions stop arriving at one node.
-        // Sequence: a peer accepts a connection and then stays silent.
-        // Cause: a call without a bound of its own.
+    it("times out if the callee never responds and ignores its signal", async () => {
+        // Guards against a call without its own timeout. A peer accepts a connection and never responds, and the
+        // versions of one partner stop arriving at one node.
         const clock = createManualClock();
         const limits = { clock, timeoutMs: 100, signal: new AbortController().signal };
         const call = callWithTimeout(() => () => new Promise<never>(() => undefined), limits);
@@ -15,7 +14,7 @@
         expect(await call).to.deep.equal(either.left({ kind: "TimedOut" }));
     });
 
-    it("ends with its signal, and hands on results and errors", async () => {
+    it("ends when its signal aborts, and returns results and errors", async () => {
         const clock = createManualClock();
         const controller = new AbortController();
         const limits = { clock, timeoutMs: 100, signal: controller.signal };
--- a/packages/oleandergap-distribution/src/__tests__/delegation.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/delegation.test.ts
@@ -11,7 +11,7 @@
 interface Harness {
     readonly clock: ManualClock;
     readonly delegator: Delegator;
-    /** Candidates that were sent to, in order; `self` stands for taking over. */
+    /** Candidates to which the version was sent, in order; `self` represents a call of `takeOver`. */
     readonly sent: readonly string[];
     readonly abort: () => void;
 }
@@ -37,7 +37,7 @@
 };
 
 describe("createDelegator", () => {
-    it("sends once when the candidate acknowledges", async () => {
+    it("sends once if the candidate acknowledges", async () => {
         const { clock, delegator, sent } = startDelegation(["first", "second"]);
         delegator.acknowledge("first", head);
         await clock.advance(1_000);
@@ -45,7 +45,7 @@
         expect(clock.pendingTimers()).to.equal(0);
     });
 
-    it("turns to the next candidates, takes over when its own turn comes, and ends", async () => {
+    it("tries the next candidates, takes over if it is a candidate itself, and stops after five attempts", async () => {
         const { clock, sent } = startDelegation(["first", "second", "self"]);
         await clock.advance(1_000);
         expect(sent).to.deep.equal(["first", "second", "self"]);
@@ -54,7 +54,7 @@
         expect(alone.sent).to.deep.equal(["only", "only", "only", "only", "only"]);
     });
 
-    it("does not take an acknowledgement of a lower version or of another candidate for this one", async () => {
+    it("ignores acknowledgements of lower versions and from other candidates", async () => {
         const { clock, delegator, sent } = startDelegation(["first", "second"]);
         delegator.acknowledge("first", { ...head, sequence: 3 });
         delegator.acknowledge("second", head);
@@ -62,7 +62,7 @@
         expect(sent).to.deep.equal(["first", "second"]);
     });
 
-    it("stops handing over a version when a higher one is in force", async () => {
+    it("stops delegating a version once a higher one is in force", async () => {
         let inForce = head.sequence;
         const { clock, sent } = startDelegation(["first", "second"], () => inForce);
         inForce = 5;
@@ -70,17 +70,16 @@
         expect(sent).to.deep.equal(["first"]);
     });
 
-    it("sends nothing when its timer was held up for long", async () => {
-        // Symptom: a node that was frozen tells others a version that is long outdated.
-        // Sequence: it freezes while it waits for an acknowledgement, and runs on minutes later.
-        // Cause: a timer that acts on what was true when it was set.
+    it("sends nothing if its timer fires much too late", async () => {
+        // Guards against a node that sends an outdated version. The node freezes while it waits for an acknowledgement,
+        // and its timer fires minutes later.
         const { clock, sent } = startDelegation(["first", "second"]);
         clock.freeze(120_000);
         await clock.advance(1_000);
         expect(sent).to.deep.equal(["first"]);
     });
 
-    it("ends when the signal aborts", async () => {
+    it("stops when the signal aborts", async () => {
         const { clock, sent, abort } = startDelegation(["first", "second"]);
         abort();
         await clock.advance(1_000);
--- a/packages/oleandergap-distribution/src/__tests__/fleetAssertions.ts
+++ b/packages/oleandergap-distribution/src/__tests__/fleetAssertions.ts
@@ -1,4 +1,4 @@
-/** What must hold of a test fleet at any time, and once it had time to converge. */
+/** Assertions that hold for a test fleet at any time, and assertions that hold after it has converged. */
 import { expect } from "chai";
 import type { PartnerName } from "oleandergap-types";
 import { PARTNERS, type FleetNode, type InMemoryFleet } from "./inMemoryFleet.js";
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
@@ -1,4 +1,6 @@
-/** A fleet of nodes in one process, on a manual clock: real distribution code over the small fakes beside this file. */
+/**
+ * A fleet of nodes in one process on a manual clock. It runs the real distribution code with the fakes of this folder.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
@@ -25,23 +27,25 @@
 export interface FleetPlan {
     readonly zones: number;
     readonly nodesPerZone: number;
-    /** Nodes in all, when the zones are not of one size. */
+    /** Total number of nodes, if the zones differ in size. */
     readonly nodes?: number;
     readonly seed: number;
     readonly options?: DistributionOptions;
-    /** Whether probes show heads once a second, as the membership's datagrams do; on by default. */
+    /**
+     * Whether nodes exchange heads in probes about once per second, as in datagrams of the membership; true by default.
+     */
     readonly probes?: boolean;
-    /** Time until the members of a zone drop one that died. */
+    /** Time until the members of a zone remove a dead member. */
     readonly detectionMs?: number;
-    /** Width of each node's link; by default none is known. */
+    /** Returns the link class of a node; by default, no link class is known. */
     readonly getLinkClass?: (index: number) => LinkClass;
-    /** Whether calls for versions are answered at the moment; those for heads always are. By default they are. */
+    /** Returns whether calls for versions currently succeed; true by default. Calls for heads always succeed. */
     readonly canServeVersions?: () => boolean;
-    /** Time for which an answer to a call for a version travels; undefined when the holder stays silent. */
+    /** Returns the transfer time of a response to a call for a version; undefined if the holder does not respond. */
     readonly getResponseDelay?: (requester: NodeId, holder: NodeId, bytes: number) => Milliseconds | undefined;
 }
 
-/** What a restart replaces. */
+/** State of a node that a restart replaces. */
 interface NodeProcess {
     store: RecordingStore;
     spread: Spread;
@@ -52,7 +56,7 @@
     readonly address: PeerAddress;
     isUp: boolean;
     isFrozen: boolean;
-    /** Timers that fell due while the node was frozen. */
+    /** Timers that became due while the node was frozen. */
     readonly overdueTimers: (() => void)[];
     killedAt: number;
     /** Whether the node can reach the platform. */
@@ -70,18 +74,18 @@
     readonly platform: InMemoryPlatform;
     readonly network: InMemoryNetwork;
     readonly nodes: readonly FleetNode[];
-    /** Every message of the spread that was sent. */
+    /** All messages of the distribution that were sent. */
     readonly sent: readonly SentMessage[];
     readonly node: (index: number) => FleetNode;
     readonly zone: (index: number) => readonly FleetNode[];
-    /** Accepts a change at a node, and does there what the daemon does after an acceptance. */
+    /** Accepts a change at a node and announces it there, as the daemon does. */
     readonly acceptAt: (node: FleetNode, partner: PartnerName, changes: CellValues) => Head;
     readonly kill: (node: FleetNode) => void;
-    /** Starts the node's process anew, with nothing but its settings. */
+    /** Restarts the node's process without any stored state. */
     readonly restart: (node: FleetNode) => void;
     readonly freeze: (node: FleetNode) => void;
     readonly unfreeze: (node: FleetNode) => void;
-    /** Nodes that hold the platform's head of a partner. */
+    /** Returns the running nodes that hold the platform's head of a partner. */
     readonly listInformed: (partner: PartnerName) => readonly FleetNode[];
     /** Starts all nodes and waits until they have recovered. */
     readonly startAll: () => Promise<void>;
@@ -90,9 +94,9 @@
 
 const PROBE_INTERVAL_MS = 1_000;
 const CONTACTS_PER_ZONE = 3;
-/** Two heads in a datagram of the membership, as its codec writes them. */
+/** Size of two heads in a datagram of the membership, in the encoding of its codec. */
 const HEADS_DATAGRAM_BYTES = 133;
-/** The sender's name and zone, as `createSpreadTransport` adds them. */
+/** Size of the sender's id and zone, which `createSpreadTransport` adds. */
 const DATAGRAM_SENDER_BYTES = 50;
 
 export const createInMemoryFleet = (plan: FleetPlan): InMemoryFleet => {
@@ -136,7 +140,7 @@
         return node;
     };
 
-    /** The real router of a node, without HTTP. */
+    /** Creates a caller of a node's real router, without HTTP. */
     const createCaller = (to: PeerAddress): ReturnType<typeof peerRouter.createCaller> => {
         const { store, spread } = findNode(to);
         return peerRouter.createCaller({
@@ -149,29 +153,29 @@
         });
     };
 
-    const measureResponse = (answer: unknown): number => packText(JSON.stringify(answer)).length;
+    const measureResponse = (response: unknown): number => packText(JSON.stringify(response)).length;
 
-    const delayResponse = async <Answer>(
-        call: TaskEither<PeerError, Answer>,
+    const delayResponse = async <Result>(
+        call: TaskEither<PeerError, Result>,
         requester: PeerAddress,
         holder: PeerAddress,
-    ): Promise<Either<PeerError, Answer>> => {
-        const answer = await call();
+    ): Promise<Either<PeerError, Result>> => {
+        const result = await call();
         const { getResponseDelay = () => 0 } = plan;
-        const delay = getResponseDelay(requester.id, holder.id, measureResponse(answer));
+        const delay = getResponseDelay(requester.id, holder.id, measureResponse(result));
         if (delay !== 0) {
             await new Promise<void>((resolve) => {
                 clock.after(delay ?? options.peer.timeoutMs, resolve);
             });
         }
-        return delay === undefined ? either.left({ kind: "Unreachable", detail: "silent" }) : answer;
+        return delay === undefined ? either.left({ kind: "Unreachable", detail: "silent" }) : result;
     };
 
-    const serveVersion = <Answer>(
-        call: TaskEither<PeerError, Answer>,
+    const serveVersion = <Result>(
+        call: TaskEither<PeerError, Result>,
         requester: PeerAddress,
         holder: PeerAddress,
-    ): TaskEither<PeerError, Answer> =>
+    ): TaskEither<PeerError, Result> =>
         plan.canServeVersions?.() === false ?
             async () => either.left({ kind: "Unreachable", detail: "overloaded" }) :
             () => delayResponse(call, requester, holder);
@@ -224,7 +228,7 @@
         }
     };
 
-    /** A probe and its answer show both nodes' heads when they differ, as the membership's do. */
+    /** Schedules a probe. The probe and its reply carry the heads of both nodes, as in the membership. */
     const scheduleProbe = (node: FleetNode, signal: AbortSignal): void => {
         clock.after(PROBE_INTERVAL_MS * (0.5 + random()), () => {
             if (signal.aborted) {
@@ -273,7 +277,7 @@
         acceptAt: (node, partner, changes) => {
             const delta = platform.accept(partner, changes);
             const head = platform.head(partner);
-            // Does nothing when the node is behind; the announcement then makes it pull what is missing.
+            // Has no effect if the node is behind. The announcement then makes the node pull the missing versions.
             node.store.offerDeltas(partner, [delta]);
             node.spread.announce(head);
             return head;
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryNetwork.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryNetwork.ts
@@ -1,5 +1,6 @@
 /**
- * A network for tests that carries datagrams and calls between nodes, with loss, duplicates, cuts and counted bytes.
+ * A network for tests that transfers datagrams and calls between nodes. It simulates loss, duplicates and partitions,
+ * and counts bytes.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
@@ -11,35 +12,36 @@
 export interface NetworkFaults {
     readonly lossShare: number;
     readonly duplicateShare: number;
-    /** One-way delay in milliseconds: the least, and what is added at random, which reorders datagrams. */
+    /** Minimum one-way delay in milliseconds. */
     readonly delayMs: number;
+    /** Maximum random addition to the delay in milliseconds, which reorders datagrams. */
     readonly jitterMs: number;
 }
 
 export const healthyNetwork: NetworkFaults = { lossShare: 0, duplicateShare: 0, delayMs: 0.5, jitterMs: 0.5 };
 
-/** Headers of IP and UDP. */
+/** Size of the IP and UDP headers. */
 const DATAGRAM_OVERHEAD_BYTES = 28;
-/** HTTP headers of both ways of a call, as the peer client counts them over loopback. */
+/** Size of the HTTP headers of the request and response of a call, as the peer client counts them over loopback. */
 const CALL_HEADER_BYTES = 223;
-/** Four segments carry a call on an open connection; opening and closing one takes eight more. */
+/** A call on an open connection takes four segments; opening and closing a connection takes eight more. */
 const SEGMENT_BYTES = 40;
 const SEGMENTS_PER_CALL = 4;
 const SEGMENTS_PER_CONNECTION = 8;
-/** The client gives up a peer that is silent for this time. */
+/** Time after which a call to a frozen peer fails. */
 const FROZEN_PEER_TIMEOUT_MS = 1_000;
-/** A connection is kept open for this time after a call. */
+/** Time for which a connection stays open after a call. */
 const IDLE_CONNECTION_MS = 4_000;
 
 export interface InMemoryNetwork {
-    /** Without a size the bytes are another part's and are not counted. */
+    /** Sends a datagram. Pass no size for bytes of another component, which are not counted. */
     readonly sendDatagram: (
         from: PeerAddress,
         to: PeerAddress,
         bytes: number | undefined,
         deliver: () => void,
     ) => void;
-    /** Runs `answer` at the peer, or fails: at once when there is no way to it, after a silence if it is frozen. */
+    /** Runs `answer` at the peer. Fails immediately if the peer is unreachable, and after a timeout if it is frozen. */
     readonly call: <Answer>(
         from: PeerAddress,
         to: PeerAddress,
@@ -47,9 +49,9 @@
         answer: () => Promise<Answer>,
     ) => TaskEither<PeerError, Answer>;
     readonly setFaults: (faults: NetworkFaults) => void;
-    /** Decides which pairs of nodes can reach each other. */
+    /** Sets the predicate of the pairs of nodes that cannot reach each other. */
     readonly setCut: (isCut: (from: PeerAddress, to: PeerAddress) => boolean) => void;
-    /** Bytes sent by each node. */
+    /** Number of bytes sent by each node. */
     readonly bytes: ReadonlyMap<NodeId, number>;
 }
 
@@ -80,7 +82,7 @@
         isUp(from.id) && isUp(to.id) && !isCut(from, to);
 
     const openUntil = new Map<string, number>();
-    /** Half of what a call costs beside its content; each end sends about as much. */
+    /** Returns half of the overhead bytes of a call, because each side sends about half of them. */
     const measureCall = (from: PeerAddress, to: PeerAddress): number => {
         const key = `${from.id}/${to.id}`;
         const isOpen = (openUntil.get(key) ?? 0) > clock.monotonic();
@@ -109,7 +111,7 @@
         call: (from, to, question, answer) => async () => {
             const overhead = measureCall(from, to);
             countBytes(from, measureJson(question) + overhead);
-            // Opening the connection costs a round trip before the question travels.
+            // Opening the connection takes one round trip before the request is sent.
             await wait(3 * drawOneWayDelay());
             if (!isReachable(from, to)) {
                 return either.left({ kind: "Unreachable", detail: "cut" });
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryPlatform.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryPlatform.ts
@@ -1,4 +1,4 @@
-/** A platform for tests: accepts versions, answers reads after a delay, counts them, and can be out. */
+/** A platform for tests. It accepts versions, serves reads after a delay, records them, and can simulate an outage. */
 import * as either from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import type { CellChange, CellValue, Cells, Clock, Delta, Head, PartnerDocument, PartnerName, PlatformError } from "oleandergap-types";
@@ -14,15 +14,15 @@
 };
 
 export interface InMemoryPlatform {
-    /** The source of one node; cut off from the platform while `isReachable` is false. */
+    /** Creates the source of one node. Its reads fail while `isReachable` returns false. */
     readonly createSource: (isReachable: () => boolean) => ConfigurationSourcePort;
-    /** Accepts a version whatever it holds; `digest` makes it one that no node can verify. */
+    /** Accepts a version without validation. Pass a wrong `digest` to create a version that no node can verify. */
     readonly accept: (partner: PartnerName, changes: Readonly<Record<string, CellValue>>, digest?: string) => Delta;
     readonly head: (partner: PartnerName) => Head;
     readonly setOutage: (isUnavailable: boolean) => void;
-    /** Makes sources that bring the documents with the heads and have no deltas. */
+    /** Makes the sources return whole documents with the heads, and no deltas. */
     readonly serveWholeDocuments: () => void;
-    /** Times of all reads that arrived, in milliseconds of the clock. */
+    /** Times of all reads, in milliseconds of the monotonic clock. */
     readonly readTimes: readonly number[];
     readonly document: (partner: PartnerName) => PartnerDocument;
 }
--- a/packages/oleandergap-distribution/src/__tests__/largeSteps.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/largeSteps.test.ts
@@ -1,9 +1,6 @@
-// Symptom: when many routes are added at once, nodes answer by the old version for seconds, the later the deeper they
-// stand in the tree of the spread; small changes reach them at once.
-// Sequence: a version adds hundreds of routes; its step is too large for a datagram, so that each member pulls it from
-// the one that offers it; narrow links carry it to four members each, level by level.
-// Cause: the tree hands on the source of a version along with the news of it, whatever that source's link carries.
-// Evidence: by calculation, 0.1 MB to four members takes 0.9 s of a link of 3.5 Mbit/s, three levels 2.7 s.
+// Guards against a large delta that each member pulls from its parent in the forwarding tree, so that narrow links
+// transfer it level by level and the zone serves the old version for seconds. By calculation, 0.1 MB to four members
+// takes 0.9 s on a link of 3.5 Mbit/s, so three levels take 2.7 s.
 import { expect } from "chai";
 import { defaultDistributionOptions } from "../options.js";
 import { expectInForceEverywhere } from "./fleetAssertions.js";
@@ -31,8 +28,8 @@
     return fleet;
 };
 
-describe("the spread of a large step", () => {
-    it("leaves the way through narrow links to the news of it", async () => {
+describe("the distribution of a large delta", () => {
+    it("transfers the delta over wide links and only small messages over narrow links", async () => {
         const fleet = await startZone();
         const before = new Map(fleet.network.bytes);
         fleet.platform.accept("halloway", createLimits("new", ADDED_LIMITS));
--- a/packages/oleandergap-distribution/src/__tests__/longAnswers.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/longAnswers.test.ts
@@ -1,8 +1,6 @@
-// Symptom: a node that is behind stays behind although its peers hold the version and it asks them again and again.
-// Sequence: the whole version travels over a narrow link that also carries requests; the pull is given up after a
-// second while the answer still arrives; the next peer is asked for all of it once more.
-// Cause: the time limit of a call between nodes counted the whole of a long answer.
-// Evidence: "A pull failed. NoAnswer: TimedOut" after 1,004 ms at nodes whose incoming links were full.
+// Guards against a timeout of one second for a whole response. A pull of a large document over a narrow link that also
+// carries requests was then cancelled while the response was still arriving, and restarted at the next peer, so that
+// the node stayed behind ("A pull failed." with reason "NoAnswer: TimedOut" after 1,004 ms).
 import { createServer, type ServerResponse } from "node:http";
 import { Agent } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
@@ -23,7 +21,7 @@
 const listSockets = (agent: Agent): readonly Socket[] =>
     Object.values(agent.sockets).flatMap((sockets) => (sockets ?? []) as readonly Socket[]);
 
-/** Waits until the client has read `bytes`, and has had a turn of its loop to deal with them. */
+/** Waits until the client has read `bytes` and its event loop has had time to process them. */
 const waitUntilRead = async (agent: Agent, bytes: number): Promise<void> => {
     while (!listSockets(agent).some((socket) => socket.bytesRead >= bytes)) {
         await waitForTick();
@@ -32,7 +30,7 @@
     await waitForTick();
 };
 
-describe("exchangeWithPeer with a long answer", () => {
+describe("exchangeWithPeer with a long response", () => {
     const runExchange = async (
         send: (response: ServerResponse, clock: ManualClock, agent: Agent) => Promise<void>,
         onProgress?: () => void,
@@ -58,7 +56,7 @@
         return outcome;
     };
 
-    it("reads an answer to its end as long as more of it arrives", async () => {
+    it("reads a response to its end as long as more data arrives", async () => {
         const outcome = await runExchange(async (response, clock, agent) => {
             response.writeHead(200, { "content-length": CHUNKS * CHUNK.length });
             for (let chunk = 1; chunk <= CHUNKS; chunk++) {
@@ -71,7 +69,7 @@
         expect(either.isRight(outcome) && outcome.right.text.length).to.equal(CHUNKS * CHUNK.length);
     });
 
-    it("tells that an answer is arriving before it is whole", async () => {
+    it("reports progress before the response is complete", async () => {
         let progress = 0;
         let progressBefore = 0;
         await runExchange(async (response, _clock, agent) => {
@@ -86,7 +84,7 @@
         expect(progressBefore).to.be.greaterThan(0);
     });
 
-    it("gives an answer up that stops in the middle", async () => {
+    it("fails if a response stops in the middle", async () => {
         const outcome = await runExchange(async (response, clock, agent) => {
             response.writeHead(200, { "content-length": CHUNKS * CHUNK.length });
             response.write(CHUNK);
--- a/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
+++ b/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
@@ -1,7 +1,7 @@
 /**
- * Measures the spread on the in-memory fleet, against the naive version in which every node polls the platform. Run it
- * with `node packages/oleandergap-distribution/lib/__tests__/measureSpread.js [nodes...]`; it prints one line of JSON
- * per size and fault. Times are those of the manual clock, so they hold for the delays of the in-memory network only.
+ * Measures the distribution on the in-memory fleet and compares it with naive polling of the platform by every node.
+ * Run it with `node packages/oleandergap-distribution/lib/__tests__/measureSpread.js [nodes...]`. It prints one line of
+ * JSON per fleet size. Times are measured with the manual clock and apply only to the delays of the in-memory network.
  */
 import { MILLISECONDS_PER_SECOND } from "oleandergap-types";
 import { createSeededRandom, pickOne } from "oleandergap-utils";
@@ -23,7 +23,7 @@
     readonly missed: number;
     readonly readsPerSecondAtRest: number;
     readonly readsPerChange: number;
-    /** Of the spread alone: without the membership's datagrams and without the platform's answers. */
+    /** Bytes of the distribution only, without the datagrams of the membership and the responses of the platform. */
     readonly bytesPerNodeAndSecondAtRest: number;
     readonly bytesPerNodeAndChange: number;
 }
@@ -33,7 +33,7 @@
     round(sorted[Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)] ?? Number.NaN);
 const sumBytes = (fleet: InMemoryFleet): number => [...fleet.network.bytes.values()].reduce((sum, one) => sum + one, 0);
 
-/** Makes changes at random nodes and gathers when each store has them. */
+/** Runs `change` repeatedly and measures when each store applies the changes. */
 const measure = async (
     fleet: InMemoryFleet,
     stores: readonly RecordingStore[],
--- a/packages/oleandergap-distribution/src/__tests__/naiveFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/naiveFleet.ts
@@ -1,4 +1,4 @@
-/** The naive version for comparison: every node polls the platform's heads and reads what is newer. */
+/** The naive distribution, for comparison: every node polls the platform's heads and reads newer documents. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, PartnerName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
@@ -14,7 +14,7 @@
     readonly signal: AbortSignal;
 }
 
-/** Starts a node that polls until the signal aborts; gives its store. */
+/** Starts a node that polls until the signal aborts. Returns the store of the node. */
 export const startNaiveNode = (
     { partners, source, clock, random, intervalMs, signal }: NaiveNodeOptions,
 ): RecordingStore => {
--- a/packages/oleandergap-distribution/src/__tests__/nodeClock.ts
+++ b/packages/oleandergap-distribution/src/__tests__/nodeClock.ts
@@ -1,13 +1,13 @@
-/** The clock of one node of a test fleet: it stands still for the node while the node is frozen. */
+/** The clock of one node of a test fleet. Its timers do not fire while the node is frozen. */
 import type { Clock } from "oleandergap-types";
 
 export interface FreezableNode {
     readonly isFrozen: boolean;
-    /** Timers that fell due while the node was frozen. */
+    /** Timers that became due while the node was frozen. */
     readonly overdueTimers: (() => void)[];
 }
 
-/** Timers of a frozen node are put among its overdue ones, to be run when it is thawed. */
+/** Creates the clock of a node. Timers that become due while the node is frozen are queued until it is unfrozen. */
 export const createNodeClock = (clock: Clock, node: () => FreezableNode): Clock => {
     const after: Clock["after"] = (delay, callback) => {
         let isCancelled = false;
--- a/packages/oleandergap-distribution/src/__tests__/peerClient.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/peerClient.test.ts
@@ -67,7 +67,7 @@
         servers.clear();
     });
 
-    it("gets every answer of a peer", async () => {
+    it("returns the response of every procedure of a peer", async () => {
         const peer = await listen(createHandler());
         const client = createClient();
         expect(await client.ping(peer, never)()).to.deep.equal(either.right({
@@ -91,7 +91,7 @@
         expect(targets).to.deep.equal(either.right({ services: [{ kind: "Unchanged" }] }));
     });
 
-    it("adds few bytes to a call", async () => {
+    it("adds at most a few hundred bytes of headers to a call", async () => {
         const peer = await listen(createHandler());
         const client = createClient();
         await client.heads(peer, never)();
@@ -102,7 +102,7 @@
         expect(bytesReceived - before.bytesReceived).to.be.within(1, 420);
     });
 
-    it("compresses a large document and refuses one above its limit", async () => {
+    it("compresses a large document and rejects a document above the size limit", async () => {
         const peer = await listen(createHandler(4_000));
         const client = createClient();
         const document = await client.document(peer, { partner: "halloway" }, never)();
@@ -113,10 +113,9 @@
             .to.deep.equal(either.left({ kind: "TooLarge", limitBytes: 50_000 }));
     });
 
-    it("names what is wrong with an answer and hands nothing on", async () => {
-        // Symptom: a node crashes, hangs or applies garbage after a peer's answer.
-        // Sequence: the answer is no JSON, has a wrong type in it, breaks off, or is another program's.
-        // Cause: trusting what came over a connection because it came.
+    it("returns only an error for an invalid response", async () => {
+        // Guards against a node that crashes, hangs or applies invalid data because it does not validate a response.
+        // The response is not JSON, contains a wrong type, breaks off, or comes from another program.
         const answers: readonly RequestListener[] = [
             (_request, response) => response.end("<html>"),
             (_request, response) => response.end(JSON.stringify({ result: { data: { ready: "yes", heads: [] } } })),
@@ -135,10 +134,9 @@
         expect(kinds).to.deep.equal(["Malformed", "Malformed", "Malformed", "Unreachable", "Unreachable"]);
     });
 
-    it("gives a silent connection up after its timeout and opens a new one", async () => {
-        // Symptom: a node hears nothing from a peer that all others talk to.
-        // Sequence: an open connection goes silent for good, while new ones work.
-        // Cause: keeping a connection on which a call timed out.
+    it("closes an unresponsive connection after the timeout and opens a new one", async () => {
+        // Guards against a connection that is reused after a call on it has timed out. An open connection stops
+        // delivering data permanently, while new connections to the same peer work.
         const clock = createManualClock();
         const handler = createHandler();
         let calls = 0;
@@ -161,7 +159,7 @@
         expect(clock.pendingTimers()).to.equal(0);
     });
 
-    it("ends a call when its signal aborts", async () => {
+    it("cancels a call if its signal aborts", async () => {
         const controller = new AbortController();
         const peer = await listen(() => controller.abort());
         expect(await createClient().heads(peer, controller.signal)()).to.deep.equal(either.left({ kind: "Cancelled" }));
@@ -169,10 +167,9 @@
 });
 
 describe("createPeerRequestHandler", () => {
-    it("answers bad questions with a clear error and goes on serving", async () => {
-        // Symptom: one bad message from a peer ends the process, or later calls fail.
-        // Sequence: wrong types, unknown partners, oversized and broken-off questions, then a good one.
-        // Cause: an error that leaves the handler.
+    it("responds to invalid requests with a clear error and continues to serve", async () => {
+        // Guards against an error that escapes the handler and ends the process or breaks later calls. The peer sends
+        // wrong types, unknown partners, oversized and incomplete requests, and then a valid request.
         const peer = await listen(createHandler());
         const statuses = [];
         for (const [path, body] of [
--- a/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
@@ -23,7 +23,7 @@
 };
 
 describe("createPlatformReader", () => {
-    it("lets two nodes read for a zone of any size", async () => {
+    it("uses two readers for a zone of any size", async () => {
         for (const size of [3, 12, 48]) {
             const fleet = await startZone(size, size);
             expect(fleet.nodes.filter((node) => node.spread.stats().reading)).to.have.lengthOf(2);
@@ -32,11 +32,9 @@
         }
     });
 
-    it("lets the next rank step in when the readers die or lose the platform, one at a time", async () => {
-        // Symptom: a zone hears nothing of the platform although most of its nodes could read it.
-        // Sequence: one reader dies unnoticed and the other is cut off from the platform; a change is accepted
-        // elsewhere.
-        // Cause: a duty that ends only with the death of its holder, or that everybody takes up at once.
+    it("lets one standby at a time take over if the readers die or lose the platform", async () => {
+        // Guards against a zone without a working reader, and against all standbys taking over at once. One reader dies
+        // undetected, the other one loses the platform, and then a change is accepted elsewhere.
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 24, seed: 3, detectionMs: 600_000 });
         await fleet.startAll();
         await fleet.clock.advance(5_000);
@@ -62,7 +60,7 @@
         fleet.stop();
     });
 
-    it("gives the duty back when the readers hear from the platform again", async () => {
+    it("stops polling on a standby when the readers reach the platform again", async () => {
         const fleet = await startZone(12, 5);
         const [first, second, third] = listByRank(fleet);
         [first, second].forEach((node) => {
@@ -78,7 +76,7 @@
         fleet.stop();
     });
 
-    it("lets the standbys step in one after another while the platform is out", async () => {
+    it("lets the standbys take over one after another during a platform outage", async () => {
         const fleet = await startZone(24, 7);
         const standbys = listByRank(fleet).slice(2, 6);
         const countReading = (): number => standbys.filter((node) => node.spread.stats().reading).length;
@@ -91,10 +89,9 @@
         fleet.stop();
     });
 
-    it("returns to a platform that was out without a storm", async () => {
-        // Symptom: the platform falls over again in the second in which it comes back.
-        // Sequence: the platform is out for two minutes and returns.
-        // Cause: all nodes retrying at a fixed distance, or all at once when it answers.
+    it("resumes reads after a platform outage without a burst", async () => {
+        // Guards against a platform that is overloaded again in the first second after an outage of two minutes,
+        // because all nodes retry at a fixed interval or all at once.
         const fleet = createInMemoryFleet({ zones: 4, nodesPerZone: 10, seed: 6 });
         await fleet.startAll();
         fleet.platform.setOutage(true);
--- a/packages/oleandergap-distribution/src/__tests__/questionsGivenUp.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/questionsGivenUp.test.ts
@@ -3,15 +3,15 @@
 import { createInMemoryFleet, type FleetNode, type InMemoryFleet } from "./inMemoryFleet.js";
 import { createLimits } from "./recordingStore.js";
 
-/** Time in which a confirmed version is to be in force at every node that can be reached. */
+/** Time limit for a confirmed version to come into force at every reachable node. */
 const CONVERGENCE_LIMIT_MS = 2_500;
-/** Too many for a datagram, so that members pull the step. */
+/** Too many cells for a datagram, so that members pull the delta. */
 const CHANGED_LIMITS = createLimits("limit", 150);
 const NODES = 12;
-/** Longer than the patience with one question, and far below the time that an answer may take. */
+/** Longer than the delay before another source is tried, and far below the maximum time of a response. */
 const RESPONSE_DELAY_MS = 400;
 
-/** A fleet in which the last node has not heard of the newest version. */
+/** Starts a fleet in which the last node has not received the newest version. */
 const startWithLateNode = async (
     getResponseDelay: (holder: NodeId) => number | undefined,
 ): Promise<{ readonly fleet: InMemoryFleet; readonly late: FleetNode }> => {
@@ -33,9 +33,9 @@
     return { fleet, late };
 };
 
-describe("a question to a member that told of no version", () => {
-    // Guards against giving such a question up each time that another one is asked or has failed.
-    it("goes on until its answer arrives although that takes longer than the patience", async () => {
+describe("a request to a member that claimed no version", () => {
+    // Guards against cancelling such a request whenever another request is sent or fails.
+    it("continues until its response arrives, even after another source has been tried", async () => {
         const { fleet, late } = await startWithLateNode((holder) => holder === "node-1" ? undefined : RESPONSE_DELAY_MS);
         late.spread.receiveHeads(fleet.node(1).address, fleet.node(1).store.heads());
         await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
--- a/packages/oleandergap-distribution/src/__tests__/recordingStore.ts
+++ b/packages/oleandergap-distribution/src/__tests__/recordingStore.ts
@@ -1,17 +1,17 @@
-/** The real store with a record of what it put in force, and documents that it accepts. */
+/** The real store with a record of the versions that it applied, and documents that it accepts. */
 import { computeDigest, createConfigurationStore, type ConfigurationStore } from "oleandergap-configuration";
 import { createLogger } from "oleandergap-logger";
 import type { Cells, Head, PartnerDocument, PartnerName } from "oleandergap-types";
 
-/** The name of a limit that no table holds: a version that refers to it is not closed. */
+/** Name of a limit that exists in no table. A version that refers to it is invalid. */
 export const MISSING_LIMIT = "missing";
-/** A cell that tests change. */
+/** A cell that tests change to create valid versions. */
 export const WEIGHT_CELL = "services/grant-filer/weights/hall-a";
-/** A cell that tests break by {@link MISSING_LIMIT}. */
+/** A cell that tests set to {@link MISSING_LIMIT} to create an invalid version. */
 export const LIMIT_CELL = "services/grant-filer/limit";
 const DELTA_HISTORY = 32;
 
-/** The smallest table with a service. */
+/** The smallest valid table with a service. */
 export const baseCells: Cells = {
     "zones/hall-a/enabled": 1,
     "limits/filing/concurrency": 4,
@@ -22,7 +22,7 @@
     [WEIGHT_CELL]: 1,
 };
 
-/** Cells of `count` limits named after `name`. */
+/** Returns the cells of `count` limits whose names start with `name`. */
 export const createLimits = (name: string, count: number): Cells =>
     Object.fromEntries(Array.from({ length: count }).flatMap((_, number) => [
         [`limits/${name}-${number}/concurrency`, 4],
@@ -37,7 +37,7 @@
 export const toHead = ({ partner, sequence, digest }: Head): Head => ({ partner, sequence, digest });
 
 export interface RecordingStore extends ConfigurationStore {
-    /** Every version put in force, in order. */
+    /** All versions that came into force, in order. */
     readonly applied: readonly Head[];
 }
 
--- a/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
@@ -3,7 +3,7 @@
 import { healthyNetwork } from "./inMemoryNetwork.js";
 import { WEIGHT_CELL } from "./recordingStore.js";
 
-/** A node that is ready is never behind a confirmed version for longer. */
+/** Maximum time for which a ready node may be behind a confirmed version. */
 const MAX_LAG_MS = 2_500;
 
 const startFleet = async (seed: number): Promise<InMemoryFleet> => {
@@ -26,10 +26,9 @@
 const isReady = (node: FleetNode): boolean => node.spread.isReady();
 
 describe("recoverConfiguration", () => {
-    it("is ready only once the node holds what its peers hold", async () => {
-        // Symptom: a restarted node serves from an older table than the one it served from before.
-        // Sequence: a node restarts while the platform is out.
-        // Cause: serving before the peers were asked.
+    it("makes a node ready only after it holds the versions of its peers", async () => {
+        // Guards against a restarted node that serves an older table than before its restart, because it becomes ready
+        // before it has asked its peers. The platform is unavailable during the restart.
         const fleet = await startFleet(1);
         fleet.platform.setOutage(true);
         fleet.network.setFaults({ ...healthyNetwork, delayMs: 20 });
@@ -43,10 +42,9 @@
         fleet.stop();
     });
 
-    it("restarts half the nodes at once without more platform reads than the readers make", async () => {
-        // Symptom: the platform is overloaded when many nodes restart.
-        // Sequence: half of all nodes are killed and start again in the same moment.
-        // Cause: every restarted node reads its tables from the platform.
+    it("recovers half of the nodes after a simultaneous restart with no more platform reads than the readers make", async () => {
+        // Guards against overload of the platform when half of all nodes restart at the same time and each of them
+        // reads its tables from the platform.
         const fleet = await startFleet(2);
         const before = fleet.platform.readTimes.length;
         const half = fleet.nodes.filter((_node, index) => index % 2 === 0);
@@ -58,7 +56,7 @@
         fleet.stop();
     });
 
-    it("recovers a whole zone from another zone while the platform is out", async () => {
+    it("recovers a whole zone from another zone during a platform outage", async () => {
         const fleet = await startFleet(3);
         fleet.platform.setOutage(true);
         restartAll(fleet, fleet.zone(2));
@@ -68,9 +66,8 @@
     });
 
     it("recovers the whole fleet from the platform through its readers, within the budget", async () => {
-        // Symptom: nobody serves after a restart of everything, or the platform breaks down under it.
-        // Sequence: all nodes restart at once; no peer is a source yet.
-        // Cause: peers that wait for each other, or that all read the platform.
+        // Guards against peers that wait for each other after a restart of all nodes, so that no node becomes ready,
+        // and against an overload of the platform because all nodes read it.
         const fleet = await startFleet(4);
         const before = fleet.platform.readTimes.length;
         restartAll(fleet, fleet.nodes);
@@ -85,10 +82,9 @@
         fleet.stop();
     });
 
-    it("stays not ready while nothing answers, and recovers when something does", async () => {
-        // Symptom: an empty table in force after a restart during an outage.
-        // Sequence: all nodes restart while the platform is out for a minute, then it returns.
-        // Cause: taking silence for the answer that there is no version.
+    it("stays not ready while no source responds, and recovers after the platform returns", async () => {
+        // Guards against an empty table in force after a restart of all nodes during a platform outage of one minute,
+        // because a missing response is taken as the response that there is no version.
         const fleet = await startFleet(5);
         fleet.platform.setOutage(true);
         restartAll(fleet, fleet.nodes);
@@ -100,10 +96,9 @@
         fleet.stop();
     });
 
-    it("becomes ready although a dead peer's claim can no longer be proved", async () => {
-        // Symptom: a restarted node never becomes ready.
-        // Sequence: it hears a head from a peer that dies before it hands the version over.
-        // Cause: waiting for the highest claim for ever.
+    it("becomes ready although the claim of a dead peer can no longer be verified", async () => {
+        // Guards against a restarted node that waits forever for the highest claimed version. The peer that claimed the
+        // head dies before it delivers the version.
         const fleet = await startFleet(6);
         const [dying, node] = [fleet.node(4), fleet.node(8)];
         fleet.kill(dying);
@@ -115,7 +110,7 @@
         fleet.stop();
     });
 
-    it("is not ready by a version that was overtaken while it travelled", async () => {
+    it("does not become ready with a version that was superseded during its transfer", async () => {
         let isSlow = false;
         const fleet = createInMemoryFleet({
             zones: 2,
@@ -141,11 +136,10 @@
         fleet.stop();
     });
 
-    it("is not ready without any version when peers hold one that they cannot deliver", async () => {
-        // Symptom: a restarted node answers all requests with 404, and so do others that recover from it.
-        // Sequence: many nodes restart at once; those that run name their heads, but are too busy to deliver versions
-        //   in time; after some failed pulls the claimed heads are set aside.
-        // Cause: a head that was set aside is not waited for any more, also where it leaves the node with nothing.
+    it("does not become ready without any version while peers claim one that they cannot deliver", async () => {
+        // Guards against a restarted node that becomes ready without any version, so that it and the nodes that recover
+        // from it answer all requests with 404. The running nodes report their heads but are too busy to deliver the
+        // versions, and after several failed pulls the claims are ignored.
         let canServe = true;
         const fleet = createInMemoryFleet({ zones: 2, nodesPerZone: 4, seed: 7, canServeVersions: () => canServe });
         await fleet.startAll();
--- a/packages/oleandergap-distribution/src/__tests__/slowDelivery.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/slowDelivery.test.ts
@@ -3,15 +3,15 @@
 import { healthyNetwork } from "./inMemoryNetwork.js";
 import { createLimits } from "./recordingStore.js";
 
-/** Too many for a datagram, so that members pull the step. */
+/** Too many limits for a datagram, so that members pull the delta. */
 const CHANGED_LIMITS = 40;
 
-/** As long as a link may be full of requests. */
+/** Time for which a link may be saturated by requests. */
 const OUTAGE_MS = 1_000;
-/** A node that can reach its peers again has no reason to be later than this. */
+/** Time limit for a node to receive the version after it can reach its peers again. */
 const RECOVERY_LIMIT_MS = 1_500;
 
-/** One zone in which versions cannot be fetched for a while after one came into force at its readers. */
+/** Runs a zone in which versions cannot be fetched for a while after one was accepted at a node. */
 const runOutage = async (seed: number): Promise<InMemoryFleet> => {
     let canServe = true;
     const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 12, seed, canServeVersions: () => canServe });
@@ -25,15 +25,12 @@
 };
 
 /*
- * Symptom: a node answers 404 on a route that was confirmed more than three seconds before.
- * Sequence: the node's link is full of requests; it hears of the version in a datagram, and asks three members for it,
- *   one after the other, which all run out of time; the link is free again, and no newer version comes.
- * Cause: three failures set the head aside for five seconds, whatever the reason, and whoever else holds it.
- * Evidence: the nodes that were late are those with full links; there a pull runs out of time after a second, and three
- *   of them take about as long as the nodes were late by. Here, before the mend, eleven of twelve nodes were behind.
+ * Guards against a head that is ignored for seconds after three pulls timed out, although other members hold the
+ * version. The link of the node is saturated by requests during the pulls. It is free again afterwards, but no newer
+ * version is announced, so the node responds with 404 on a route that was confirmed more than three seconds before.
  */
 describe("a version that could not be fetched for a while", () => {
-    it("is fetched as soon as its holders can be reached again", async () => {
+    it("is fetched shortly after its holders become reachable again", async () => {
         for (const seed of [1, 2, 3]) {
             const fleet = await runOutage(seed);
             const outdatedNodes = fleet.nodes.filter((node) => !fleet.listInformed("halloway").includes(node));
@@ -42,7 +39,7 @@
         }
     });
 
-    it("is fetched from other members although nobody tells of it again", async () => {
+    it("is fetched from other members although no node announces it again", async () => {
         let canServe = true;
         const fleet = createInMemoryFleet({
             zones: 1,
@@ -56,7 +53,7 @@
         fleet.network.setCut((from, to) => [from.id, to.id].includes(late.address.id));
         fleet.acceptAt(fleet.node(0), "halloway", createLimits("limit", CHANGED_LIMITS));
         await fleet.clock.advance(OUTAGE_MS);
-        // Datagrams stay lost, as on a full link; connections open again after the trouble.
+        // Datagrams remain lost, as on a saturated link. Connections work again after the outage.
         fleet.network.setFaults({ ...healthyNetwork, lossShare: 1 });
         fleet.network.setCut(() => false);
         canServe = false;
--- a/packages/oleandergap-distribution/src/__tests__/slowHolders.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/slowHolders.test.ts
@@ -3,14 +3,14 @@
 import { createInMemoryFleet, type FleetNode, type InMemoryFleet } from "./inMemoryFleet.js";
 import { createLimits, WEIGHT_CELL } from "./recordingStore.js";
 
-/** Time in which a confirmed version is to be in force at every node that can be reached. */
+/** Time limit for a confirmed version to come into force at every reachable node. */
 const CONVERGENCE_LIMIT_MS = 2_500;
-/** Too many for a datagram, so that members pull the step. */
+/** Too many cells for a datagram, so that members pull the delta. */
 const CHANGED_LIMITS = createLimits("limit", 150);
 const NODES = 12;
-/** Longer than a datagram travels. */
+/** Longer than the delay of a datagram. */
 const RESPONSE_DELAY_MS = 100;
-/** More than an answer with a small step takes, and less than one with a whole version. */
+/** Larger than a response with a small delta, and smaller than a response with a whole document. */
 const MAX_DELTA_BYTES = 1_000;
 
 const listOutdated = (fleet: InMemoryFleet): readonly NodeId[] => {
@@ -19,7 +19,7 @@
 };
 
 describe("a version that some holders deliver slowly or not at all", () => {
-    it("is in force in time although the first holder's answer trickles", async () => {
+    it("comes into force in time although the response of the first holder is slow", async () => {
         const findFirstReceiver = (): NodeId | undefined => fleet.sent.find(({ message }) => message.kind === "Offer")?.to;
         const fleet: InMemoryFleet = createInMemoryFleet({
             zones: 1,
@@ -34,7 +34,7 @@
         fleet.stop();
     });
 
-    it("is in force in time although those who told of it last stay silent", async () => {
+    it("comes into force in time although the holders that claimed it last do not respond", async () => {
         const silent = ["node-1", "node-2", "node-3"];
         let areHoldersSilent = false;
         const fleet = createInMemoryFleet({
@@ -59,7 +59,7 @@
         fleet.stop();
     });
 
-    it("is in force in time although a member without its step tells of it first", async () => {
+    it("comes into force in time although a member without its delta claims it first", async () => {
         let isSlow = false;
         const fleet = createInMemoryFleet({
             zones: 1,
@@ -88,8 +88,8 @@
         fleet.stop();
     });
 
-    // Guards against a back-off, and a line on a failure, after a question that a datagram has overtaken.
-    it("counts no failure when it has come in a datagram meanwhile", async () => {
+    // Guards against a backoff and a logged failure after a pull whose version arrived in a datagram in the meantime.
+    it("counts no failure if it arrived in a datagram during the pull", async () => {
         const fleet = createInMemoryFleet({
             zones: 1,
             nodesPerZone: NODES,
--- a/packages/oleandergap-distribution/src/__tests__/smallSteps.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/smallSteps.test.ts
@@ -1,23 +1,21 @@
-// Symptom: a change of four routes reaches members with full links up to a second after the others.
-// Sequence: the operator adds and removes a few routes; the step is 31 cells, 1.9 KB of text; each member is told of it
-// in a datagram and fetches it over a connection of its own, beside the requests that fill its link.
-// Cause: what does not fit into a datagram as text is fetched, and a route takes eight cells.
-// Evidence: of 57 members none had such a step from a datagram; the last one had it 0.85 s after it was told of it.
+// Guards against pulls of small deltas that fit into a datagram only after packing. A change of four routes has 31
+// cells, 1.9 KB of text. If members with saturated links must pull it over a connection, they receive it up to a second
+// late: of 57 members, none received it in a datagram, and the last one received it 0.85 s after its offer.
 import { expect } from "chai";
 import { packText, unpackText } from "oleandergap-membership";
 import { expectInForceEverywhere } from "./fleetAssertions.js";
 import { createInMemoryFleet, type InMemoryFleet } from "./inMemoryFleet.js";
 import { createLimits } from "./recordingStore.js";
 
-/** About as many cells as the steps of a run of small changes had. */
+/** About as many cells as a delta of a few added and removed routes. */
 const ADDED_LIMITS = createLimits("lookups", 10);
 
-/** Versions that each node took from datagrams. */
+/** Returns for each node how many versions it applied from datagrams. */
 const countInlineApplied = ({ nodes }: InMemoryFleet): readonly number[] =>
     nodes.map(({ spread }) => spread.stats().inlineApplied);
 
-describe("the spread of a step of a few rows", () => {
-    it("comes in datagrams", async () => {
+describe("the distribution of a delta of a few rows", () => {
+    it("uses datagrams only", async () => {
         const fleet = createInMemoryFleet({ zones: 2, nodesPerZone: 14, seed: 3 });
         await fleet.startAll();
         const before = countInlineApplied(fleet);
@@ -34,7 +32,7 @@
 });
 
 describe("packText", () => {
-    it("brings long and short texts back, and drops what is damaged or unpacks to too much", () => {
+    it("restores long and short texts, and rejects data that is corrupted or too large when unpacked", () => {
         for (const text of ["{}", JSON.stringify(ADDED_LIMITS), JSON.stringify({ name: "ä".repeat(1_000) })]) {
             expect(unpackText(packText(text))).to.equal(text);
         }
--- a/packages/oleandergap-distribution/src/__tests__/spread.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spread.test.ts
@@ -14,7 +14,7 @@
 };
 
 describe("createSpread", () => {
-    it("brings a change in force on all nodes within a moment of its acceptance", async () => {
+    it("applies an accepted change on all nodes within 100 ms", async () => {
         const fleet = await startFleet(1);
         await fleet.clock.advance(5_000);
         const sentBefore = fleet.sent.length;
@@ -26,10 +26,9 @@
         fleet.stop();
     });
 
-    it("answers a peer that shows a lower head, but not each of its datagrams", async () => {
-        // Symptom: a node that missed a push stays behind, or two nodes fill the link between them.
-        // Sequence: a node shows an old head, once or in a burst.
-        // Cause: no answer to lower heads, or one to each.
+    it("replies to a peer that sends a lower head, but not to each of its datagrams", async () => {
+        // Guards against a missing reply to a lower head, which leaves the peer behind, and against a reply to each
+        // datagram of a burst, which saturates the link between the two nodes.
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 6, seed: 11, probes: false });
         await fleet.startAll();
         const [ahead, behind] = [fleet.node(0), fleet.node(1)];
@@ -47,10 +46,9 @@
         fleet.stop();
     });
 
-    it("converges as the naive polling does, from any node, under loss, duplicates and reordering", async () => {
-        // Symptom: a node stays on an old version although all others moved on.
-        // Sequence: datagrams are lost, doubled or overtake each other while both partners change their tables.
-        // Cause: a version that travels by push alone is lost with its datagram.
+    it("converges to the same heads as naive polling, from any node, under loss, duplicates and reordering", async () => {
+        // Guards against a node that stays at an old version because its datagrams were lost, duplicated or reordered
+        // while both partners changed their tables. A version that is only pushed is lost together with its datagram.
         await fastCheck.assert(fastCheck.asyncProperty(
             fastCheck.integer({ min: 0, max: 39 }),
             fastCheck.integer({ min: 0, max: 40 }),
@@ -88,10 +86,9 @@
         ), { numRuns: 8 });
     });
 
-    it("lets both partners' updates cross without either waiting for the other", async () => {
-        // Symptom: Kushiro's change waits for Halloway's.
-        // Sequence: the pull of one partner hangs at a frozen peer; the other partner changes a cell.
-        // Cause: one queue of pulls for both partners.
+    it("applies the update of one partner while a pull of the other partner hangs", async () => {
+        // Guards against a shared queue of pulls for both partners, in which a pull of one partner that hangs at a
+        // frozen peer delays the change of the other partner.
         const fleet = await startFleet(2);
         const [stuck, frozen, announcer] = [fleet.node(0), fleet.node(4), fleet.node(8)];
         fleet.freeze(frozen);
@@ -104,10 +101,9 @@
         fleet.stop();
     });
 
-    it("refuses a bad version whole on every node and takes a later good one", async () => {
-        // Symptom: half of a version is in force, or the fleet is stuck before a version that it refuses.
-        // Sequence: the platform holds a version whose limit does not exist, then one that mends it.
-        // Cause: applying before checking, or treating a refused head as the end of the chain.
+    it("rejects an invalid version completely on every node and applies a later valid one", async () => {
+        // Guards against a partially applied version, and against a fleet that cannot get past a rejected version. The
+        // platform first holds a version that refers to a missing limit, then a version that corrects it.
         const fleet = await startFleet(3);
         fleet.acceptAt(fleet.node(1), "halloway", { [LIMIT_CELL]: MISSING_LIMIT });
         await fleet.clock.advance(10_000);
@@ -120,10 +116,9 @@
         fleet.stop();
     });
 
-    it("applies nothing of a peer that claims versions which it cannot deliver", async () => {
-        // Symptom: a node asks one peer for ever, and later versions do not reach it.
-        // Sequence: a peer keeps claiming heads far ahead of everybody; a true change is accepted meanwhile.
-        // Cause: believing the highest claim whoever tells it.
+    it("applies valid versions although a peer keeps claiming versions that it cannot deliver", async () => {
+        // Guards against a node that sends requests to one peer forever and receives no later versions. A peer keeps
+        // claiming heads that are far too high, while a valid change is accepted elsewhere.
         const fleet = await startFleet(4);
         const [lyingPeer, receiver] = [fleet.node(0), fleet.node(4)];
         const claim = async (sequence: number): Promise<void> => {
@@ -153,10 +148,9 @@
         fleet.stop();
     });
 
-    it("pulls the version when a step in a datagram was damaged", async () => {
-        // Symptom: a node with content that no other node has.
-        // Sequence: a datagram arrives with a changed value under the true digest.
-        // Cause: applying a step without checking the digest of its result.
+    it("pulls the version if the delta in a datagram was corrupted", async () => {
+        // Guards against a node that applies a corrupted delta without checking the digest of the result. The datagram
+        // contains a changed value and the digest of the original value.
         const fleet = await startFleet(5);
         const delta = compactDelta(fleet.platform.accept("halloway", { [WEIGHT_CELL]: 8 }));
         const damaged = { ...delta, changes: [{ cell: WEIGHT_CELL, after: 9 }] };
--- a/packages/oleandergap-distribution/src/__tests__/spreadFailures.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadFailures.test.ts
@@ -13,10 +13,9 @@
 };
 
 describe("createSpread under failures", () => {
-    it("spreads what was accepted before a long outage of the platform", async () => {
-        // Symptom: a change that its operator saw accepted is in force on some nodes only.
-        // Sequence: the platform goes down right after the acceptance and stays down.
-        // Cause: nodes that learn versions from the platform alone.
+    it("distributes a change that was accepted right before a long platform outage", async () => {
+        // Guards against nodes that receive versions only from the platform. The platform fails right after it accepted
+        // a change, and the accepted change would come into force on some nodes only.
         const fleet = await startFleet(6);
         const accepting = fleet.node(2);
         fleet.acceptAt(accepting, "kushiro", { [WEIGHT_CELL]: 2 });
@@ -31,10 +30,10 @@
         fleet.stop();
     });
 
-    it("keeps a zone spreading while it is cut off and lets it catch up when the cut heals", async () => {
-        // Symptom: a zone that was cut off stays behind, or goes back, after the cut heals.
-        // Sequence: a version reaches one node of the zone; the zone loses the platform and all zones; versions go on.
-        // Cause: spread inside a zone that depends on the outside, and no comparison between zones.
+    it("distributes within an isolated zone and lets the zone catch up after the partition", async () => {
+        // Guards against distribution within a zone that depends on other zones or the platform, and against a zone
+        // that stays behind or reverts after a partition because zones do not compare heads. One node of the zone
+        // receives a version, the zone is isolated, and further versions are accepted elsewhere.
         const spread = { ...defaultDistributionOptions.spread, checkIntervalMs: 600_000 };
         const options = { ...defaultDistributionOptions, spread };
         const fleet = createInMemoryFleet({ zones: 4, nodesPerZone: 10, seed: 7, options });
@@ -60,10 +59,9 @@
         fleet.stop();
     });
 
-    it("lets a node that was frozen for minutes catch up without telling or applying anything lower", async () => {
-        // Symptom: a node that comes back pushes an old version over a new one.
-        // Sequence: a node freezes with a push planned, versions go on for minutes, the node runs on.
-        // Cause: a late timer that tells what was true when it was set.
+    it("lets a node that was frozen for minutes catch up without sending or applying lower versions", async () => {
+        // Guards against a delayed timer that sends an outdated version. A node freezes with a pending handover,
+        // further versions are accepted for minutes, and the node resumes.
         const fleet = await startFleet(8);
         const frozen = fleet.node(12);
         fleet.network.setCut((from, to) => from === frozen.address || to === frozen.address);
@@ -85,10 +83,9 @@
         fleet.stop();
     });
 
-    it("reaches nodes behind dead ones within a second", async () => {
-        // Symptom: a quarter of a zone is late by the time that a failure takes to be detected.
-        // Sequence: a node dies unnoticed; a change is accepted; the dead node was to pass it on.
-        // Cause: a tree without any other way.
+    it("reaches nodes below dead nodes of the forwarding tree within a second", async () => {
+        // Guards against a forwarding tree without retries, in which a quarter of a zone is late by the failure
+        // detection time. A node dies undetected, and then a change is accepted that the dead node should forward.
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 40, seed: 9, probes: false, detectionMs: 60_000 });
         await fleet.startAll();
         const dead = [3, 11, 19, 27];
@@ -102,12 +99,10 @@
         fleet.stop();
     });
 
-    it("finds a lost push by comparing with peers when nothing else shows it", async () => {
-        // Symptom: a node keeps an old version until the next change.
-        // Sequence: every datagram to one node is lost, and its probes show no heads.
-        // Cause: no comparison over another transport.
-        // A comparison informs the node that asks, so about log2 of the zone's size rounds of 30 s pass; twice that
-        // is given.
+    it("finds a lost handover by comparison with peers alone", async () => {
+        // Guards against a node that keeps an old version until the next change because all datagrams are lost and
+        // probes carry no heads. A comparison informs only the requesting node, so convergence takes about log2 of the
+        // zone size rounds of 30 s. The test allows twice that.
         for (let seed = 10; seed < 15; seed++) {
             const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 12, seed, probes: false });
             await fleet.startAll();
@@ -119,8 +114,8 @@
         }
     });
 
-    it("asks peers for a version while no read of the platform is left", async () => {
-        // As many reads for each node as a fleet of a few thousand has by default.
+    it("pulls a version from peers while the platform read budget is exhausted", async () => {
+        // Each node has the same read budget as in a fleet of a few thousand nodes with default settings.
         const budget = { ...defaultDistributionOptions.budget, zones: 1, recoveryReadsPerSecond: 1 };
         const options = { ...defaultDistributionOptions, budget };
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 12, seed: 33, options });
@@ -141,10 +136,10 @@
         fleet.stop();
     });
 
-    it("follows a quick run of changes that come as whole documents", async () => {
-        // Symptom: during a run of changes, a node stays at an old version until the run is over.
-        // Sequence: a change every 300 ms; each costs a reader one read of the heads, which brings the document.
-        // Cause: the budget of platform reads is charged for reads of deltas and documents that are never made.
+    it("keeps up with a quick series of changes that arrive as whole documents", async () => {
+        // Guards against a read budget that is charged for reads of deltas and documents that are never made, so that a
+        // node stays at an old version until the end of a series of changes. There is a change every 300 ms, and each
+        // one takes a reader one read of the heads, which also returns the document.
         const budget = { ...defaultDistributionOptions.budget, zones: 1, readerReadsPerSecond: 30 };
         const reader = { ...defaultDistributionOptions.reader, readers: 2, standbys: 4, intervalMs: 100 };
         const options = { ...defaultDistributionOptions, budget, reader };
@@ -163,10 +158,10 @@
         fleet.stop();
     });
 
-    it("spreads versions that come as whole documents by what changed in them", async () => {
-        // Symptom: requests are held up on all nodes of a zone while changes come in quick succession.
-        // Sequence: readers take each version whole from the platform and hand it on; each other node pulls it whole.
-        // Cause: a version that skips numbers had no step, so that peers could only be given all of it.
+    it("distributes versions that arrive as whole documents as deltas", async () => {
+        // Guards against a whole document pulled by every node for each change, which delays requests on all nodes of a
+        // zone during a series of changes. Readers fetch whole documents from the platform, and a version that skips
+        // sequence numbers must still have a delta for the peers.
         const reader = { ...defaultDistributionOptions.reader, readers: 2, standbys: 1, intervalMs: 100 };
         const fleet = createInMemoryFleet({
             zones: 1,
@@ -188,7 +183,8 @@
         }
         await fleet.clock.advance(1_000);
         expectInForceEverywhere(fleet, "halloway");
-        // Twenty jumps over two numbers each, for two readers; the six others are given steps.
+        // The two readers pull a document for each of twenty jumps by two sequence numbers. The six others receive
+        // deltas.
         expect(countDocumentPulls() - before).to.be.at.most(2 * 20 + 10);
         fleet.stop();
     });
--- a/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
@@ -20,7 +20,7 @@
 
 interface Loopback {
     readonly transport: DatagramTransport;
-    /** Hands a datagram to whoever opened the transport. */
+    /** Passes a datagram to the receiver that opened the transport. */
     readonly deliver: ReceiveDatagram;
     readonly sent: readonly Uint8Array[];
 }
@@ -40,7 +40,7 @@
 };
 
 describe("createSpreadTransport", () => {
-    it("carries messages beside the membership's datagrams", async () => {
+    it("transfers messages on the same transport as the datagrams of the membership", async () => {
         const loop = createLoopback();
         const spread = createSpreadTransport({ transport: loop.transport, self: { id: "hall-a-1", zone: "hall-a" } });
         const receivedMessages: SpreadMessage[] = [];
@@ -59,10 +59,9 @@
         expect(passedOn).to.deep.equal([Uint8Array.of(0x98, 1, 2)]);
     });
 
-    it("drops and counts half messages and wrong types", async () => {
-        // Symptom: a node crashes on a datagram, or hands garbage on.
-        // Sequence: a marked datagram arrives cut short, empty, or with a wrong type in it.
-        // Cause: decoding without a check.
+    it("drops and counts truncated messages and messages with wrong types", async () => {
+        // Guards against a node that crashes or passes on invalid data because it decodes a datagram without
+        // validation. A datagram with the mark arrives truncated, empty, or with a wrong type.
         const loop = createLoopback();
         const spread = createSpreadTransport({ transport: loop.transport, self: { id: "hall-a-1", zone: "hall-a" } });
         let receivedCount = 0;
--- a/packages/oleandergap-distribution/src/__tests__/unreadAnswers.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/unreadAnswers.test.ts
@@ -8,9 +8,9 @@
 
 const { timeoutMs } = defaultDistributionOptions.peer;
 
-describe("a node that was behind with its events", () => {
-    // Guards against an own delay that is taken for a peer's silence, and its answer given up unread.
-    it("reads a peer's answer that has arrived before it takes the peer for silent", async () => {
+describe("a node whose event loop was blocked", () => {
+    // Guards against a node that takes its own delay for a peer's and discards the peer's response unread.
+    it("reads a response that has already arrived before it applies the peer timeout", async () => {
         const clock = createManualClock();
         const agent = new Agent();
         let resolveRequested: (response: ServerResponse) => void = () => undefined;
--- a/packages/oleandergap-distribution/src/__tests__/versionPuller.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/versionPuller.test.ts
@@ -12,11 +12,11 @@
 import type { FetchFailure } from "../versionFetcher.js";
 import { createVersionPuller, type VersionPuller, type VersionPullerDependencies } from "../versionPuller.js";
 
-/** Time in which a confirmed version is to be in force at every node that can be reached. */
+/** Time limit for a confirmed version to come into force at every reachable node. */
 const CONVERGENCE_LIMIT_MS = 2_500;
-/** Time after which three sources have been asked. */
+/** Time after which requests to three sources have been sent. */
 const THREE_REQUESTS_MS = 2 * defaultDistributionOptions.pull.answerPatienceMs;
-/** A part of an answer's way over a link. */
+/** Simulation step of a transfer over a link. */
 const TRANSFER_STEP_MS = 10;
 const PARTNER = "halloway";
 
@@ -29,12 +29,12 @@
 interface Harness {
     readonly clock: ManualClock;
     readonly puller: VersionPuller;
-    /** Puts a version in force as a datagram does. */
+    /** Brings a version into force, as a delta in a datagram does. */
     readonly apply: (next: Sequence) => void;
     readonly sequence: () => Sequence;
 }
 
-/** A puller of a node that holds version 1. */
+/** Creates the puller of a node that holds version 1. */
 const startPuller = (
     respond: (source: string, signal: AbortSignal, onProgress?: () => void) => Promise<Outcome>,
     timeToNextMs: Milliseconds = 0,
@@ -69,7 +69,7 @@
     return { clock, puller, apply, sequence: () => sequence };
 };
 
-/** A link of this node that its answers share evenly; one alone takes `wholeMs`. */
+/** Creates a link whose bandwidth is shared equally by all responses. A single response takes `transferMs`. */
 const createSharedLink = (clock: ManualClock, transferMs: Milliseconds) => {
     let activeTransfers = 0;
     return async (signal: AbortSignal, onProgress: () => void = () => undefined): Promise<void> => {
@@ -85,8 +85,8 @@
 const hang = (): Promise<never> => new Promise(() => undefined);
 
 describe("createVersionPuller", () => {
-    // Guards against questions for what is in force already that take the places of those for what is newer.
-    it("asks the holder of a newer version while three questions for an older one hang", async () => {
+    // Guards against requests for a version that is already in force that occupy the slots of requests for newer ones.
+    it("pulls a newer version while three requests for an older one hang", async () => {
         const { clock, puller, apply, sequence } = startPuller((source) =>
             source === "quick" ? Promise.resolve(either.right(3)) : hang());
         ["a", "b", "c"].forEach((id) => puller.reportClaim({ head: createHead(2), source: createPeerSource(id) }));
@@ -97,8 +97,8 @@
         expect(sequence()).to.equal(3);
     });
 
-    // Guards against a wait for the next read of the platform while a peer that told of the version has not been asked.
-    it("asks the peers that it knows of while no read of the platform is left", async () => {
+    // Guards against waiting for the next platform read while a peer that claimed the version has not been tried.
+    it("pulls from peers that claimed the version while the platform read budget is exhausted", async () => {
         const { clock, puller, sequence } = startPuller((source) => {
             if (source === "platform") {
                 return Promise.resolve(either.left({ kind: "OverBudget" }));
@@ -112,8 +112,8 @@
         expect(sequence()).to.equal(2);
     });
 
-    // Guards against answers that hold each other up on this node's own link, of which one alone is in time.
-    it("has a version in time although its own link is narrow", async () => {
+    // Guards against parallel responses that share the narrow link of this node, so that none of them is in time.
+    it("receives a version in time over a narrow link", async () => {
         const clock = createManualClock();
         const receive = createSharedLink(clock, 0.6 * CONVERGENCE_LIMIT_MS);
         const { puller, sequence } = startPuller(async (_source, signal, onProgress) => {
--- a/packages/oleandergap-distribution/src/__tests__/wideReaders.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/wideReaders.test.ts
@@ -1,8 +1,6 @@
-// Symptom: nodes with narrow links are late with each version, and requests that enter there wait for seconds.
-// Sequence: versions travel whole from the platform to the readers of a zone; the hash makes narrow nodes readers; each
-// version fills their links for seconds, and what else they carry waits behind it.
-// Cause: the order of readers did not look at their links. Evidence: in a fleet of 83 nodes, 6 of them with wide links,
-// the eleven nodes that lost the platform for about three seconds all had narrow ones.
+// Guards against readers with narrow links: versions arrive as whole documents and saturate such a link for seconds, so
+// that the versions are late and requests through the node wait. In a fleet of 83 nodes, 6 of them with wide links, all
+// eleven nodes that lost the platform for about three seconds had narrow links.
 import { expect } from "chai";
 import { defaultDistributionOptions } from "../options.js";
 import { countReaders, rankReaders } from "../readerDuty.js";
@@ -29,14 +27,14 @@
     return fleet;
 };
 
-describe("the readers of a zone with links of different widths", () => {
+describe("readers of a zone with links of different widths", () => {
     it("are the members with wide links", async () => {
         const fleet = await startZone([7, 19]);
         expect(listReading(fleet)).to.deep.equal([7, 19]);
         fleet.stop();
     });
 
-    it("are narrow members once no wide one is left", async () => {
+    it("are members with narrow links after the last member with a wide link has died", async () => {
         const fleet = await startZone([7]);
         expect(listReading(fleet)).to.include(7).and.to.have.lengthOf(2);
         fleet.kill(fleet.node(7));
@@ -48,8 +46,9 @@
         fleet.stop();
     });
 
-    it("tell the other zones of a version as soon as they have it", async () => {
-        // The second zone sees no platform. Without a word from the first one's readers it hears at their next check.
+    it("announce a version to the other zones as soon as they hold it", async () => {
+        // The second zone cannot reach the platform. Without the announcement, it receives heads only with the periodic
+        // messages of the readers in the first zone.
         const reader = { ...defaultDistributionOptions.reader, intervalMs: 100 };
         const budget = { ...defaultDistributionOptions.budget, zones: 2, readerReadsPerSecond: 400 };
         const options = { ...defaultDistributionOptions, reader, budget };
@@ -81,12 +80,12 @@
             })),
         });
 
-    it("lets as many read as the settings say where all links are alike or unknown", () => {
+    it("returns the configured number if all links are similar or unknown", () => {
         expect(countReaders(createRanked([3, 3, 2, 3, 3]), 4)).to.equal(4);
         expect(countReaders(createRanked([undefined, undefined, undefined]), 2)).to.equal(2);
     });
 
-    it("lets narrow members read only to make two", () => {
+    it("counts members with narrow links only up to the minimum of two readers", () => {
         expect(countReaders(createRanked([1, 6, 1, 1]), 4)).to.equal(2);
         expect(countReaders(createRanked([1, 6, 6, 6, 1]), 4)).to.equal(3);
         expect(countReaders(createRanked([1, 6, 1, 1]), 1)).to.equal(1);
