--- a/packages/oleandergap-distribution/src/__tests__/inMemoryNetwork.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryNetwork.ts
@@ -41,13 +41,13 @@
         bytes: number | undefined,
         deliver: () => void,
     ) => void;
-    /** Runs `answer` at the peer. Fails immediately if the peer is unreachable, and after a timeout if it is frozen. */
-    readonly call: <Answer>(
+    /** Runs `respond` at the peer. Fails immediately if the peer is unreachable, or after a timeout if it is frozen. */
+    readonly call: <Result>(
         from: PeerAddress,
         to: PeerAddress,
-        question: unknown,
-        answer: () => Promise<Answer>,
-    ) => TaskEither<PeerError, Answer>;
+        request: unknown,
+        respond: () => Promise<Result>,
+    ) => TaskEither<PeerError, Result>;
     readonly setFaults: (faults: NetworkFaults) => void;
     /** Sets the predicate of the pairs of nodes that cannot reach each other. */
     readonly setCut: (isCut: (from: PeerAddress, to: PeerAddress) => boolean) => void;
@@ -108,9 +108,9 @@
                 }
             }
         },
-        call: (from, to, question, answer) => async () => {
+        call: (from, to, request, respond) => async () => {
             const overhead = measureCall(from, to);
-            countBytes(from, measureJson(question) + overhead);
+            countBytes(from, measureJson(request) + overhead);
             // Opening the connection takes one round trip before the request is sent.
             await wait(3 * drawOneWayDelay());
             if (!isReachable(from, to)) {
@@ -120,7 +120,7 @@
                 await wait(FROZEN_PEER_TIMEOUT_MS);
                 return either.left({ kind: "Unreachable", detail: "silent" });
             }
-            const result = await answer();
+            const result = await respond();
             countBytes(to, measureJson(result) + overhead);
             await wait(drawOneWayDelay());
             return isReachable(from, to) ?
--- a/packages/oleandergap-distribution/src/__tests__/largeSteps.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/largeSteps.test.ts
@@ -36,9 +36,9 @@
         await fleet.clock.advance(1_500);
         expectInForceEverywhere(fleet, "halloway");
         const deltaBytes = Buffer.byteLength(JSON.stringify(createLimits("new", ADDED_LIMITS)));
-        const carriers = fleet.nodes.flatMap(({ address }, index) =>
+        const largeSenders = fleet.nodes.flatMap(({ address }, index) =>
             (fleet.network.bytes.get(address.id) ?? 0) - (before.get(address.id) ?? 0) > deltaBytes ? [index] : []);
-        expect(WIDE_NODES).to.include.members(carriers);
+        expect(WIDE_NODES).to.include.members(largeSenders);
         expect(fleet.nodes.every((node) => node.store.deltaTo("halloway", 3) !== undefined)).to.equal(true);
         fleet.stop();
     });
--- a/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
+++ b/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
@@ -47,7 +47,7 @@
             applied.push({ version: `${partner}/${sequence}`, at: clock.monotonic() });
         });
     }
-    const [restReads, restBytes] = [platform.readTimes.length, sumBytes(fleet)];
+    const [idleStartReads, idleStartBytes] = [platform.readTimes.length, sumBytes(fleet)];
     await clock.advance(IDLE_MS);
     const [reads, bytes] = [platform.readTimes.length, sumBytes(fleet)];
     for (let index = 0; index < CHANGES; index++) {
@@ -56,8 +56,8 @@
         acceptedAt.set(`${partner}/${sequence}`, at);
         await clock.advance(CHANGE_INTERVAL_MS);
     }
-    const restFactor = CHANGES * CHANGE_INTERVAL_MS / IDLE_MS;
-    const changeBytes = sumBytes(fleet) - bytes - (bytes - restBytes) * restFactor;
+    const idleFactor = CHANGES * CHANGE_INTERVAL_MS / IDLE_MS;
+    const changeBytes = sumBytes(fleet) - bytes - (bytes - idleStartBytes) * idleFactor;
     const sorted = applied
         .flatMap(({ version, at }) => acceptedAt.has(version) ? [at - (acceptedAt.get(version) ?? at)] : [])
         .sort((left, right) => left - right);
@@ -66,9 +66,10 @@
         p99Ms: percentile(sorted, 0.99),
         maxMs: percentile(sorted, 1),
         missed: stores.length * CHANGES - sorted.length,
-        readsPerSecondAtRest: round((reads - restReads) / (IDLE_MS / MILLISECONDS_PER_SECOND)),
-        readsPerChange: round((platform.readTimes.length - reads - (reads - restReads) * restFactor) / CHANGES),
-        bytesPerNodeAndSecondAtRest: round((bytes - restBytes) / stores.length / (IDLE_MS / MILLISECONDS_PER_SECOND)),
+        readsPerSecondAtRest: round((reads - idleStartReads) / (IDLE_MS / MILLISECONDS_PER_SECOND)),
+        readsPerChange: round((platform.readTimes.length - reads - (reads - idleStartReads) * idleFactor) / CHANGES),
+        bytesPerNodeAndSecondAtRest:
+            round((bytes - idleStartBytes) / stores.length / (IDLE_MS / MILLISECONDS_PER_SECOND)),
         bytesPerNodeAndChange: round(changeBytes / stores.length / CHANGES),
     };
 };
--- a/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
@@ -42,13 +42,13 @@
         fleet.kill(first as FleetNode);
         (second as FleetNode).canReachPlatform = false;
         const standbys = [third, fourth, ...others];
-        let mostReading = 0;
+        let maxReadingStandbys = 0;
         for (let step = 0; step < 40; step++) {
             await fleet.clock.advance(200);
             const reading = standbys.filter((node) => node?.spread.stats().reading);
-            mostReading = Math.max(mostReading, reading.length);
+            maxReadingStandbys = Math.max(maxReadingStandbys, reading.length);
         }
-        expect(mostReading).to.be.within(1, 2);
+        expect(maxReadingStandbys).to.be.within(1, 2);
         for (let step = 0; step < 20; step++) {
             await fleet.clock.advance(200);
             expect(third?.spread.stats().reading).to.equal(true);
--- a/packages/oleandergap-distribution/src/__tests__/questionsGivenUp.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/questionsGivenUp.test.ts
@@ -36,7 +36,8 @@
 describe("a request to a member that claimed no version", () => {
     // Guards against cancelling such a request whenever another request is sent or fails.
     it("continues until its response arrives, even after another source has been tried", async () => {
-        const { fleet, late } = await startWithLateNode((holder) => holder === "node-1" ? undefined : RESPONSE_DELAY_MS);
+        const { fleet, late } = await startWithLateNode((holder) =>
+            holder === "node-1" ? undefined : RESPONSE_DELAY_MS);
         late.spread.receiveHeads(fleet.node(1).address, fleet.node(1).store.heads());
         await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
         expect(fleet.listInformed("halloway")).to.include(late);
--- a/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
@@ -42,7 +42,7 @@
         fleet.stop();
     });
 
-    it("recovers half of the nodes after a simultaneous restart with no more platform reads than the readers make", async () => {
+    it("recovers half of the nodes after a simultaneous restart with the platform reads of the readers only", async () => {
         // Guards against overload of the platform when half of all nodes restart at the same time and each of them
         // reads its tables from the platform.
         const fleet = await startFleet(2);
@@ -100,10 +100,10 @@
         // Guards against a restarted node that waits forever for the highest claimed version. The peer that claimed the
         // head dies before it delivers the version.
         const fleet = await startFleet(6);
-        const [dying, node] = [fleet.node(4), fleet.node(8)];
-        fleet.kill(dying);
+        const [dyingPeer, node] = [fleet.node(4), fleet.node(8)];
+        fleet.kill(dyingPeer);
         restartAll(fleet, [node]);
-        node.spread.receiveHeads(dying.address, [{ partner: "halloway", sequence: 77, digest: "e".repeat(64) }]);
+        node.spread.receiveHeads(dyingPeer.address, [{ partner: "halloway", sequence: 77, digest: "e".repeat(64) }]);
         await fleet.clock.advance(8_000);
         expect(isReady(node)).to.equal(true);
         expect(createHoldsAllCheck(fleet)(node)).to.equal(true);
@@ -138,8 +138,8 @@
 
     it("does not become ready without any version while peers claim one that they cannot deliver", async () => {
         // Guards against a restarted node that becomes ready without any version, so that it and the nodes that recover
-        // from it answer all requests with 404. The running nodes report their heads but are too busy to deliver the
-        // versions, and after several failed pulls the claims are ignored.
+        // from it respond to all requests with 404. The running nodes report their heads but are too busy to deliver
+        // the versions, and after several failed pulls the claims are ignored.
         let canServe = true;
         const fleet = createInMemoryFleet({ zones: 2, nodesPerZone: 4, seed: 7, canServeVersions: () => canServe });
         await fleet.startAll();
--- a/packages/oleandergap-distribution/src/__tests__/slowHolders.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/slowHolders.test.ts
@@ -20,7 +20,8 @@
 
 describe("a version that some holders deliver slowly or not at all", () => {
     it("comes into force in time although the response of the first holder is slow", async () => {
-        const findFirstReceiver = (): NodeId | undefined => fleet.sent.find(({ message }) => message.kind === "Offer")?.to;
+        const findFirstReceiver = (): NodeId | undefined =>
+            fleet.sent.find(({ message }) => message.kind === "Offer")?.to;
         const fleet: InMemoryFleet = createInMemoryFleet({
             zones: 1,
             nodesPerZone: NODES,
--- a/packages/oleandergap-distribution/src/__tests__/spread.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spread.test.ts
@@ -46,7 +46,7 @@
         fleet.stop();
     });
 
-    it("converges to the same heads as naive polling, from any node, under loss, duplicates and reordering", async () => {
+    it("converges to the heads of naive polling from any node under loss, duplicates and reordering", async () => {
         // Guards against a node that stays at an old version because its datagrams were lost, duplicated or reordered
         // while both partners changed their tables. A version that is only pushed is lost together with its datagram.
         await fastCheck.assert(fastCheck.asyncProperty(
@@ -90,14 +90,14 @@
         // Guards against a shared queue of pulls for both partners, in which a pull of one partner that hangs at a
         // frozen peer delays the change of the other partner.
         const fleet = await startFleet(2);
-        const [stuck, frozen, announcer] = [fleet.node(0), fleet.node(4), fleet.node(8)];
+        const [stuckNode, frozen, announcer] = [fleet.node(0), fleet.node(4), fleet.node(8)];
         fleet.freeze(frozen);
-        stuck.spread.receiveHeads(frozen.address, [{ ...fleet.platform.head("halloway"), sequence: 9 }]);
+        stuckNode.spread.receiveHeads(frozen.address, [{ ...fleet.platform.head("halloway"), sequence: 9 }]);
         fleet.platform.accept("kushiro", { [WEIGHT_CELL]: 5 });
         announcer.store.offerDocument(fleet.platform.document("kushiro"));
-        stuck.spread.receiveHeads(announcer.address, announcer.store.heads());
+        stuckNode.spread.receiveHeads(announcer.address, announcer.store.heads());
         await fleet.clock.advance(20);
-        expect(stuck.store.document("kushiro").sequence).to.equal(2);
+        expect(stuckNode.store.document("kushiro").sequence).to.equal(2);
         fleet.stop();
     });
 
--- a/packages/oleandergap-distribution/src/__tests__/spreadFailures.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadFailures.test.ts
@@ -17,8 +17,8 @@
         // Guards against nodes that receive versions only from the platform. The platform fails right after it accepted
         // a change, and the accepted change would come into force on some nodes only.
         const fleet = await startFleet(6);
-        const accepting = fleet.node(2);
-        fleet.acceptAt(accepting, "kushiro", { [WEIGHT_CELL]: 2 });
+        const acceptingNode = fleet.node(2);
+        fleet.acceptAt(acceptingNode, "kushiro", { [WEIGHT_CELL]: 2 });
         await fleet.clock.advance(12);
         fleet.platform.setOutage(true);
         await fleet.clock.advance(2_000);
@@ -63,22 +63,22 @@
         // Guards against a delayed timer that sends an outdated version. A node freezes with a pending handover,
         // further versions are accepted for minutes, and the node resumes.
         const fleet = await startFleet(8);
-        const frozen = fleet.node(12);
-        fleet.network.setCut((from, to) => from === frozen.address || to === frozen.address);
-        fleet.acceptAt(frozen, "halloway", { [WEIGHT_CELL]: 1 });
+        const frozenNode = fleet.node(12);
+        fleet.network.setCut((from, to) => from === frozenNode.address || to === frozenNode.address);
+        fleet.acceptAt(frozenNode, "halloway", { [WEIGHT_CELL]: 1 });
         await fleet.clock.advance(20);
-        fleet.freeze(frozen);
+        fleet.freeze(frozenNode);
         fleet.network.setCut(() => false);
         for (let weight = 2; weight < 12; weight++) {
             fleet.acceptAt(fleet.node(1), "halloway", { [WEIGHT_CELL]: weight });
             await fleet.clock.advance(15_000);
         }
         const before = fleet.sent.length;
-        fleet.unfreeze(frozen);
+        fleet.unfreeze(frozenNode);
         await fleet.clock.advance(5_000);
-        const lower = fleet.sent.slice(before).filter(({ message }) =>
+        const lowerMessages = fleet.sent.slice(before).filter(({ message }) =>
             (message.kind === "Holding" ? message : readHead(message)).sequence < 12);
-        expect(lower).to.deep.equal([]);
+        expect(lowerMessages).to.deep.equal([]);
         expectInForceEverywhere(fleet, "halloway");
         fleet.stop();
     });
@@ -88,11 +88,11 @@
         // detection time. A node dies undetected, and then a change is accepted that the dead node should forward.
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 40, seed: 9, probes: false, detectionMs: 60_000 });
         await fleet.startAll();
-        const dead = [3, 11, 19, 27];
-        dead.forEach((index) => fleet.kill(fleet.node(index)));
+        const deadIndexes = [3, 11, 19, 27];
+        deadIndexes.forEach((index) => fleet.kill(fleet.node(index)));
         for (let weight = 1; weight <= 30; weight++) {
-            const accepting = fleet.nodes.filter((node) => node.isUp)[weight];
-            fleet.acceptAt(accepting as FleetNode, "kushiro", { [WEIGHT_CELL]: weight });
+            const acceptingNode = fleet.nodes.filter((node) => node.isUp)[weight];
+            fleet.acceptAt(acceptingNode as FleetNode, "kushiro", { [WEIGHT_CELL]: weight });
             await fleet.clock.advance(900);
             expectInForceEverywhere(fleet, "kushiro");
         }
@@ -121,13 +121,13 @@
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 12, seed: 33, options });
         await fleet.startAll();
         await fleet.clock.advance(5_000);
-        const ordinary = fleet.nodes.find(({ spread }) => spread.stats().rank >= 6) as FleetNode;
-        const other = fleet.nodes.find((node) => node !== ordinary) as FleetNode;
-        const isOrdinary = (id: string): boolean => id === ordinary.address.id;
-        fleet.network.setCut((from, to) => isOrdinary(from.id) || isOrdinary(to.id));
+        const nonReader = fleet.nodes.find(({ spread }) => spread.stats().rank >= 6) as FleetNode;
+        const other = fleet.nodes.find((node) => node !== nonReader) as FleetNode;
+        const isNonReader = (id: string): boolean => id === nonReader.address.id;
+        fleet.network.setCut((from, to) => isNonReader(from.id) || isNonReader(to.id));
         for (let weight = 2; weight < 12; weight += 2) {
             fleet.acceptAt(other, "halloway", { [WEIGHT_CELL]: weight });
-            fleet.acceptAt(ordinary, "halloway", { [WEIGHT_CELL]: weight + 1 });
+            fleet.acceptAt(nonReader, "halloway", { [WEIGHT_CELL]: weight + 1 });
             await fleet.clock.advance(100);
         }
         fleet.network.setCut(() => false);
--- a/packages/oleandergap-distribution/src/arrivals.ts
+++ b/packages/oleandergap-distribution/src/arrivals.ts
@@ -128,7 +128,13 @@
                 suppressedLines += 1;
                 return;
             }
-            logger.info("A pull failed.", { partner, source, reason, durationMs: Math.round(durationMs), leftOut: suppressedLines });
+            logger.info("A pull failed.", {
+                partner,
+                source,
+                reason,
+                durationMs: Math.round(durationMs),
+                leftOut: suppressedLines,
+            });
             suppressedLines = 0;
         },
     };
--- a/packages/oleandergap-distribution/src/headReceiver.ts
+++ b/packages/oleandergap-distribution/src/headReceiver.ts
@@ -35,7 +35,7 @@
 }
 
 /** Maximum number of peers whose last reply time is stored. If there are more, the oldest entries are removed. */
-const MAX_REMEMBERED_REPLIES = 256;
+const MAX_REPLY_TIMES = 256;
 
 /**
  * Creates the rate limiter of replies to peers that are behind. Without a limit, a peer that cannot apply the newer
@@ -57,7 +57,7 @@
         }
         lastRepliedAt.delete(peer);
         lastRepliedAt.set(peer, clock.monotonic());
-        for (const oldest of [...lastRepliedAt.keys()].slice(0, -MAX_REMEMBERED_REPLIES)) {
+        for (const oldest of [...lastRepliedAt.keys()].slice(0, -MAX_REPLY_TIMES)) {
             lastRepliedAt.delete(oldest);
         }
         return true;
@@ -119,7 +119,10 @@
         reportClaim({ head, source: { kind: "Peer", peer: from } });
     };
 
-    const receiveAcknowledgement = (from: PeerAddress, { partner, sequence }: Pick<Head, "partner" | "sequence">): void => {
+    const receiveAcknowledgement = (
+        from: PeerAddress,
+        { partner, sequence }: Pick<Head, "partner" | "sequence">,
+    ): void => {
         pusher.acknowledge(from, { partner, sequence });
         // The peer is ahead, but an acknowledgement contains no digest. The peer replies to the heads of this node with
         // its own heads.
--- a/packages/oleandergap-distribution/src/peerClient.ts
+++ b/packages/oleandergap-distribution/src/peerClient.ts
@@ -15,10 +15,10 @@
 import { PEER_PATH } from "./peerRequestHandler.js";
 import type { PeerRouter } from "./peerRouter.js";
 import {
-    contactsAnswerSchema,
-    headsAnswerSchema,
-    pingAnswerSchema,
-    versionAnswerSchema,
+    contactsResponseSchema,
+    headsResponseSchema,
+    pingResponseSchema,
+    versionResponseSchema,
 } from "./peerSchemas.js";
 import { exchangeWithPeer, type ExchangeBytes, type ExchangeDependencies } from "./peerTransport.js";
 import type { ProgressListener, PeerAddress, PeerDirectoryPort, PeerPort } from "./ports.js";
@@ -56,7 +56,7 @@
 const MAX_DETAIL_LENGTH = 200;
 
 /** Holds the error of the transport, because the tRPC library reports only its own error type. */
-interface CallErrorHolder {
+interface TransportErrorHolder {
     error: PeerError | undefined;
 }
 
@@ -71,7 +71,7 @@
 };
 
 /** Converts an error of the tRPC library. Returns the error of the transport instead if the transport failed. */
-const toPeerError = (error: unknown, failure: CallErrorHolder): PeerError => {
+const toPeerError = (error: unknown, failure: TransportErrorHolder): PeerError => {
     if (failure.error !== undefined) {
         return failure.error;
     }
@@ -113,7 +113,7 @@
 
     const createCallClient = (
         peer: PeerAddress,
-        failure: CallErrorHolder,
+        failure: TransportErrorHolder,
         onProgress: ProgressListener | undefined,
     ): TRPCClient<PeerRouter> =>
         createTRPCClient<PeerRouter>({
@@ -150,7 +150,7 @@
         signal: AbortSignal,
         onProgress?: ProgressListener,
     ): TaskEither<PeerError, z.output<Schema>> => async () => {
-        const failure: CallErrorHolder = { error: undefined };
+        const failure: TransportErrorHolder = { error: undefined };
         counts.calls += 1;
         let outcome: Either<PeerError, z.output<Schema>>;
         try {
@@ -165,19 +165,19 @@
 
     return {
         ping: (peer, signal) =>
-            call(peer, pingAnswerSchema, (client) => client.ping.query(undefined, { signal }), signal),
+            call(peer, pingResponseSchema, (client) => client.ping.query(undefined, { signal }), signal),
         heads: (peer, signal) =>
-            call(peer, headsAnswerSchema, (client) => client.heads.query(undefined, { signal }), signal),
+            call(peer, headsResponseSchema, (client) => client.heads.query(undefined, { signal }), signal),
         deltasSince: (peer, query, signal, onProgress) => {
             const sendQuery: Query<unknown> = (client) => client.deltasSince.query(query, { signal });
-            return call(peer, versionAnswerSchema, sendQuery, signal, onProgress);
+            return call(peer, versionResponseSchema, sendQuery, signal, onProgress);
         },
         document: (peer, query, signal, onProgress) =>
             call(peer, documentSchema, (client) => client.document.query(query, { signal }), signal, onProgress),
         zoneTargets: (peer, request, signal) =>
             call(peer, zoneTargetsAnswerSchema, (client) => client.zoneTargets.query(request, { signal }), signal),
         contacts: (peer, signal) =>
-            call(peer, contactsAnswerSchema, (client) => client.contacts.query(undefined, { signal }), signal),
+            call(peer, contactsResponseSchema, (client) => client.contacts.query(undefined, { signal }), signal),
         stats: () => ({ ...counts }),
         close: () => agent.destroy(),
     };
--- a/packages/oleandergap-distribution/src/peerRouter.ts
+++ b/packages/oleandergap-distribution/src/peerRouter.ts
@@ -13,11 +13,11 @@
     deltasQuerySchema,
     documentQuerySchema,
     MAX_CONTACTS,
-    MAX_DELTAS_PER_ANSWER,
-    type ContactsAnswer,
-    type HeadsAnswer,
-    type PingAnswer,
-    type VersionAnswer,
+    MAX_DELTAS_PER_RESPONSE,
+    type ContactsResponse,
+    type HeadsResponse,
+    type PingResponse,
+    type VersionResponse,
 } from "./peerSchemas.js";
 import type { ConfigurationStorePort, FleetPort, PeerAddress } from "./ports.js";
 
@@ -34,7 +34,7 @@
 }
 
 /** Number of members of the local availability zone in a response of `contacts`. */
-const OWN_ZONE_CONTACTS = 16;
+const LOCAL_ZONE_CONTACTS = 16;
 
 const toContact = ({ id, zone, address, controlPort }: PeerAddress): PeerAddress => ({
     id,
@@ -43,23 +43,23 @@
     controlPort,
 });
 
-const answerContacts = ({ fleet, random }: PeerRouterDependencies): ContactsAnswer => {
-    const ownZone = pickSeveral(random, fleet.members(), OWN_ZONE_CONTACTS);
-    const otherZones = pickSeveral(random, fleet.contacts(), MAX_CONTACTS - ownZone.length);
-    return { contacts: [...ownZone, ...otherZones].map(toContact) };
+const createContactsResponse = ({ fleet, random }: PeerRouterDependencies): ContactsResponse => {
+    const localZone = pickSeveral(random, fleet.members(), LOCAL_ZONE_CONTACTS);
+    const otherZones = pickSeveral(random, fleet.contacts(), MAX_CONTACTS - localZone.length);
+    return { contacts: [...localZone, ...otherZones].map(toContact) };
 };
 
-const answerDeltas = (
+const createVersionResponse = (
     store: PeerRouterDependencies["store"],
     partner: PartnerName,
     sequence: number,
-): VersionAnswer => {
+): VersionResponse => {
     const deltas = store.deltasSince(partner, sequence);
     const hasNothingNewer = store.document(partner).sequence <= sequence;
     if (hasNothingNewer) {
         return { kind: "Deltas", deltas: [] };
     }
-    return deltas === undefined || deltas.length === 0 || deltas.length > MAX_DELTAS_PER_ANSWER ?
+    return deltas === undefined || deltas.length === 0 || deltas.length > MAX_DELTAS_PER_RESPONSE ?
         { kind: "Document", document: store.document(partner) } :
         { kind: "Deltas", deltas: [...deltas] };
 };
@@ -81,17 +81,17 @@
 
 /** The procedures. The context is the state of the responding node; see `createPeerRequestHandler`. */
 export const peerRouter = builder.router({
-    ping: builder.procedure.query(({ ctx }): PingAnswer => {
+    ping: builder.procedure.query(({ ctx }): PingResponse => {
         const age = ctx.platformAge();
         return { id: ctx.fleet.self().id, ready: ctx.isReady(), ...(age === undefined ? {} : { platformAgeMs: age }) };
     }),
-    heads: builder.procedure.query(({ ctx }): HeadsAnswer => ({
+    heads: builder.procedure.query(({ ctx }): HeadsResponse => ({
         ready: ctx.isReady(),
         heads: [...ctx.store.heads()],
     })),
-    deltasSince: builder.procedure.input(deltasQuerySchema).query(({ ctx, input }): VersionAnswer => {
+    deltasSince: builder.procedure.input(deltasQuerySchema).query(({ ctx, input }): VersionResponse => {
         requirePartner(ctx.store, input.partner);
-        return answerDeltas(ctx.store, input.partner, input.sequence);
+        return createVersionResponse(ctx.store, input.partner, input.sequence);
     }),
     document: builder.procedure.input(documentQuerySchema).query(({ ctx, input }): PartnerDocument => {
         requirePartner(ctx.store, input.partner);
@@ -99,7 +99,7 @@
     }),
     zoneTargets: builder.procedure.input(zoneTargetsRequestSchema).query(({ ctx, input }): ZoneTargetsAnswer =>
         ctx.directory.answerZoneTargets(input)),
-    contacts: builder.procedure.query(({ ctx }): ContactsAnswer => answerContacts(ctx)),
+    contacts: builder.procedure.query(({ ctx }): ContactsResponse => createContactsResponse(ctx)),
 });
 
 /** Type of the router, against which calls of the client are type-checked. */
--- a/packages/oleandergap-distribution/src/platformReader.ts
+++ b/packages/oleandergap-distribution/src/platformReader.ts
@@ -144,7 +144,7 @@
         return Math.max(drawJitter(random, options.intervalMs), backoff);
     };
 
-    const readIfReading = async (signal: AbortSignal): Promise<void> => {
+    const readIfPolling = async (signal: AbortSignal): Promise<void> => {
         if (role.isReading()) {
             await readHeads(signal);
         }
@@ -154,7 +154,7 @@
         start: (signal) => {
             const loop = { clock, logger, signal };
             void runPeriodically({ ...loop, delay: drawRoleUpdateDelay, run: () => role.update(signal) });
-            void runPeriodically({ ...loop, delay: drawReadDelay, run: () => readIfReading(signal) });
+            void runPeriodically({ ...loop, delay: drawReadDelay, run: () => readIfPolling(signal) });
         },
         readHeads,
         platformAge: () => lastContactAt === undefined ? undefined : Math.max(0, clock.monotonic() - lastContactAt),
--- a/packages/oleandergap-distribution/src/ports.ts
+++ b/packages/oleandergap-distribution/src/ports.ts
@@ -15,7 +15,7 @@
 import type { ConfigurationSource } from "oleandergap-configuration";
 import type { ZoneTargetsAnswer, ZoneTargetsRequest } from "oleandergap-membership";
 import type { PeerError } from "./peerError.js";
-import type { ContactsAnswer, HeadsAnswer, PingAnswer, VersionAnswer } from "./peerSchemas.js";
+import type { ContactsResponse, HeadsResponse, PingResponse, VersionResponse } from "./peerSchemas.js";
 import type { SpreadMessage } from "./spreadMessage.js";
 
 /** Identity and network address of a peer. */
@@ -81,14 +81,14 @@
 
 /** Calls to another node. Each call ends when `signal` aborts, and at the latest after the client's own timeout. */
 export interface PeerPort {
-    readonly ping: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, PingAnswer>;
-    readonly heads: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, HeadsAnswer>;
+    readonly ping: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, PingResponse>;
+    readonly heads: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, HeadsResponse>;
     readonly deltasSince: (
         peer: PeerAddress,
         query: DeltasQuery,
         signal: AbortSignal,
         onProgress?: ProgressListener,
-    ) => TaskEither<PeerError, VersionAnswer>;
+    ) => TaskEither<PeerError, VersionResponse>;
     readonly document: (
         peer: PeerAddress,
         query: DocumentQuery,
@@ -104,7 +104,7 @@
         request: ZoneTargetsRequest,
         signal: AbortSignal,
     ) => TaskEither<PeerError, ZoneTargetsAnswer>;
-    readonly contacts: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, ContactsAnswer>;
+    readonly contacts: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, ContactsResponse>;
 }
 
 /** Reads accepted versions from the platform. `ConfigurationSource` documents the cost of each call. */
--- a/packages/oleandergap-distribution/src/readerDuty.ts
+++ b/packages/oleandergap-distribution/src/readerDuty.ts
@@ -35,8 +35,10 @@
  */
 export const countReaders = (ranked: readonly FleetMember[], readers: number): number => {
     const widest = ranked[0] === undefined ? 0 : getLinkClass(ranked[0]);
-    const similarMembers = ranked.filter((member) => getLinkClass(member) >= widest - SIMILAR_CLASS_DISTANCE).length;
-    return Math.min(readers, Math.max(similarMembers, MIN_READERS));
+    const similarMemberCount = ranked
+        .filter((member) => getLinkClass(member) >= widest - SIMILAR_CLASS_DISTANCE)
+        .length;
+    return Math.min(readers, Math.max(similarMemberCount, MIN_READERS));
 };
 
 /** Dependencies of the reader role. */
@@ -86,8 +88,8 @@
 
     const updateRank = (): readonly PeerAddress[] => {
         const ranked = rankReaders(fleet);
-        const ownIndex = ranked.findIndex((member) => member.id === fleet.self().id);
-        rank = ownIndex < 0 ? Number.POSITIVE_INFINITY : ownIndex;
+        const selfIndex = ranked.findIndex((member) => member.id === fleet.self().id);
+        rank = selfIndex < 0 ? Number.POSITIVE_INFINITY : selfIndex;
         readers = countReaders(ranked, options.readers);
         return ranked.slice(0, Math.min(rank, options.readers + options.standbys));
     };
--- a/packages/oleandergap-distribution/src/spread.ts
+++ b/packages/oleandergap-distribution/src/spread.ts
@@ -49,8 +49,9 @@
     readonly start: () => void;
     /** Resolves when this node holds the versions known to the fleet and may serve; see `recoverConfiguration`. */
     readonly recover: () => Promise<RecoveryOutcome>;
-    /** Called after a change was accepted at this node. Brings it in force at this node and spreads it to all zones. */
+    /** Called after a change was accepted at this node. Applies it at this node and spreads it to all zones. */
     readonly announce: (head: Head) => void;
+    /** Returns whether this node has recovered. */
     readonly isReady: () => boolean;
     /** Returns the time since the last known response of the platform, or undefined if there was none. */
     readonly platformAge: () => Milliseconds | undefined;
--- a/packages/oleandergap-distribution/src/spreadMessage.ts
+++ b/packages/oleandergap-distribution/src/spreadMessage.ts
@@ -21,7 +21,8 @@
         holder: contactSchema.optional(),
     }),
     /**
-     * Acknowledges a handover: the sender has this version or a higher one in force and now serves the range.
+     * Acknowledges a handover: the sender has this version or a higher one in force and has taken over forwarding it to
+     * the range.
      */
     z.strictObject({ kind: z.literal("Holding"), ...headSchema.pick({ partner: true, sequence: true }).shape }),
 ]);
--- a/packages/oleandergap-distribution/src/versionHandover.ts
+++ b/packages/oleandergap-distribution/src/versionHandover.ts
@@ -36,15 +36,15 @@
 /** Factor on the acknowledgement timeout of an offer, because the receiver must pull the version first. */
 const OFFER_TIMEOUT_FACTOR = 2;
 
-const toAddress = ({ id, zone, address, controlPort }: PeerAddress): PeerAddress =>
+const toPeerAddress = ({ id, zone, address, controlPort }: PeerAddress): PeerAddress =>
     ({ id, zone, address, controlPort });
 
 /**
  * Returns the member with the widest link that holds the version, or undefined if no holder has a wider link than this
- * node. Without it, each member would pull a large delta from its parent in the forwarding tree, so that the delta
- * would pass narrow links at up to three levels of the tree. Sending 0.1 MB to four members takes one second on such a
- * link, and the zone would lag by as many seconds as the tree has levels. In a model of 28 members, the two members
- * with wide links serve such a delta; without this rule, twelve members do.
+ * node. Without this rule, each member would pull a large delta from its parent in the forwarding tree, so that the
+ * delta would pass narrow links at up to three levels of the tree. Sending 0.1 MB to four members takes one second on
+ * such a link, and the zone would lag by as many seconds as the tree has levels. In a model of 28 members, the two
+ * members with wide links serve such a delta; without the rule, twelve members do.
  */
 const findHolder = (
     head: Head,
@@ -56,7 +56,7 @@
         linkClass > ownLinkClass && peerHeads.holds(id, head));
     const widestHolder = widerHolders.reduce<FleetMember | undefined>((best, member) =>
         best === undefined || (member.linkClass ?? 0) > (best.linkClass ?? 0) ? member : best, undefined);
-    return widestHolder === undefined ? undefined : toAddress(widestHolder);
+    return widestHolder === undefined ? undefined : toPeerAddress(widestHolder);
 };
 
 /** Creates the function that hands over versions. */
--- a/packages/oleandergap-distribution/src/versionPuller.ts
+++ b/packages/oleandergap-distribution/src/versionPuller.ts
@@ -94,10 +94,10 @@
      * the backoff applies, because the next platform read may be many seconds away.
      */
     const waitForReadBudget = (): void => {
-        const hasUnaskedPeers = registry.claims().some(({ source }) =>
+        const hasUntriedPeers = registry.claims().some(({ source }) =>
             source.kind === "Peer" && !inFlightPulls.isInFlight(source));
         const backoff = drawBackoff(random, 0, options.backoffBaseMs, options.backoffMaximumMs);
-        const delay = hasUnaskedPeers ? backoff : budget.timeToNext() + backoff;
+        const delay = hasUntriedPeers ? backoff : budget.timeToNext() + backoff;
         state = { kind: "OverBudget", cancel: startTimer(clock, signal, delay, pullNext) };
     };
 
--- a/packages/oleandergap-distribution/src/versionPusher.ts
+++ b/packages/oleandergap-distribution/src/versionPusher.ts
@@ -118,6 +118,10 @@
         }
     };
 
+    /**
+     * Starts the forwarding of a version in the local zone. The first member in the order of the version forwards it to
+     * the whole zone. If that is another member, the version is handed over to it.
+     */
     const startZoneSpread = (head: Head): void => {
         const ordered = orderMembers(head, fleet.members());
         const first = ordered[0];
