--- a/packages/oleandergap-distribution/src/__tests__/inMemoryPlatform.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryPlatform.ts
@@ -1,4 +1,4 @@
-/** A platform for tests: accepts versions, answers reads after a delay, counts them, and can be out. */
+/** A platform for tests. It accepts versions, serves reads after a delay, records them, and can simulate an outage. */
 import * as either from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import type { CellChange, CellValue, Cells, Clock, Delta, Head, PartnerDocument, PartnerName, PlatformError } from "oleandergap-types";
@@ -14,15 +14,15 @@
 };
 
 export interface InMemoryPlatform {
-    /** The source of one node; cut off from the platform while `isReachable` is false. */
+    /** Creates the source of one node. Its reads fail while `isReachable` returns false. */
     readonly createSource: (isReachable: () => boolean) => ConfigurationSourcePort;
-    /** Accepts a version whatever it holds; `digest` makes it one that no node can verify. */
+    /** Accepts a version without validation. Pass a wrong `digest` to create a version that no node can verify. */
     readonly accept: (partner: PartnerName, changes: Readonly<Record<string, CellValue>>, digest?: string) => Delta;
     readonly head: (partner: PartnerName) => Head;
-    readonly setOutage: (isOut: boolean) => void;
-    /** Makes sources that bring the documents with the heads and have no deltas. */
-    readonly holdDocuments: () => void;
-    /** Times of all reads that arrived, in milliseconds of the clock. */
+    readonly setOutage: (isUnavailable: boolean) => void;
+    /** Makes the sources return whole documents with the heads, and no deltas. */
+    readonly serveWholeDocuments: () => void;
+    /** Times of all reads, in milliseconds of the monotonic clock. */
     readonly readTimes: readonly number[];
     readonly document: (partner: PartnerName) => PartnerDocument;
 }
@@ -31,7 +31,7 @@
     const documents = new Map(partners.map((partner) => [partner, createTestDocument(partner, 1, baseCells)]));
     const deltas = new Map<PartnerName, readonly Delta[]>();
     const readTimes: number[] = [];
-    let isOut = false;
+    let isUnavailable = false;
     let holdsDocuments = false;
 
     const documentOf = (partner: PartnerName): PartnerDocument =>
@@ -43,7 +43,7 @@
     ): TaskEither<PlatformError, Result> => async () => {
         readTimes.push(clock.monotonic());
         await new Promise<void>((resolve) => clock.after(READ_DELAY_MS, resolve));
-        return isOut || !isReachable() ?
+        return isUnavailable || !isReachable() ?
             either.left({ kind: "Unavailable", detail: "outage" }) :
             either.right(answer());
     };
@@ -52,11 +52,11 @@
         readTimes,
         head: (partner) => toHead(documentOf(partner)),
         document: documentOf,
-        holdDocuments: () => {
+        serveWholeDocuments: () => {
             holdsDocuments = true;
         },
         setOutage: (value) => {
-            isOut = value;
+            isUnavailable = value;
         },
         accept: (partner, changes, forcedDigest) => {
             const base = documentOf(partner);
--- a/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
@@ -3,8 +3,8 @@
 import { healthyNetwork } from "./inMemoryNetwork.js";
 import { WEIGHT_CELL } from "./recordingStore.js";
 
-/** A node that is ready is never behind a confirmed version for longer. */
-const LONGEST_BEHIND_MS = 2_500;
+/** Maximum time for which a ready node may be behind a confirmed version. */
+const MAX_LAG_MS = 2_500;
 
 const startFleet = async (seed: number): Promise<InMemoryFleet> => {
     const fleet = createInMemoryFleet({ zones: 4, nodesPerZone: 10, seed });
@@ -20,16 +20,15 @@
     nodes.forEach(fleet.restart);
 };
 
-const holdsAll = (fleet: InMemoryFleet) => (node: FleetNode): boolean =>
-    fleet.informed("kushiro").includes(node) && fleet.informed("halloway").includes(node);
+const createHoldsAllCheck = (fleet: InMemoryFleet) => (node: FleetNode): boolean =>
+    fleet.listInformed("kushiro").includes(node) && fleet.listInformed("halloway").includes(node);
 
 const isReady = (node: FleetNode): boolean => node.spread.isReady();
 
 describe("recoverConfiguration", () => {
-    it("is ready only once the node holds what its peers hold", async () => {
-        // Symptom: a restarted node serves from an older table than the one it served from before.
-        // Sequence: a node restarts while the platform is out.
-        // Cause: serving before the peers were asked.
+    it("makes a node ready only after it holds the versions of its peers", async () => {
+        // Guards against a restarted node that serves an older table than before its restart, because it becomes ready
+        // before it has asked its peers. The platform is unavailable during the restart.
         const fleet = await startFleet(1);
         fleet.platform.setOutage(true);
         fleet.network.setFaults({ ...healthyNetwork, delayMs: 20 });
@@ -39,43 +38,41 @@
             await fleet.clock.advance(1);
         }
         expect(isReady(node)).to.equal(true);
-        expect(holdsAll(fleet)(node)).to.equal(true);
+        expect(createHoldsAllCheck(fleet)(node)).to.equal(true);
         fleet.stop();
     });
 
-    it("restarts half the nodes at once without more platform reads than the readers make", async () => {
-        // Symptom: the platform is overloaded when many nodes restart.
-        // Sequence: half of all nodes are killed and start again in the same moment.
-        // Cause: every restarted node reads its tables from the platform.
+    it("recovers half of the nodes after a simultaneous restart with the platform reads of the readers only", async () => {
+        // Guards against overload of the platform when half of all nodes restart at the same time and each of them
+        // reads its tables from the platform.
         const fleet = await startFleet(2);
         const before = fleet.platform.readTimes.length;
         const half = fleet.nodes.filter((_node, index) => index % 2 === 0);
         restartAll(fleet, half);
         await fleet.clock.advance(3_000);
         expect(half.filter(isReady)).to.have.lengthOf(20);
-        expect(half.filter(holdsAll(fleet))).to.have.lengthOf(20);
+        expect(half.filter(createHoldsAllCheck(fleet))).to.have.lengthOf(20);
         expect((fleet.platform.readTimes.length - before) / 3).to.be.lessThan(24);
         fleet.stop();
     });
 
-    it("recovers a whole zone from another zone while the platform is out", async () => {
+    it("recovers a whole zone from another zone during a platform outage", async () => {
         const fleet = await startFleet(3);
         fleet.platform.setOutage(true);
         restartAll(fleet, fleet.zone(2));
         await fleet.clock.advance(3_000);
-        expect(fleet.zone(2).filter(isReady).filter(holdsAll(fleet))).to.have.lengthOf(10);
+        expect(fleet.zone(2).filter(isReady).filter(createHoldsAllCheck(fleet))).to.have.lengthOf(10);
         fleet.stop();
     });
 
     it("recovers the whole fleet from the platform through its readers, within the budget", async () => {
-        // Symptom: nobody serves after a restart of everything, or the platform breaks down under it.
-        // Sequence: all nodes restart at once; no peer is a source yet.
-        // Cause: peers that wait for each other, or that all read the platform.
+        // Guards against peers that wait for each other after a restart of all nodes, so that no node becomes ready,
+        // and against an overload of the platform because all nodes read it.
         const fleet = await startFleet(4);
         const before = fleet.platform.readTimes.length;
         restartAll(fleet, fleet.nodes);
         await fleet.clock.advance(10_000);
-        expect(fleet.nodes.filter(isReady).filter(holdsAll(fleet))).to.have.lengthOf(40);
+        expect(fleet.nodes.filter(isReady).filter(createHoldsAllCheck(fleet))).to.have.lengthOf(40);
         expect((fleet.platform.readTimes.length - before) / 10).to.be.lessThan(30);
         const readsOfOthers = fleet.nodes
             .map((node) => node.spread.stats())
@@ -85,10 +82,9 @@
         fleet.stop();
     });
 
-    it("stays not ready while nothing answers, and recovers when something does", async () => {
-        // Symptom: an empty table in force after a restart during an outage.
-        // Sequence: all nodes restart while the platform is out for a minute, then it returns.
-        // Cause: taking silence for the answer that there is no version.
+    it("stays not ready while no source responds, and recovers after the platform returns", async () => {
+        // Guards against an empty table in force after a restart of all nodes during a platform outage of one minute,
+        // because a missing response is taken as the response that there is no version.
         const fleet = await startFleet(5);
         fleet.platform.setOutage(true);
         restartAll(fleet, fleet.nodes);
@@ -96,32 +92,31 @@
         expect(fleet.nodes.filter(isReady)).to.have.lengthOf(0);
         fleet.platform.setOutage(false);
         await fleet.clock.advance(20_000);
-        expect(fleet.nodes.filter(isReady).filter(holdsAll(fleet))).to.have.lengthOf(40);
+        expect(fleet.nodes.filter(isReady).filter(createHoldsAllCheck(fleet))).to.have.lengthOf(40);
         fleet.stop();
     });
 
-    it("becomes ready although a dead peer's claim can no longer be proved", async () => {
-        // Symptom: a restarted node never becomes ready.
-        // Sequence: it hears a head from a peer that dies before it hands the version over.
-        // Cause: waiting for the highest claim for ever.
+    it("becomes ready although the claim of a dead peer can no longer be verified", async () => {
+        // Guards against a restarted node that waits forever for the highest claimed version. The peer that claimed the
+        // head dies before it delivers the version.
         const fleet = await startFleet(6);
-        const [dying, node] = [fleet.node(4), fleet.node(8)];
-        fleet.kill(dying);
+        const [dyingPeer, node] = [fleet.node(4), fleet.node(8)];
+        fleet.kill(dyingPeer);
         restartAll(fleet, [node]);
-        node.spread.receiveHeads(dying.address, [{ partner: "halloway", sequence: 77, digest: "e".repeat(64) }]);
+        node.spread.receiveHeads(dyingPeer.address, [{ partner: "halloway", sequence: 77, digest: "e".repeat(64) }]);
         await fleet.clock.advance(8_000);
         expect(isReady(node)).to.equal(true);
-        expect(holdsAll(fleet)(node)).to.equal(true);
+        expect(createHoldsAllCheck(fleet)(node)).to.equal(true);
         fleet.stop();
     });
 
-    it("is not ready by a version that was overtaken while it travelled", async () => {
+    it("does not become ready with a version that was superseded during its transfer", async () => {
         let isSlow = false;
         const fleet = createInMemoryFleet({
             zones: 2,
             nodesPerZone: 6,
             seed: 8,
-            answerTimeOf: (asker) => isSlow && asker === "node-4" ? LONGEST_BEHIND_MS + 500 : 0,
+            getResponseDelay: (requester) => isSlow && requester === "node-4" ? MAX_LAG_MS + 500 : 0,
         });
         await fleet.startAll();
         fleet.acceptAt(fleet.node(0), "halloway", { [WEIGHT_CELL]: 1 });
@@ -131,36 +126,35 @@
         restartAll(fleet, [node]);
         await fleet.clock.advance(300);
         const { sequence } = fleet.acceptAt(fleet.node(0), "halloway", { [WEIGHT_CELL]: 2 });
-        await fleet.clock.advance(LONGEST_BEHIND_MS);
+        await fleet.clock.advance(MAX_LAG_MS);
         for (let waited = 0; waited < 10_000; waited += 50) {
             expect(isReady(node) && node.store.document("halloway").sequence < sequence).to.equal(false);
             await fleet.clock.advance(50);
         }
         expect(isReady(node)).to.equal(true);
-        expect(holdsAll(fleet)(node)).to.equal(true);
+        expect(createHoldsAllCheck(fleet)(node)).to.equal(true);
         fleet.stop();
     });
 
-    it("is not ready without any version when peers hold one that they cannot deliver", async () => {
-        // Symptom: a restarted node answers all requests with 404, and so do others that recover from it.
-        // Sequence: many nodes restart at once; those that run name their heads, but are too busy to deliver versions
-        //   in time; after some failed pulls the claimed heads are set aside.
-        // Cause: a head that was set aside is not waited for any more, also where it leaves the node with nothing.
-        let delivers = true;
-        const fleet = createInMemoryFleet({ zones: 2, nodesPerZone: 4, seed: 7, deliversVersions: () => delivers });
+    it("does not become ready without any version while peers claim one that they cannot deliver", async () => {
+        // Guards against a restarted node that becomes ready without any version, so that it and the nodes that recover
+        // from it respond to all requests with 404. The running nodes report their heads but are too busy to deliver
+        // the versions, and after several failed pulls the claims are ignored.
+        let canServe = true;
+        const fleet = createInMemoryFleet({ zones: 2, nodesPerZone: 4, seed: 7, canServeVersions: () => canServe });
         await fleet.startAll();
         fleet.acceptAt(fleet.node(0), "kushiro", { [WEIGHT_CELL]: 1 });
         fleet.acceptAt(fleet.node(1), "halloway", { [WEIGHT_CELL]: 1 });
         await fleet.clock.advance(3_000);
         fleet.platform.setOutage(true);
-        delivers = false;
+        canServe = false;
         const restarted = fleet.nodes.slice(2);
         restartAll(fleet, restarted);
         await fleet.clock.advance(20_000);
         expect(restarted.filter(isReady)).to.have.lengthOf(0);
-        delivers = true;
+        canServe = true;
         await fleet.clock.advance(5_000);
-        expect(restarted.filter(isReady).filter(holdsAll(fleet))).to.have.lengthOf(restarted.length);
+        expect(restarted.filter(isReady).filter(createHoldsAllCheck(fleet))).to.have.lengthOf(restarted.length);
         fleet.stop();
     });
 });
--- a/packages/oleandergap-distribution/src/arrivals.ts
+++ b/packages/oleandergap-distribution/src/arrivals.ts
@@ -1,122 +1,141 @@
 /**
- * Says of each version that comes into force how it came to this node and how long that took. A version that is late at
- * one node can then be explained from its log: by the way that it took, by the pulls that failed before it, or by the
- * time that it took to check.
+ * Logs for each version that comes into force how it reached this node and how long that took. If a version is late at
+ * one node, the log of that node then shows the cause: the path of the version, the pulls that failed before it, or the
+ * duration of the store's check.
  */
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Head, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
 import { createTokenBucket } from "oleandergap-utils";
 
-/** How a version reached the store: read from the platform, as one step in a datagram, or pulled from a peer. */
-export type ArrivalWay = "platform" | "datagram" | "steps" | "document";
+/**
+ * How a version reached the store: read from the platform, as a delta in a datagram, or pulled from a peer as deltas
+ * (`steps`) or as a whole document.
+ */
+export type ArrivalMethod = "platform" | "datagram" | "steps" | "document";
 
-/** Where a version came from. */
+/** Source of a version, and how it arrived. */
 export interface ArrivalOrigin {
-    readonly way: ArrivalWay;
-    /** The peer's id; undefined for the platform. */
+    readonly way: ArrivalMethod;
+    /** Id of the peer; undefined for the platform. */
     readonly peer?: string;
 }
 
-/** A pull that brought nothing. */
+/** A pull that returned no newer version. */
 export interface FailedPull {
     readonly partner: PartnerName;
-    /** The peer's id, or `platform`. */
+    /** Id of the peer, or `platform`. */
     readonly source: string;
     readonly reason: string;
     readonly durationMs: Milliseconds;
 }
 
-/** What arrivals are recorded with. */
-export interface ArrivalDependencies {
+/** Dependencies of the arrival log. */
+export interface ArrivalLogDependencies {
     readonly clock: Clock;
     readonly logger: Logger;
 }
 
-/** The record of one node. */
-export interface Arrivals {
-    /** Notes that somebody claims to hold a version that is not in force here. */
+/** Log of the versions that arrive at one node. */
+export interface ArrivalLog {
+    /** Records that a source claims to hold a version that is not in force at this node. */
     readonly noteHeard: (head: Head) => void;
-    /** Notes that a source is asked for a version. */
+    /** Counts a request for a version. */
     readonly noteQuestion: (partner: PartnerName) => void;
-    /** Offers a version to the store; what comes into force meanwhile came from `origin`. */
+    /** Runs `offer`, which offers a version to the store. Attributes versions applied during the call to `origin`. */
     readonly offerFrom: <Result>(origin: ArrivalOrigin, offer: () => Result) => Result;
-    /** Writes the line of a version that has just come into force; `cells` is how many it changed, if that is known. */
+    /** Logs a version that has just come into force. `cells` is the number of changed cells, if known. */
     readonly noteApplied: (head: Head, cells: number | undefined) => void;
+    /** Logs a failed pull, up to a rate limit. */
     readonly noteFailedPull: (pull: FailedPull) => void;
 }
 
-/** Lines on failed pulls: while nobody answers, a node tries several times a second for as long as that lasts. */
-const FAILURE_LINES_PER_SECOND = 2;
-const FAILURE_LINES_BURST = 10;
+/**
+ * Rate limit of log lines about failed pulls. While no source responds, a node retries several times per second for
+ * the whole duration of the outage.
+ */
+const FAILURE_LOG_LINES_PER_SECOND = 2;
+const FAILURE_LOG_BURST = 10;
 
-/** A version that was heard of, and when first. */
-interface Heard {
+/** A claimed version, and the time at which it was first claimed. */
+interface ObservedVersion {
     readonly sequence: Sequence;
     readonly at: Milliseconds;
 }
 
-/** Versions remembered that were heard of and are not in force. */
-const MAX_HEARD = 32;
+/** Maximum number of claimed versions per partner that are tracked until they come into force. */
+const MAX_OBSERVED_VERSIONS = 32;
 
-/** Creates an empty record. */
-export const createArrivals = ({ clock, logger }: ArrivalDependencies): Arrivals => {
-    const heard = new Map<PartnerName, readonly Heard[]>();
-    const lines = createTokenBucket({
+/** Creates an empty arrival log. */
+export const createArrivalLog = ({ clock, logger }: ArrivalLogDependencies): ArrivalLog => {
+    const observedVersions = new Map<PartnerName, readonly ObservedVersion[]>();
+    const failureLogBucket = createTokenBucket({
         clock,
-        ratePerSecond: () => FAILURE_LINES_PER_SECOND,
-        burst: FAILURE_LINES_BURST,
+        ratePerSecond: () => FAILURE_LOG_LINES_PER_SECOND,
+        burst: FAILURE_LOG_BURST,
     });
-    /** Questions since the last version came into force. */
-    const questions = new Map<PartnerName, number>();
-    let leftOut = 0;
-    let offer: { readonly origin: ArrivalOrigin; readonly startedAt: Milliseconds } | undefined;
+    /** Number of requests per partner since the last version came into force. */
+    const requestCounts = new Map<PartnerName, number>();
+    let suppressedLines = 0;
+    let currentOffer: { readonly origin: ArrivalOrigin; readonly startedAt: Milliseconds } | undefined;
 
-    /** The earliest sign of the version itself or of one that holds it; forgets what is in force now. */
-    const takeHeard = ({ partner, sequence }: Head): Milliseconds | undefined => {
-        const known = heard.get(partner) ?? [];
-        heard.set(partner, known.filter((other) => other.sequence > sequence));
-        return known.find((other) => other.sequence >= sequence)?.at;
+    /**
+     * Returns when this version or a higher one was first claimed. Removes the entries up to this version, which is now
+     * in force.
+     */
+    const takeObservedAt = ({ partner, sequence }: Head): Milliseconds | undefined => {
+        const observed = observedVersions.get(partner) ?? [];
+        observedVersions.set(partner, observed.filter((other) => other.sequence > sequence));
+        return observed.find((other) => other.sequence >= sequence)?.at;
     };
 
     return {
         noteHeard: ({ partner, sequence }) => {
-            const known = heard.get(partner) ?? [];
-            if (known.every((other) => other.sequence < sequence)) {
-                heard.set(partner, [...known, { sequence, at: clock.monotonic() }].slice(-MAX_HEARD));
+            const observed = observedVersions.get(partner) ?? [];
+            if (observed.every((other) => other.sequence < sequence)) {
+                observedVersions.set(
+                    partner,
+                    [...observed, { sequence, at: clock.monotonic() }].slice(-MAX_OBSERVED_VERSIONS),
+                );
             }
         },
         noteQuestion: (partner) => {
-            questions.set(partner, (questions.get(partner) ?? 0) + 1);
+            requestCounts.set(partner, (requestCounts.get(partner) ?? 0) + 1);
         },
-        offerFrom: (origin, run) => {
-            const outer = offer;
-            offer = { origin, startedAt: clock.monotonic() };
-            const result = run();
-            offer = outer;
+        offerFrom: (origin, applyOffer) => {
+            const enclosingOffer = currentOffer;
+            currentOffer = { origin, startedAt: clock.monotonic() };
+            const result = applyOffer();
+            currentOffer = enclosingOffer;
             return result;
         },
         noteApplied: (head, cells) => {
             const now = clock.monotonic();
-            const heardAt = takeHeard(head);
+            const observedAt = takeObservedAt(head);
             logger.info("A version is in force.", {
                 partner: head.partner,
                 sequence: head.sequence,
-                way: offer?.origin.way ?? "local",
-                peer: offer?.origin.peer,
+                way: currentOffer?.origin.way ?? "local",
+                peer: currentOffer?.origin.peer,
                 cells,
-                questions: questions.get(head.partner) ?? 0,
-                sinceHeardMs: heardAt === undefined ? 0 : Math.round(now - heardAt),
-                checkMs: offer === undefined ? 0 : Math.round(now - offer.startedAt),
+                questions: requestCounts.get(head.partner) ?? 0,
+                sinceHeardMs: observedAt === undefined ? 0 : Math.round(now - observedAt),
+                checkMs: currentOffer === undefined ? 0 : Math.round(now - currentOffer.startedAt),
             });
-            questions.delete(head.partner);
+            requestCounts.delete(head.partner);
         },
         noteFailedPull: ({ partner, source, reason, durationMs }) => {
-            if (!lines.tryTake()) {
-                leftOut += 1;
+            if (!failureLogBucket.tryTake()) {
+                suppressedLines += 1;
                 return;
             }
-            logger.info("A pull failed.", { partner, source, reason, durationMs: Math.round(durationMs), leftOut });
-            leftOut = 0;
+            logger.info("A pull failed.", {
+                partner,
+                source,
+                reason,
+                durationMs: Math.round(durationMs),
+                leftOut: suppressedLines,
+            });
+            suppressedLines = 0;
         },
     };
 };
--- a/packages/oleandergap-distribution/src/choosePull.ts
+++ b/packages/oleandergap-distribution/src/choosePull.ts
@@ -1,44 +1,45 @@
-/** Chooses whom to ask next for a version. */
+/** Chooses the source of the next request for a version. */
 import { pickOne, type Random } from "oleandergap-utils";
 import type { Claim, ClaimSource } from "./claimBook.js";
 import type { PeerAddress } from "./ports.js";
 import type { PullAttempt } from "./pullsUnderWay.js";
 
-/** What the choice depends on. */
+/** Inputs of the choice. */
 export interface PullChoice {
-    /** Highest first. */
+    /** The current claims, highest sequence first. */
     readonly claims: readonly Claim[];
-    /** Whether a question to this source is under way. */
-    readonly isAsked: (source: ClaimSource) => boolean;
-    /** Whether the last question that failed went to this source. */
-    readonly hasFailedLast: (source: ClaimSource) => boolean;
-    /** Peers to try when those who told a head do not deliver it. */
-    readonly otherPeers: () => readonly PeerAddress[];
+    /** Returns whether a request to this source is in flight. */
+    readonly isInFlight: (source: ClaimSource) => boolean;
+    /** Returns whether this source caused the most recent failure. */
+    readonly isLastFailedSource: (source: ClaimSource) => boolean;
+    /** Returns the peers to try if the sources that claimed a head do not deliver it. */
+    readonly listFallbackPeers: () => readonly PeerAddress[];
     readonly random: Random;
 }
 
 /**
- * Whoever told the highest head goes first. After a failure somebody else is asked, or one silent or lying peer could
- * hold a node back for as long as it keeps telling higher heads. Undefined when nobody is left to ask.
+ * Returns the next request, or undefined if no source is available. The source that claims the highest head is
+ * preferred. After a failure another source is chosen. Otherwise a single peer that does not respond, or that sends
+ * false heads, could keep a node behind for as long as it claims higher heads.
  */
 export const choosePull = (
-    { claims, isAsked, hasFailedLast, otherPeers, random }: PullChoice,
+    { claims, isInFlight, isLastFailedSource, listFallbackPeers, random }: PullChoice,
 ): PullAttempt | undefined => {
-    const canBeAsked = (source: ClaimSource): boolean => !hasFailedLast(source) && !isAsked(source);
-    const [newest] = claims;
-    if (newest === undefined) {
+    const isAvailable = (source: ClaimSource): boolean => !isLastFailedSource(source) && !isInFlight(source);
+    const [newestClaim] = claims;
+    if (newestClaim === undefined) {
         return undefined;
     }
-    const wanted = newest.head;
-    const next = claims.find((claim) => canBeAsked(claim.source));
-    if (next !== undefined) {
-        return { source: next.source, wanted, claim: next };
+    const newestHead = newestClaim.head;
+    const nextClaim = claims.find((claim) => isAvailable(claim.source));
+    if (nextClaim !== undefined) {
+        return { source: nextClaim.source, newestHead, claim: nextClaim };
     }
-    const others = otherPeers().map((peer): ClaimSource => ({ kind: "Peer", peer }));
-    const other = pickOne(random, others.filter(canBeAsked));
-    if (other !== undefined) {
-        return { source: other, wanted, claim: undefined };
+    const fallbackSources = listFallbackPeers().map((peer): ClaimSource => ({ kind: "Peer", peer }));
+    const fallbackSource = pickOne(random, fallbackSources.filter(isAvailable));
+    if (fallbackSource !== undefined) {
+        return { source: fallbackSource, newestHead, claim: undefined };
     }
-    const last = claims.find((claim) => !isAsked(claim.source));
-    return last && { source: last.source, wanted, claim: last };
+    const lastClaim = claims.find((claim) => !isInFlight(claim.source));
+    return lastClaim && { source: lastClaim.source, newestHead, claim: lastClaim };
 };
--- a/packages/oleandergap-distribution/src/delegation.ts
+++ b/packages/oleandergap-distribution/src/delegation.ts
@@ -1,79 +1,81 @@
 /**
- * Hands a version to one of several candidates and makes sure that one of them has taken it.
+ * Delegates a version to one of several candidates and retries until one of them acknowledges it.
  *
- * A datagram may be lost, and a candidate may be dead or frozen without anybody knowing yet. Without an
- * acknowledgement, everybody behind that candidate would miss the version until some later comparison; one would see
- * a part of a zone lag by a second or more. Each candidate is therefore tried twice, and then the next one takes its
- * place.
+ * A datagram may be lost, and a candidate may be dead or frozen before the membership detects it. Without an
+ * acknowledgement, all members below that candidate in the forwarding tree would miss the version until a later
+ * comparison, and a part of the zone would lag by a second or more. If a candidate does not acknowledge the version in
+ * time, the next candidate is therefore tried, in turn and repeatedly, up to a maximum number of attempts.
  */
 import type { CancelTimer, Clock, Head, NodeId, PartnerName, Sequence } from "oleandergap-types";
 import { startTimer } from "./periodic.js";
 import type { PeerAddress } from "./ports.js";
 
-/** A version that one of several candidates is to take over. */
+/** A version that one of several candidates must accept and forward. */
 export interface Delegation {
     readonly head: Head;
-    /** In the order in which they are tried, over and over; all belong to the same range or zone. */
+    /** Candidates in the order in which they are tried, cyclically. All belong to the same range or zone. */
     readonly candidates: readonly PeerAddress[];
     readonly send: (to: PeerAddress) => void;
+    /** Timeout of an acknowledgement, in milliseconds. */
     readonly timeoutMs: number;
-    /** Called instead of `send` when the turn comes to a candidate that is this node itself. */
+    /** Called instead of `send` if the next candidate is this node itself. */
     readonly takeOver: () => void;
 }
 
-/** What a delegator works with; its timers end when `signal` aborts. */
+/** Dependencies of a delegator. Its timers end when `signal` aborts. */
 export interface DelegatorDependencies {
     readonly self: () => NodeId;
-    /** The version in force; a delegation of a lower one is dropped, because the higher one has its own. */
-    readonly sequenceOf: (partner: PartnerName) => Sequence;
+    /** Returns the sequence in force. Delegations of lower versions are dropped, as the higher one has its own. */
+    readonly getSequence: (partner: PartnerName) => Sequence;
     readonly clock: Clock;
     readonly signal: AbortSignal;
 }
 
-/** A version by its number alone. */
+/** A version without its digest. */
 export type HeldVersion = Pick<Head, "partner" | "sequence">;
 
-/** Sends delegations again until they are acknowledged. */
+/** Retries delegations until they are acknowledged. */
 export interface Delegator {
+    /** Starts a delegation. */
     readonly delegate: (delegation: Delegation) => void;
-    /** Notes that a peer has a version in force. */
+    /** Records that a peer has a version in force, which ends the delegations to it up to that version. */
     readonly acknowledge: (peer: NodeId, version: HeldVersion) => void;
 }
 
-/** Beyond these, the version is left to the heads that ride on the membership's datagrams. */
+/** Maximum number of attempts. After them, only the heads piggybacked on membership datagrams spread the version. */
 const MAX_ATTEMPTS = 5;
-/** A timer later than this was held up by a frozen process; what it was to send is no news any more. */
+/** A timer that fires later than this was delayed by a frozen process. Its version is outdated and is not sent. */
 const STALE_AFTER_MS = 1_000;
 
-const formatWait = (peer: NodeId, partner: PartnerName): string => `${peer}/${partner}`;
+const formatPendingKey = (peer: NodeId, partner: PartnerName): string => `${peer}/${partner}`;
 
-interface Wait {
+interface PendingAcknowledgement {
     readonly sequence: Sequence;
     readonly cancel: CancelTimer;
 }
 
 /** Creates the delegator of one node. */
-export const createDelegator = ({ self, sequenceOf, clock, signal }: DelegatorDependencies): Delegator => {
-    const waits = new Map<string, readonly Wait[]>();
+export const createDelegator = ({ self, getSequence, clock, signal }: DelegatorDependencies): Delegator => {
+    const pendingAcknowledgements = new Map<string, readonly PendingAcknowledgement[]>();
 
-    const addWait = (key: string, wait: Wait): void => {
-        waits.set(key, [...waits.get(key) ?? [], wait]);
+    const addPending = (key: string, pending: PendingAcknowledgement): void => {
+        pendingAcknowledgements.set(key, [...pendingAcknowledgements.get(key) ?? [], pending]);
     };
 
-    const removeWait = (key: string, wait: Wait): void => {
-        const others = (waits.get(key) ?? []).filter((other) => other !== wait);
+    const removePending = (key: string, pending: PendingAcknowledgement): void => {
+        const others = (pendingAcknowledgements.get(key) ?? []).filter((other) => other !== pending);
         if (others.length === 0) {
-            waits.delete(key);
+            pendingAcknowledgements.delete(key);
         }
         else {
-            waits.set(key, others);
+            pendingAcknowledgements.set(key, others);
         }
     };
 
     const tryCandidate = (delegation: Delegation, attempt: number): void => {
         const { head, candidates, send, takeOver, timeoutMs } = delegation;
         const candidate = candidates[attempt % candidates.length];
-        const isSuperseded = sequenceOf(head.partner) > head.sequence;
+        const isSuperseded = getSequence(head.partner) > head.sequence;
         if (candidate === undefined || attempt >= MAX_ATTEMPTS || isSuperseded) {
             return;
         }
@@ -81,27 +83,27 @@
             takeOver();
             return;
         }
-        const key = formatWait(candidate.id, head.partner);
-        const due = clock.monotonic() + timeoutMs;
+        const key = formatPendingKey(candidate.id, head.partner);
+        const dueAt = clock.monotonic() + timeoutMs;
         const cancel = startTimer(clock, signal, timeoutMs, () => {
-            removeWait(key, wait);
-            if (clock.monotonic() - due < STALE_AFTER_MS) {
+            removePending(key, pending);
+            if (clock.monotonic() - dueAt < STALE_AFTER_MS) {
                 tryCandidate(delegation, attempt + 1);
             }
         });
-        const wait: Wait = { sequence: head.sequence, cancel };
-        addWait(key, wait);
+        const pending: PendingAcknowledgement = { sequence: head.sequence, cancel };
+        addPending(key, pending);
         send(candidate);
     };
 
     return {
         delegate: (delegation) => tryCandidate(delegation, 0),
         acknowledge: (peer, version) => {
-            const key = formatWait(peer, version.partner);
-            for (const wait of waits.get(key) ?? []) {
-                if (wait.sequence <= version.sequence) {
-                    wait.cancel();
-                    removeWait(key, wait);
+            const key = formatPendingKey(peer, version.partner);
+            for (const pending of pendingAcknowledgements.get(key) ?? []) {
+                if (pending.sequence <= version.sequence) {
+                    pending.cancel();
+                    removePending(key, pending);
                 }
             }
         },
--- a/packages/oleandergap-distribution/src/peerClient.ts
+++ b/packages/oleandergap-distribution/src/peerClient.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to other nodes by trpc. Every answer is checked against its schema before it is handed on; a call that failed
- * in any way yields an error and nothing else.
+ * Calls other nodes over tRPC. Every response is validated against its schema before it is returned. A call that fails
+ * in any way returns only an error.
  */
 import { Agent } from "node:http";
 import { createTRPCClient, httpLink, TRPCClientError, type TRPCClient } from "@trpc/client";
@@ -15,25 +15,25 @@
 import { PEER_PATH } from "./peerRequestHandler.js";
 import type { PeerRouter } from "./peerRouter.js";
 import {
-    contactsAnswerSchema,
-    headsAnswerSchema,
-    pingAnswerSchema,
-    versionAnswerSchema,
+    contactsResponseSchema,
+    headsResponseSchema,
+    pingResponseSchema,
+    versionResponseSchema,
 } from "./peerSchemas.js";
 import { exchangeWithPeer, type ExchangeBytes, type ExchangeDependencies } from "./peerTransport.js";
-import type { NoteProgress, PeerAddress, PeerDirectoryPort, PeerPort } from "./ports.js";
+import type { ProgressListener, PeerAddress, PeerDirectoryPort, PeerPort } from "./ports.js";
 
-/** Value of the `authorization` header of calls to a node; undefined where no key is set. */
+/** Returns the `authorization` header for calls to a node; undefined if no key is set. */
 export type AuthorizeCall = (node: Pick<PeerAddress, "address" | "controlPort">) => string | undefined;
 
-/** What a peer client works with; without `authorize`, calls carry no proof of membership in the fleet. */
+/** Dependencies of a peer client. Without `authorize`, calls contain no proof of membership in the fleet. */
 export interface PeerClientDependencies {
     readonly clock: Clock;
     readonly options: PeerOptions;
     readonly authorize?: AuthorizeCall;
 }
 
-/** Counts since the client was created. */
+/** Counters since the creation of the client. */
 export interface PeerClientStatistics {
     readonly calls: number;
     readonly failures: number;
@@ -41,21 +41,22 @@
     readonly bytesReceived: number;
 }
 
-/** Calls to other nodes over connections that are reused for a short time. */
+/** Calls other nodes over connections that are reused for a short time. */
 export interface PeerClient extends PeerPort, PeerDirectoryPort {
     readonly stats: () => PeerClientStatistics;
-    /** Closes idle connections; calls that are running fail. */
+    /** Closes all connections. Calls in flight fail. */
     readonly close: () => void;
 }
 
-/** Connections that are kept open between calls, over all peers. */
+/** Maximum number of idle connections that are kept open between calls, per peer. */
 const MAX_IDLE_CONNECTIONS = 8;
-/** Connections to one peer at the same time. */
+/** Maximum number of concurrent connections to one peer. */
 const MAX_CONNECTIONS_PER_PEER = 4;
-/** Longest excerpt of a peer's error that is kept, in characters. */
+/** Maximum length of an error detail, in characters; longer ones are truncated. */
 const MAX_DETAIL_LENGTH = 200;
 
-interface CallFailure {
+/** Holds the error of the transport, because the tRPC library reports only its own error type. */
+interface TransportErrorHolder {
     error: PeerError | undefined;
 }
 
@@ -69,8 +70,8 @@
     return `${pathname}${search}`;
 };
 
-/** Reads an error that came from the trpc library, or the transport's own when that failed. */
-const toPeerError = (error: unknown, failure: CallFailure): PeerError => {
+/** Converts an error of the tRPC library. Returns the error of the transport instead if the transport failed. */
+const toPeerError = (error: unknown, failure: TransportErrorHolder): PeerError => {
     if (failure.error !== undefined) {
         return failure.error;
     }
@@ -80,7 +81,10 @@
     return typeof status === "number" ? { kind: "Refused", status, detail } : { kind: "Malformed", detail };
 };
 
-const checkAnswer = <Schema extends z.ZodType>(schema: Schema, value: unknown): Either<PeerError, z.output<Schema>> => {
+const validateResponse = <Schema extends z.ZodType>(
+    schema: Schema,
+    value: unknown,
+): Either<PeerError, z.output<Schema>> => {
     const result = schema.safeParse(value);
     if (result.success) {
         return either.right(result.data);
@@ -90,7 +94,7 @@
     return either.left({ kind: "Malformed", detail });
 };
 
-/** Creates a client for all peers of this node. */
+/** Creates a client for calls to all peers of this node. */
 export const createPeerClient = (
     { clock, options, authorize = () => undefined }: PeerClientDependencies,
 ): PeerClient => {
@@ -109,8 +113,8 @@
 
     const createCallClient = (
         peer: PeerAddress,
-        failure: CallFailure,
-        onProgress: NoteProgress | undefined,
+        failure: TransportErrorHolder,
+        onProgress: ProgressListener | undefined,
     ): TRPCClient<PeerRouter> =>
         createTRPCClient<PeerRouter>({
             links: [httpLink({
@@ -144,13 +148,13 @@
         schema: Schema,
         query: Query<unknown>,
         signal: AbortSignal,
-        onProgress?: NoteProgress,
+        onProgress?: ProgressListener,
     ): TaskEither<PeerError, z.output<Schema>> => async () => {
-        const failure: CallFailure = { error: undefined };
+        const failure: TransportErrorHolder = { error: undefined };
         counts.calls += 1;
         let outcome: Either<PeerError, z.output<Schema>>;
         try {
-            outcome = checkAnswer(schema, await query(createCallClient(peer, failure, onProgress), signal));
+            outcome = validateResponse(schema, await query(createCallClient(peer, failure, onProgress), signal));
         }
         catch (error) {
             outcome = either.left(toPeerError(error, failure));
@@ -161,19 +165,19 @@
 
     return {
         ping: (peer, signal) =>
-            call(peer, pingAnswerSchema, (client) => client.ping.query(undefined, { signal }), signal),
+            call(peer, pingResponseSchema, (client) => client.ping.query(undefined, { signal }), signal),
         heads: (peer, signal) =>
-            call(peer, headsAnswerSchema, (client) => client.heads.query(undefined, { signal }), signal),
+            call(peer, headsResponseSchema, (client) => client.heads.query(undefined, { signal }), signal),
         deltasSince: (peer, query, signal, onProgress) => {
-            const ask: Query<unknown> = (client) => client.deltasSince.query(query, { signal });
-            return call(peer, versionAnswerSchema, ask, signal, onProgress);
+            const sendQuery: Query<unknown> = (client) => client.deltasSince.query(query, { signal });
+            return call(peer, versionResponseSchema, sendQuery, signal, onProgress);
         },
         document: (peer, query, signal, onProgress) =>
             call(peer, documentSchema, (client) => client.document.query(query, { signal }), signal, onProgress),
         zoneTargets: (peer, request, signal) =>
             call(peer, zoneTargetsAnswerSchema, (client) => client.zoneTargets.query(request, { signal }), signal),
         contacts: (peer, signal) =>
-            call(peer, contactsAnswerSchema, (client) => client.contacts.query(undefined, { signal }), signal),
+            call(peer, contactsResponseSchema, (client) => client.contacts.query(undefined, { signal }), signal),
         stats: () => ({ ...counts }),
         close: () => agent.destroy(),
     };
--- a/packages/oleandergap-distribution/src/peerComparison.ts
+++ b/packages/oleandergap-distribution/src/peerComparison.ts
@@ -1,17 +1,17 @@
 /**
- * Compares heads with a random peer over TCP now and then. It finds what every datagram missed, as when a network drops
- * the datagrams between two nodes and lets connections through.
+ * Compares heads with a random peer over TCP (anti-entropy). It finds versions that no datagram delivered, for example
+ * because the network drops the datagrams between two nodes but allows connections.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock } from "oleandergap-types";
 import { pickOne, type Random } from "oleandergap-utils";
-import { callWithin } from "./boundedCall.js";
+import { callWithTimeout } from "./boundedCall.js";
 import type { HeadReceiver } from "./headReceiver.js";
 import type { PullOptions } from "./options.js";
 import type { PeerHeads } from "./peerHeads.js";
 import type { FleetPort, PeerPort } from "./ports.js";
 
-/** What a comparison works with; it ends early when `signal` aborts. */
+/** Dependencies of a comparison. It ends early when `signal` aborts. */
 export interface PeerComparisonDependencies {
     readonly fleet: FleetPort;
     readonly peers: Pick<PeerPort, "heads">;
@@ -23,7 +23,7 @@
     readonly signal: AbortSignal;
 }
 
-/** Creates the function that makes one comparison; it never rejects. */
+/** Creates the function that runs one comparison. The function never rejects. */
 export const createPeerComparison = (
     { fleet, peers, peerHeads, receiveHeads, clock, random, options, signal }: PeerComparisonDependencies,
 ): (() => Promise<void>) => async () => {
@@ -33,9 +33,9 @@
     if (peer === undefined) {
         return;
     }
-    const bound = { clock, timeoutMs: options.timeoutMs, signal };
-    const answer = await callWithin((inner) => peers.heads(peer, inner), bound);
-    if (either.isRight(answer)) {
-        receiveHeads(peer, answer.right.heads);
+    const limits = { clock, timeoutMs: options.timeoutMs, signal };
+    const response = await callWithTimeout((inner) => peers.heads(peer, inner), limits);
+    if (either.isRight(response)) {
+        receiveHeads(peer, response.right.heads);
     }
 };
--- a/packages/oleandergap-distribution/src/pullsUnderWay.ts
+++ b/packages/oleandergap-distribution/src/pullsUnderWay.ts
@@ -1,4 +1,4 @@
-/** The questions for one partner's version that are under way, each to another source. */
+/** Tracks the in-flight requests for one partner's version. Each request goes to a different source. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { CancelTimer, Clock, Head, Milliseconds } from "oleandergap-types";
@@ -6,80 +6,81 @@
 import { formatClaimSource, type Claim, type ClaimSource } from "./claimBook.js";
 import type { PullOptions } from "./options.js";
 import { startTimer } from "./periodic.js";
-import type { NoteProgress } from "./ports.js";
+import type { ProgressListener } from "./ports.js";
 import type { FetchFailure } from "./versionFetcher.js";
 
-/** One question to one source. */
+/** One request to one source. */
 export interface PullAttempt {
     readonly source: ClaimSource;
-    /** The newest version that is known of when the question is asked. */
-    readonly wanted: Head;
-    /** What this source told, if it told anything. */
+    /** The newest claimed version at the time of the request. */
+    readonly newestHead: Head;
+    /** The claim of this source; undefined if this source made no claim. */
     readonly claim: Claim | undefined;
 }
 
-/** What questions are asked with. */
-export interface PullsUnderWayDependencies {
+/** Dependencies of the in-flight pulls. */
+export interface InFlightPullsDependencies {
     readonly clock: Clock;
     readonly options: Pick<PullOptions, "answerPatienceMs" | "arrivingPatienceMs">;
-    /** Asks one source; must end when the signal aborts. */
-    readonly ask: (
+    /** Sends a request to one source. The request must end when the signal aborts. */
+    readonly sendRequest: (
         attempt: PullAttempt,
         signal: AbortSignal,
-        onProgress: NoteProgress,
+        onProgress: ProgressListener,
     ) => Promise<Either<FetchFailure, void>>;
-    /** A newer version came into force. */
+    /** Called after a newer version came into force. */
     readonly onDelivered: () => void;
+    /** Called after a request failed; `startedAt` is the time at which it was sent. */
     readonly onFailed: (attempt: PullAttempt, failure: FetchFailure, startedAt: Milliseconds) => void;
-    /** Ends all questions. */
+    /** Ends all requests when aborted. */
     readonly signal: AbortSignal;
 }
 
-/** None at first. */
-export interface PullsUnderWay {
+/** The in-flight requests for one partner's version. */
+export interface InFlightPulls {
     readonly isEmpty: () => boolean;
-    readonly hasPlace: () => boolean;
-    readonly isAsked: (source: ClaimSource) => boolean;
+    readonly hasFreeSlot: () => boolean;
+    readonly isInFlight: (source: ClaimSource) => boolean;
     readonly start: (attempt: PullAttempt) => void;
-    /** Calls `onEnd` when it is time to ask another source too. */
+    /** Starts a timer that calls `onEnd` when another source should be tried in parallel. */
     readonly startPatience: (onEnd: () => void) => CancelTimer;
     /**
-     * Gives up the questions whose answers bring nothing that is still wanted; nothing is told of them any more. False
-     * when there are none.
+     * Cancels the requests for versions that are no longer wanted. The callbacks are not called for cancelled requests.
+     * Returns whether any request was cancelled.
      */
-    readonly giveUpUnless: (isWanted: (head: Head) => boolean) => boolean;
+    readonly cancelUnless: (isWanted: (head: Head) => boolean) => boolean;
 }
 
-interface RunningPull {
+interface InFlightPull {
     readonly attempt: PullAttempt;
     readonly startedAt: Milliseconds;
     readonly abort: () => void;
-    /** When a part of the answer last came. */
-    progressAt: Milliseconds;
+    /** Time at which the last part of the response arrived. */
+    lastProgressAt: Milliseconds;
 }
 
-/** Sources that are asked at the same time: two of them may be dead or behind full links. */
-const MAX_PULLS_AT_ONCE = 3;
+/** Maximum number of concurrent requests. The third one covers two sources that are dead or behind saturated links. */
+const MAX_CONCURRENT_PULLS = 3;
 
-/** Creates an empty set of questions. */
-export const createPullsUnderWay = (
-    { clock, options, ask, onDelivered, onFailed, signal }: PullsUnderWayDependencies,
-): PullsUnderWay => {
-    const running = new Map<string, RunningPull>();
+/** Creates an empty set of in-flight requests. */
+export const createInFlightPulls = (
+    { clock, options, sendRequest, onDelivered, onFailed, signal }: InFlightPullsDependencies,
+): InFlightPulls => {
+    const pulls = new Map<string, InFlightPull>();
 
     const run = async (key: string, attempt: PullAttempt): Promise<void> => {
         const link = linkSignal(signal);
         const startedAt = clock.monotonic();
-        const pull: RunningPull = { attempt, startedAt, abort: link.abort, progressAt: Number.NEGATIVE_INFINITY };
-        running.set(key, pull);
-        const outcome = await ask(attempt, link.signal, () => {
-            pull.progressAt = clock.monotonic();
+        const pull: InFlightPull = { attempt, startedAt, abort: link.abort, lastProgressAt: Number.NEGATIVE_INFINITY };
+        pulls.set(key, pull);
+        const outcome = await sendRequest(attempt, link.signal, () => {
+            pull.lastProgressAt = clock.monotonic();
         });
         link.release();
-        if (running.get(key) !== pull) {
+        if (pulls.get(key) !== pull) {
             return;
         }
-        running.delete(key);
+        pulls.delete(key);
         if (either.isLeft(outcome)) {
             onFailed(attempt, outcome.left, startedAt);
             return;
@@ -88,16 +89,16 @@
     };
 
     /**
-     * Whether an answer is on its way and may still come in time. It may be this node's own link that is narrow: more
-     * answers would share it, and all of them be late.
+     * Returns whether a response is arriving and may still complete in time. The bottleneck may be the link of this
+     * node. Further responses would then share that link, and all of them would be late.
      */
     const isArriving = (): boolean => {
         const now = clock.monotonic();
-        return [...running.values()].some(({ startedAt, progressAt }) =>
-            now - progressAt < options.answerPatienceMs && now - startedAt < options.arrivingPatienceMs);
+        return [...pulls.values()].some(({ startedAt, lastProgressAt }) =>
+            now - lastProgressAt < options.answerPatienceMs && now - startedAt < options.arrivingPatienceMs);
     };
 
-    const startPatience: PullsUnderWay["startPatience"] = (onEnd) => {
+    const startPatience: InFlightPulls["startPatience"] = (onEnd) => {
         let cancel: CancelTimer = () => undefined;
         const wait = (): void => {
             cancel = startTimer(clock, signal, options.answerPatienceMs, () => (isArriving() ? wait() : onEnd()));
@@ -107,18 +108,18 @@
     };
 
     return {
-        isEmpty: () => running.size === 0,
-        hasPlace: () => running.size < MAX_PULLS_AT_ONCE,
+        isEmpty: () => pulls.size === 0,
+        hasFreeSlot: () => pulls.size < MAX_CONCURRENT_PULLS,
         startPatience,
-        isAsked: (source) => running.has(formatClaimSource(source)),
+        isInFlight: (source) => pulls.has(formatClaimSource(source)),
         start: (attempt) => void run(formatClaimSource(attempt.source), attempt),
-        giveUpUnless: (isWanted) => {
-            const unwanted = [...running].filter(([, { attempt }]) => !isWanted(attempt.wanted));
-            for (const [key, { abort }] of unwanted) {
-                running.delete(key);
+        cancelUnless: (isWanted) => {
+            const obsoletePulls = [...pulls].filter(([, { attempt }]) => !isWanted(attempt.newestHead));
+            for (const [key, { abort }] of obsoletePulls) {
+                pulls.delete(key);
                 abort();
             }
-            return unwanted.length > 0;
+            return obsoletePulls.length > 0;
         },
     };
 };
--- a/packages/oleandergap-distribution/src/versionPusher.ts
+++ b/packages/oleandergap-distribution/src/versionPusher.ts
@@ -1,7 +1,8 @@
 /**
- * Passes on what this node has put in force. Inside an availability zone one member, the first in the version's order,
- * divides the zone among a few members, each of them its part among a few others, and so on, so that every member
- * receives a version about once. Whoever learns of a version in another way brings it to that first member.
+ * Forwards the versions that have come into force at this node. Each version has its own order of the members of an
+ * availability zone. The first member in this order divides the zone among a few members, each of them divides its part
+ * among a few others, and so on. Every member thus receives a version about once. A member that obtains a version in
+ * another way hands it over to that first member.
  */
 import type { Clock, Head, NodeId, PartnerName, Sequence } from "oleandergap-types";
 import { pickOne, pickSeveral, type Random } from "oleandergap-utils";
@@ -11,10 +12,10 @@
 import type { ConfigurationStorePort, FleetPort, PeerAddress, SpreadOutlet } from "./ports.js";
 import { divideRange, orderMembers, WHOLE_RANGE, type ScoreRange } from "./scoreRange.js";
 import type { SpreadCounters } from "./statistics.js";
-import { createHandOver, type SendSpreadMessage } from "./versionHandover.js";
+import { createHandoverSender, type SendSpreadMessage } from "./versionHandover.js";
 import { groupByZone } from "./zones.js";
 
-/** What a version pusher works with. */
+/** Dependencies of a version pusher. */
 export interface VersionPusherDependencies {
     readonly store: Pick<ConfigurationStorePort, "heads" | "document" | "deltaTo">;
     readonly fleet: FleetPort;
@@ -27,40 +28,43 @@
     readonly signal: AbortSignal;
 }
 
-/** A version that was handed to this node, and whom to tell when it is in force here. */
+/** A version that was handed over to this node, and the sender that expects an acknowledgement. */
 export interface Handover {
     readonly from: PeerAddress;
     readonly head: Head;
-    /** The members to pass it on to; undefined when it came from another zone. */
+    /** The members to which this node forwards the version; undefined if the sender is in another zone. */
     readonly range: ScoreRange | undefined;
 }
 
-/** Passes versions on to the own availability zone and to the others. */
+/** Forwards versions to the local availability zone and to the other zones. */
 export interface VersionPusher {
-    /** Notes a version that was handed over. It is acknowledged and passed on as soon as it is in force. */
+    /** Accepts a version that was handed over. Acknowledges and forwards it as soon as it is in force. */
     readonly accept: (handover: Handover) => void;
-    /** Notes a peer's acknowledgement. */
+    /** Records a peer's acknowledgement. */
     readonly acknowledge: (from: PeerAddress, version: HeldVersion) => void;
-    /** Passes on a version that has just come into force here. */
+    /** Forwards a version that has just come into force at this node within the local zone. */
     readonly pushToZone: (head: Head) => void;
-    /** Spreads a version that was accepted here to all other zones. */
+    /** Hands over a version that was accepted at this node to all other zones. */
     readonly pushToOtherZones: (head: Head) => void;
-    /** Shows this node's heads to one random contact of another zone. */
-    readonly showToOtherZone: () => void;
-    /** Shows this node's heads to one contact of each other zone. */
-    readonly showToOtherZones: () => void;
+    /** Sends this node's heads to one random contact of another zone. */
+    readonly sendHeadsToRandomZone: () => void;
+    /** Sends this node's heads to one random contact of each other zone. */
+    readonly sendHeadsToOtherZones: () => void;
 }
 
-/** Handovers that wait for a pull; beyond it the oldest are dropped, and their senders turn to other members. */
-const MAX_HANDOVERS = 16;
+/**
+ * Maximum number of handovers per partner that wait for a pull. If there are more, the oldest are dropped, and their
+ * senders time out and try other members.
+ */
+const MAX_PENDING_HANDOVERS = 16;
 
 const createCountingSend = (outlet: SpreadOutlet, counters: SpreadCounters): SendSpreadMessage => (to, message) => {
     counters.messagesSent += 1;
     outlet.send(to, message);
 };
 
-/** The requests to pass on one version that this node has met, by requester and range. */
-interface Passed {
+/** The requests to forward one version that this node has handled, by requester and range. */
+interface ForwardedVersion {
     readonly sequence: Sequence;
     readonly requests: Set<string>;
 }
@@ -77,73 +81,77 @@
     counters,
     signal,
 }: VersionPusherDependencies): VersionPusher => {
-    const waiting = new Map<PartnerName, readonly Handover[]>();
-    const passed = new Map<PartnerName, Passed>();
-    const self = (): NodeId => fleet.self().id;
-    const sequenceOf = (partner: PartnerName): Sequence => store.document(partner).sequence;
-    const delegator = createDelegator({ self, sequenceOf, clock, signal });
+    const pendingHandovers = new Map<PartnerName, readonly Handover[]>();
+    const forwardedVersions = new Map<PartnerName, ForwardedVersion>();
+    const getSelfId = (): NodeId => fleet.self().id;
+    const getSequence = (partner: PartnerName): Sequence => store.document(partner).sequence;
+    const delegator = createDelegator({ self: getSelfId, getSequence, clock, signal });
 
     const send = createCountingSend(outlet, counters);
-    const handOver = createHandOver({ store, delegator, fleet, peerHeads, options, send });
+    const sendHandover = createHandoverSender({ store, delegator, fleet, peerHeads, options, send });
 
-    /** False when the same request has come before, as when its acknowledgement was lost. */
-    const notePassed = (head: Head, requester: NodeId, range: ScoreRange): boolean => {
-        const before = passed.get(head.partner);
+    /** Records a request. Returns false for a repeated request, such as one whose acknowledgement was lost. */
+    const recordForwarding = (head: Head, requester: NodeId, range: ScoreRange): boolean => {
+        const before = forwardedVersions.get(head.partner);
         const requests = before?.sequence === head.sequence ? before.requests : new Set<string>();
         const request = `${requester}/${range.from}-${range.to}`;
         if (requests.has(request)) {
             return false;
         }
-        passed.set(head.partner, { sequence: head.sequence, requests: requests.add(request) });
+        forwardedVersions.set(head.partner, { sequence: head.sequence, requests: requests.add(request) });
         return true;
     };
 
     /**
-     * Members that hold the version already are left out. They need no copy; and as a member that handed over a range
-     * may stand in it, the range would otherwise come back to that member, which has passed it on and would do
-     * nothing.
+     * Forwards a version to the members of a range that do not hold it yet. The range may include the member that
+     * handed it over. If that member were not excluded, the range could be handed back to it. It would then ignore the
+     * range, because it has already forwarded it.
      */
-    const passOn = (head: Head, requester: NodeId, range: ScoreRange): void => {
-        if (!notePassed(head, requester, range)) {
+    const forward = (head: Head, requester: NodeId, range: ScoreRange): void => {
+        if (!recordForwarding(head, requester, range)) {
             return;
         }
-        const lacking = fleet.members().filter((member) =>
-            member.id !== self() && !peerHeads.holds(member.id, head));
-        for (const part of divideRange(head, lacking, range, options.treeFanOut)) {
-            handOver(head, part.members, part.range, () => undefined);
+        const membersWithoutVersion = fleet.members().filter((member) =>
+            member.id !== getSelfId() && !peerHeads.holds(member.id, head));
+        for (const part of divideRange(head, membersWithoutVersion, range, options.treeFanOut)) {
+            sendHandover(head, part.members, part.range, () => undefined);
         }
     };
 
-    const bringToZone = (head: Head): void => {
+    /**
+     * Starts the forwarding of a version in the local zone. The first member in the order of the version forwards it to
+     * the whole zone. If that is another member, the version is handed over to it.
+     */
+    const startZoneSpread = (head: Head): void => {
         const ordered = orderMembers(head, fleet.members());
         const first = ordered[0];
-        if (first === undefined || first.id === self()) {
-            passOn(head, self(), WHOLE_RANGE);
+        if (first === undefined || first.id === getSelfId()) {
+            forward(head, getSelfId(), WHOLE_RANGE);
         }
         else if (!peerHeads.holds(first.id, head)) {
-            handOver(head, ordered, WHOLE_RANGE, () => passOn(head, self(), WHOLE_RANGE));
+            sendHandover(head, ordered, WHOLE_RANGE, () => forward(head, getSelfId(), WHOLE_RANGE));
         }
     };
 
-    const acknowledgeTo = (to: PeerAddress, partner: PartnerName): void => {
-        send(to, { kind: "Holding", partner, sequence: sequenceOf(partner) });
+    const sendAcknowledgement = (to: PeerAddress, partner: PartnerName): void => {
+        send(to, { kind: "Holding", partner, sequence: getSequence(partner) });
     };
 
-    /** Acknowledges and passes on; false when the version came from another zone. */
-    const fulfil = ({ from, head, range }: Handover): boolean => {
-        acknowledgeTo(from, head.partner);
+    /** Acknowledges and forwards a version. Returns false if the sender is in another zone. */
+    const completeHandover = ({ from, head, range }: Handover): boolean => {
+        sendAcknowledgement(from, head.partner);
         if (range === undefined) {
             return false;
         }
-        // A lower version needs no passing on: the one in force here has its own spread.
-        if (sequenceOf(head.partner) === head.sequence) {
-            passOn(head, from.id, range);
+        // A lower version is not forwarded, because the version in force is forwarded on its own.
+        if (getSequence(head.partner) === head.sequence) {
+            forward(head, from.id, range);
         }
         return true;
     };
 
-    /** Shows this node's heads to one of `contacts`. */
-    const showTo = (contacts: readonly PeerAddress[]): void => {
+    /** Sends this node's heads to one random node of `contacts`. */
+    const sendHeadsToOneOf = (contacts: readonly PeerAddress[]): void => {
         const contact = pickOne(random, contacts);
         if (contact !== undefined) {
             counters.headsSent += 1;
@@ -151,37 +159,42 @@
         }
     };
 
+    /** Removes and returns the pending handovers up to the version `head`. */
     const takeHandovers = (head: Head): readonly Handover[] => {
-        const handovers = waiting.get(head.partner) ?? [];
-        waiting.set(head.partner, handovers.filter((handover) => handover.head.sequence > head.sequence));
+        const handovers = pendingHandovers.get(head.partner) ?? [];
+        pendingHandovers.set(head.partner, handovers.filter((handover) => handover.head.sequence > head.sequence));
         return handovers.filter((handover) => handover.head.sequence <= head.sequence);
     };
 
     return {
         accept: (handover) => {
             const { partner, sequence } = handover.head;
-            if (sequence <= sequenceOf(partner)) {
-                fulfil(handover);
+            if (sequence <= getSequence(partner)) {
+                completeHandover(handover);
                 return;
             }
-            waiting.set(partner, [...waiting.get(partner) ?? [], handover].slice(-MAX_HANDOVERS));
+            pendingHandovers.set(
+                partner,
+                [...pendingHandovers.get(partner) ?? [], handover].slice(-MAX_PENDING_HANDOVERS),
+            );
         },
         acknowledge: (from, version) => {
             peerHeads.note(from.id, version);
             delegator.acknowledge(from.id, version);
         },
         pushToZone: (head) => {
-            const isSpreading = takeHandovers(head).map(fulfil).some((isFromZone) => isFromZone);
-            if (!isSpreading) {
-                bringToZone(head);
+            const isForwardedInZone = takeHandovers(head).map(completeHandover).some((isFromZone) => isFromZone);
+            if (!isForwardedInZone) {
+                startZoneSpread(head);
             }
         },
         pushToOtherZones: (head) => {
             for (const contacts of groupByZone(fleet.contacts()).values()) {
-                handOver(head, pickSeveral(random, contacts, contacts.length), undefined, () => undefined);
+                sendHandover(head, pickSeveral(random, contacts, contacts.length), undefined, () => undefined);
             }
         },
-        showToOtherZone: () => showTo(pickOne(random, [...groupByZone(fleet.contacts()).values()]) ?? []),
-        showToOtherZones: () => [...groupByZone(fleet.contacts()).values()].forEach(showTo),
+        sendHeadsToRandomZone: () =>
+            sendHeadsToOneOf(pickOne(random, [...groupByZone(fleet.contacts()).values()]) ?? []),
+        sendHeadsToOtherZones: () => [...groupByZone(fleet.contacts()).values()].forEach(sendHeadsToOneOf),
     };
 };
