--- a/packages/oleandergap-configuration/src/store/deltaHistory.ts
+++ b/packages/oleandergap-configuration/src/store/deltaHistory.ts
@@ -1,11 +1,11 @@
 /** Retains the latest deltas of one partner for peers that are a few versions behind. */
-import { getBaseSequence, MAX_CELLS_PER_STEP, type Delta, type Sequence } from "oleandergap-types";
+import { getBaseSequence, MAX_CELLS_PER_DELTA, type Delta, type Sequence } from "oleandergap-types";
 
 /**
  * Maximum number of changed cells in the history, so that many large changes cannot exhaust the memory of a node: the
  * size of the largest delta, 6 MB of heap (20,000 cells of routes).
  */
-const MAX_RETAINED_CHANGES = MAX_CELLS_PER_STEP;
+const MAX_RETAINED_CHANGES = MAX_CELLS_PER_DELTA;
 
 /** Consecutive deltas that end at the active version. */
 export interface DeltaHistory {
--- a/packages/oleandergap-configuration/src/version/delta.ts
+++ b/packages/oleandergap-configuration/src/version/delta.ts
@@ -83,7 +83,7 @@
         return undefined;
     }
     const maximumUsefulLength = Math.max(MAX_CELLS_PER_CHANGE, MAX_CHANGED_SHARE * after.cellCount);
-    const maximumLength = Math.min(MAX_CELLS_PER_STEP, maximumUsefulLength);
+    const maximumLength = Math.min(MAX_CELLS_PER_DELTA, maximumUsefulLength);
     // The first version of a node differs completely from the preceding empty document. This check avoids collecting
     // its ten thousand changes.
     if (countUnsharedRowCells(rows, before, after) > maximumLength) {
--- a/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
@@ -49,7 +49,7 @@
             expect(from).to.deep.equal({ id: "hall-a-1", zone: "hall-a", address: "127.0.0.1", controlPort: 1_024 });
             receivedMessages.push(received);
         });
-        await spread.others.open((payload) => passedOn.push(payload), new AbortController().signal)();
+        await spread.remainingTransport.open((payload) => passedOn.push(payload), new AbortController().signal)();
         spread.send(to, message);
         const [payload] = loop.sent;
         expect(payload?.length).to.be.within(1, 400);
--- a/packages/oleandergap-idempotency/src/ownership/nodeLease.ts
+++ b/packages/oleandergap-idempotency/src/ownership/nodeLease.ts
@@ -43,7 +43,7 @@
  * rejects the next renewal, which then reads the row.
  */
 const getNextVersion = (version: RowVersion | undefined): RowVersion =>
-    ({ era: version?.era ?? UNTOLD_ERA, version: (version?.version ?? 0) + 1 });
+    ({ era: version?.era ?? DEFAULT_STORE_ERA, version: (version?.version ?? 0) + 1 });
 
 export const createNodeLease = (dependencies: NodeLeaseDependencies): NodeLease => {
     const { reader, writer, clock, logger, holder, options } = dependencies;
--- a/packages/oleandergap-node/src/stopNode.ts
+++ b/packages/oleandergap-node/src/stopNode.ts
@@ -92,7 +92,7 @@
     await Promise.race([closed, clock.sleep(MAX_CLOSE_MS, signal)]);
 };
 
-/** Stops the node. Resolves when the process may end, at most `STOP_END_MS` after the drain timeout. */
+/** Stops the node. Resolves when the process may end, at most `MAX_STOP_OVERRUN_MS` after the drain timeout. */
 export const stopNode = async (dependencies: LifecycleDependencies, listeners: NodeListeners): Promise<void> => {
     const { options, clock, readiness, signal } = dependencies;
     // The limit's signal aborts at the drain timeout, or when `signal` aborts to stop everything immediately.
--- a/packages/oleandergap-platform/src/__tests__/tableState.test.ts
+++ b/packages/oleandergap-platform/src/__tests__/tableState.test.ts
@@ -10,7 +10,7 @@
 } from "oleandergap-types";
 import { createTableState } from "../tableState.js";
 
-const createRowVersion = (version: number): RowVersion => ({ era: UNTOLD_ERA, version });
+const createRowVersion = (version: number): RowVersion => ({ era: DEFAULT_STORE_ERA, version });
 
 const keys = ["a/1", "a/2", "a/3", "ab/1", "b/1"];
 
