--- a/packages/oleandergap-configuration/src/__tests__/configurationStore.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/configurationStore.test.ts
@@ -129,7 +129,7 @@
     const expectedDocument = chain.documents[document.sequence];
     expect(document.cells).to.deep.equal(expectedDocument?.cells);
     expect(document.digest).to.equal(expectedDocument?.digest);
-    const table = store.view().get(PARTNER);
+    const table = store.getTables().get(PARTNER);
     const parsed = parseTable(createDocument(PARTNER, document.sequence, { ...expectedDocument?.cells }));
     expect(formatTable(table)).to.equal(either.isRight(parsed) ? formatTable(parsed.right) : "an invalid version");
     for (const row of table?.services.values() ?? []) {
@@ -161,15 +161,15 @@
         fastCheck.assert(fastCheck.property(runArbitrary, ([steps, offers]) => {
             const chain = buildChain(PARTNER, steps);
             const store = createStore();
-            const otherTable = store.view().get("kushiro");
+            const otherTable = store.getTables().get("kushiro");
             for (const offer of offers) {
                 const activeSequence = store.document(PARTNER).sequence;
-                const tablesBefore = store.view();
+                const tablesBefore = store.getTables();
                 const formattedBefore = formatTable(tablesBefore.get(PARTNER));
                 runOffer(store, chain, offer);
                 expect(store.document(PARTNER).sequence).to.equal(predictSequence(chain, activeSequence, offer));
                 expect(formatTable(tablesBefore.get(PARTNER))).to.equal(formattedBefore);
-                expect(store.view().get("kushiro")).to.equal(otherTable);
+                expect(store.getTables().get("kushiro")).to.equal(otherTable);
                 checkCompleteVersion(store, chain);
                 checkHistory(store, chain);
             }
--- a/packages/oleandergap-configuration/src/__tests__/largeVersions.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/largeVersions.test.ts
@@ -60,6 +60,6 @@
         const outcome = store.offerDocument(createDocument(PARTNER, 12, createTableCells(4_000)));
         expect(either.isRight(outcome)).to.equal(true);
         expect(store.heads()[0]?.sequence).to.equal(12);
-        expect(store.view().get(PARTNER)?.routes.size).to.equal(4_000);
+        expect(store.getTables().get(PARTNER)?.routes.size).to.equal(4_000);
     });
 });
--- a/packages/oleandergap-configuration/src/store/configurationStore.ts
+++ b/packages/oleandergap-configuration/src/store/configurationStore.ts
@@ -37,7 +37,7 @@
  */
 export interface ConfigurationStore {
     /** Returns the active tables. The returned map is never modified; a request uses the same map until its end. */
-    readonly view: () => TableView;
+    readonly getTables: () => TableView;
     readonly heads: () => readonly Head[];
     /** Returns the active version, or the empty document if the settings do not contain the partner. */
     readonly document: (partner: PartnerName) => PartnerDocument;
@@ -112,7 +112,7 @@
     };
 
     return {
-        view: () => view,
+        getTables: () => view,
         heads: () => [...stores.values()].map((store) => getDocumentHead(store.document())),
         document: (partner) => stores.get(partner)?.document() ?? createEmptyDocument(partner),
         offerDocument: (document) => runOffer(document.partner, (store) => store.offerDocument(document)),
--- a/packages/oleandergap-configuration/src/version/document.ts
+++ b/packages/oleandergap-configuration/src/version/document.ts
@@ -67,7 +67,7 @@
 /**
  * Creates a document from cells that are already grouped by row; no row may be empty. See also {@link createDocument}.
  */
-export const createDocumentOfRows = (
+export const createDocumentFromRows = (
     partner: PartnerName,
     sequence: Sequence,
     cellsByRow: ReadonlyMap<RowKey, readonly CellEntry[]>,
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
@@ -11,7 +11,7 @@
 import { defaultDistributionOptions, type DistributionOptions } from "../options.js";
 import type { PeerError } from "../peerError.js";
 import { peerRouter } from "../peerRouter.js";
-import type { FleetPort, PeerAddress, PeerPort, SpreadOutlet } from "../ports.js";
+import type { FleetPort, PeerAddress, PeerPort, SpreadSender } from "../ports.js";
 import { createSpread, type Spread } from "../spread.js";
 import type { SpreadMessage } from "../spreadMessage.js";
 import { groupByZone } from "../zones.js";
@@ -189,7 +189,7 @@
             serveVersion(network.call(self, to, query, () => createCaller(to).document(query)), self, to),
     });
 
-    const createOutlet = (self: PeerAddress): SpreadOutlet => ({
+    const createSender = (self: PeerAddress): SpreadSender => ({
         sendHeads: (to, heads) => network.sendDatagram(self, to, HEADS_DATAGRAM_BYTES, () =>
             findNode(to).spread.receiveHeads(self, heads)),
         send: (to, message) => {
@@ -206,7 +206,7 @@
             partners: PARTNERS,
             store,
             fleet: createFleetPort(address),
-            outlet: createOutlet(address),
+            sender: createSender(address),
             peers: createPeers(address),
             source: platform.createSource(() => findNode(address).canReachPlatform),
             clock: createNodeClock(clock, () => findNode(address)),
--- a/packages/oleandergap-distribution/src/headReceiver.ts
+++ b/packages/oleandergap-distribution/src/headReceiver.ts
@@ -7,7 +7,7 @@
 import { expandDelta, type CompactDelta } from "./compactDelta.js";
 import type { SpreadOptions } from "./options.js";
 import type { PeerHeads } from "./peerHeads.js";
-import type { ConfigurationStorePort, PeerAddress, SpreadOutlet } from "./ports.js";
+import type { ConfigurationStorePort, PeerAddress, SpreadSender } from "./ports.js";
 import { readHead, type HandoverMessage, type SpreadMessage } from "./spreadMessage.js";
 import type { SpreadCounters } from "./statistics.js";
 import type { VersionPusher } from "./versionPusher.js";
@@ -16,7 +16,7 @@
 export interface HeadReceiverDependencies {
     readonly partners: readonly PartnerName[];
     readonly store: Pick<ConfigurationStorePort, "heads" | "document" | "offerDeltas">;
-    readonly outlet: Pick<SpreadOutlet, "sendHeads">;
+    readonly sender: Pick<SpreadSender, "sendHeads">;
     readonly peerHeads: PeerHeads;
     readonly pusher: Pick<VersionPusher, "accept" | "acknowledge">;
     readonly reportClaim: (claim: Claim) => void;
@@ -68,7 +68,7 @@
 export const createHeadReceiver = ({
     partners,
     store,
-    outlet,
+    sender,
     peerHeads,
     pusher,
     reportClaim,
@@ -127,7 +127,7 @@
         // The peer is ahead, but an acknowledgement contains no digest. The peer replies to the heads of this node with
         // its own heads.
         if (sequence > store.document(partner).sequence) {
-            outlet.sendHeads(from, store.heads());
+            sender.sendHeads(from, store.heads());
         }
     };
 
@@ -138,7 +138,7 @@
             }
             if (isPeerBehind(heads) && tryTakeReply(from.id)) {
                 counters.repliesSent += 1;
-                outlet.sendHeads(from, store.heads());
+                sender.sendHeads(from, store.heads());
             }
         },
         receive: (from, message) => {
--- a/packages/oleandergap-distribution/src/peerClient.ts
+++ b/packages/oleandergap-distribution/src/peerClient.ts
@@ -7,7 +7,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
-import { zoneTargetsAnswerSchema } from "oleandergap-membership";
+import { zoneTargetsResponseSchema } from "oleandergap-membership";
 import { documentSchema, type Clock } from "oleandergap-types";
 import type { z } from "zod";
 import type { PeerOptions } from "./options.js";
@@ -175,7 +175,7 @@
         document: (peer, query, signal, onProgress) =>
             call(peer, documentSchema, (client) => client.document.query(query, { signal }), signal, onProgress),
         zoneTargets: (peer, request, signal) =>
-            call(peer, zoneTargetsAnswerSchema, (client) => client.zoneTargets.query(request, { signal }), signal),
+            call(peer, zoneTargetsResponseSchema, (client) => client.zoneTargets.query(request, { signal }), signal),
         contacts: (peer, signal) =>
             call(peer, contactsResponseSchema, (client) => client.contacts.query(undefined, { signal }), signal),
         stats: () => ({ ...counts }),
--- a/packages/oleandergap-distribution/src/peerRouter.ts
+++ b/packages/oleandergap-distribution/src/peerRouter.ts
@@ -5,7 +5,7 @@
 import {
     zoneTargetsRequestSchema,
     type TargetDirectory,
-    type ZoneTargetsAnswer,
+    type ZoneTargetsResponse,
 } from "oleandergap-membership";
 import type { PartnerDocument, PartnerName } from "oleandergap-types";
 import { pickSeveral, type Random } from "oleandergap-utils";
@@ -97,7 +97,7 @@
         requirePartner(ctx.store, input.partner);
         return ctx.store.document(input.partner);
     }),
-    zoneTargets: builder.procedure.input(zoneTargetsRequestSchema).query(({ ctx, input }): ZoneTargetsAnswer =>
+    zoneTargets: builder.procedure.input(zoneTargetsRequestSchema).query(({ ctx, input }): ZoneTargetsResponse =>
         ctx.directory.answerZoneTargets(input)),
     contacts: builder.procedure.query(({ ctx }): ContactsResponse => createContactsResponse(ctx)),
 });
--- a/packages/oleandergap-distribution/src/ports.ts
+++ b/packages/oleandergap-distribution/src/ports.ts
@@ -13,7 +13,7 @@
     Sequence,
 } from "oleandergap-types";
 import type { ConfigurationSource } from "oleandergap-configuration";
-import type { ZoneTargetsAnswer, ZoneTargetsRequest } from "oleandergap-membership";
+import type { ZoneTargetsResponse, ZoneTargetsRequest } from "oleandergap-membership";
 import type { PeerError } from "./peerError.js";
 import type { ContactsResponse, HeadsResponse, PingResponse, VersionResponse } from "./peerSchemas.js";
 import type { SpreadMessage } from "./spreadMessage.js";
@@ -58,7 +58,7 @@
 }
 
 /** Sends datagrams without waiting and without a delivery guarantee. */
-export interface SpreadOutlet {
+export interface SpreadSender {
     /** Sends heads. The receiver treats them as unverified claims and pulls the version itself if a head is higher. */
     readonly sendHeads: (to: PeerAddress, heads: readonly Head[]) => void;
     readonly send: (to: PeerAddress, message: SpreadMessage) => void;
@@ -103,7 +103,7 @@
         peer: PeerAddress,
         request: ZoneTargetsRequest,
         signal: AbortSignal,
-    ) => TaskEither<PeerError, ZoneTargetsAnswer>;
+    ) => TaskEither<PeerError, ZoneTargetsResponse>;
     readonly contacts: (peer: PeerAddress, signal: AbortSignal) => TaskEither<PeerError, ContactsResponse>;
 }
 
--- a/packages/oleandergap-distribution/src/spread.ts
+++ b/packages/oleandergap-distribution/src/spread.ts
@@ -16,7 +16,7 @@
     ConfigurationStorePort,
     FleetPort,
     PeerPort,
-    SpreadOutlet,
+    SpreadSender,
 } from "./ports.js";
 import { createReadBudget, type ReadBudget } from "./readBudget.js";
 import { recoverConfiguration, type RecoveryOutcome } from "./recovery.js";
@@ -30,7 +30,7 @@
     readonly partners: readonly PartnerName[];
     readonly store: ConfigurationStorePort;
     readonly fleet: FleetPort;
-    readonly outlet: SpreadOutlet;
+    readonly sender: SpreadSender;
     readonly peers: PeerPort;
     readonly source: ConfigurationSourcePort;
     readonly clock: Clock;
--- a/packages/oleandergap-distribution/src/versionHandover.ts
+++ b/packages/oleandergap-distribution/src/versionHandover.ts
@@ -4,12 +4,12 @@
 import type { Delegator } from "./delegation.js";
 import type { SpreadOptions } from "./options.js";
 import type { PeerHeads } from "./peerHeads.js";
-import type { ConfigurationStorePort, FleetMember, FleetPort, PeerAddress, SpreadOutlet } from "./ports.js";
+import type { ConfigurationStorePort, FleetMember, FleetPort, PeerAddress, SpreadSender } from "./ports.js";
 import type { ScoreRange } from "./scoreRange.js";
 import type { SpreadMessage } from "./spreadMessage.js";
 
 /** Sends a message without a delivery guarantee. */
-export type SendSpreadMessage = SpreadOutlet["send"];
+export type SendSpreadMessage = SpreadSender["send"];
 
 /** Dependencies of the handover sender. */
 export interface HandoverSenderDependencies {
--- a/packages/oleandergap-distribution/src/versionPusher.ts
+++ b/packages/oleandergap-distribution/src/versionPusher.ts
@@ -9,7 +9,7 @@
 import { createDelegator, type HeldVersion } from "./delegation.js";
 import type { SpreadOptions } from "./options.js";
 import type { PeerHeads } from "./peerHeads.js";
-import type { ConfigurationStorePort, FleetPort, PeerAddress, SpreadOutlet } from "./ports.js";
+import type { ConfigurationStorePort, FleetPort, PeerAddress, SpreadSender } from "./ports.js";
 import { divideRange, orderMembers, WHOLE_RANGE, type ScoreRange } from "./scoreRange.js";
 import type { SpreadCounters } from "./statistics.js";
 import { createHandoverSender, type SendSpreadMessage } from "./versionHandover.js";
@@ -19,7 +19,7 @@
 export interface VersionPusherDependencies {
     readonly store: Pick<ConfigurationStorePort, "heads" | "document" | "deltaTo">;
     readonly fleet: FleetPort;
-    readonly outlet: SpreadOutlet;
+    readonly sender: SpreadSender;
     readonly peerHeads: PeerHeads;
     readonly clock: Clock;
     readonly random: Random;
@@ -58,9 +58,9 @@
  */
 const MAX_PENDING_HANDOVERS = 16;
 
-const createCountingSend = (outlet: SpreadOutlet, counters: SpreadCounters): SendSpreadMessage => (to, message) => {
+const createCountingSend = (sender: SpreadSender, counters: SpreadCounters): SendSpreadMessage => (to, message) => {
     counters.messagesSent += 1;
-    outlet.send(to, message);
+    sender.send(to, message);
 };
 
 /** The requests to forward one version that this node has handled, by requester and range. */
@@ -73,7 +73,7 @@
 export const createVersionPusher = ({
     store,
     fleet,
-    outlet,
+    sender,
     peerHeads,
     clock,
     random,
@@ -87,7 +87,7 @@
     const getSequence = (partner: PartnerName): Sequence => store.document(partner).sequence;
     const delegator = createDelegator({ self: getSelfId, getSequence, clock, signal });
 
-    const send = createCountingSend(outlet, counters);
+    const send = createCountingSend(sender, counters);
     const sendHandover = createHandoverSender({ store, delegator, fleet, peerHeads, options, send });
 
     /** Records a request. Returns false for a repeated request, such as one whose acknowledgement was lost. */
@@ -155,7 +155,7 @@
         const contact = pickOne(random, contacts);
         if (contact !== undefined) {
             counters.headsSent += 1;
-            outlet.sendHeads(contact, store.heads());
+            sender.sendHeads(contact, store.heads());
         }
     };
 
--- a/packages/oleandergap-idempotency/src/__tests__/claimKeeper.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimKeeper.test.ts
@@ -3,24 +3,24 @@
 import {
     HEALTHY,
     TIMEOUT,
-    createKeeperHarness,
+    createClaimHarness,
     expectFailure,
     expectGranted,
-    type KeeperHarness,
-    type KeeperNode,
+    type ClaimHarness,
+    type ClaimNode,
 } from "./support/keeperHarness.js";
 
 const KEY = "lodgement-0001";
 const DAY = 24 * 3600 * 1000;
 const DUPLICATE = { kind: "DuplicateKey", verdict: "mayHaveRun", retryAfterMs: 1000 };
 
-describe("createClaimKeeper", () => {
-    let harness: KeeperHarness;
-    let first: KeeperNode;
-    let second: KeeperNode;
+describe("createClaimManager", () => {
+    let harness: ClaimHarness;
+    let first: ClaimNode;
+    let second: ClaimNode;
 
     beforeEach(() => {
-        harness = createKeeperHarness();
+        harness = createClaimHarness();
         first = harness.startNode("node-1");
         second = harness.startNode("node-2");
     });
@@ -107,9 +107,9 @@
         await harness.clock.advance(5);
         const refusal = expectFailure(await pending);
         expect(refusal).to.include({ kind: "Refused", verdict: "notRun", reason: "ClaimUnavailable" });
-        const transactionsBefore = first.keeper.stats().transactions;
+        const transactionsBefore = first.claimManager.stats().transactions;
         expect(expectFailure(await first.startClaim("lodgement-0002"))).to.include({ reason: "ClaimUnavailable" });
-        expect(first.keeper.stats().transactions).to.equal(transactionsBefore);
+        expect(first.claimManager.stats().transactions).to.equal(transactionsBefore);
         await harness.clock.advance(10_000);
         expectGranted(await first.claim(KEY));
     });
@@ -155,13 +155,13 @@
     // when the condition of one key fails.
     it("commits the other claims of a batch when one key is already claimed", async () => {
         expectGranted(await second.claim("lodgement-0007"));
-        const before = first.keeper.stats().transactions;
+        const before = first.claimManager.stats().transactions;
         const keys = Array.from({ length: 64 }, (_, index) => `lodgement-${String(index).padStart(4, "0")}`);
         const pending = keys.map((key) => first.startClaim(key));
         await harness.clock.advance(50);
         const results = await Promise.all(pending);
         expect(results.filter(either.isRight)).to.have.length(63);
-        expect(first.keeper.stats().transactions - before).to.equal(2);
+        expect(first.claimManager.stats().transactions - before).to.equal(2);
     });
 
     // Guards against a request that runs again after a day: its row is deleted after the retention time, and a repeated
--- a/packages/oleandergap-idempotency/src/__tests__/claimModel.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimModel.test.ts
@@ -1,12 +1,12 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
-import { claimOptionsSchema, createClaimKeeper } from "../index.js";
+import { claimOptionsSchema, createClaimManager } from "../index.js";
 import { createOutcomeChooser } from "../measure/fates.js";
 import { createClaimingNode, createNaiveNode } from "../measure/simulatedNode.js";
 import { NODES, runArbitrary, send, simulate, type StartNode, type Simulation } from "./support/modelWorld.js";
 import { silentLogger } from "./support/quietLogger.js";
 
-const startDurable: StartNode = (simulation, index) => createClaimingNode(simulation, (clock) => createClaimKeeper({
+const startDurable: StartNode = (simulation, index) => createClaimingNode(simulation, (clock) => createClaimManager({
     tableService: simulation.table.connect(
         clock,
         createOutcomeChooser(simulation.random, () => simulation.platformMode),
--- a/packages/oleandergap-idempotency/src/__tests__/hangingPlatform.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/hangingPlatform.test.ts
@@ -2,12 +2,12 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { CallOutcome } from "../measure/memoryTable.js";
 import {
-    createKeeperHarness,
+    createClaimHarness,
     expectFailure,
     expectGranted,
     TIMEOUT,
-    type KeeperHarness,
-    type KeeperNode,
+    type ClaimHarness,
+    type ClaimNode,
 } from "./support/keeperHarness.js";
 
 /** Default value of `answerTimeoutMs`. */
@@ -21,12 +21,12 @@
     repeatOutcome({ kind: "Hangs", failsAfterMs: CALL_TIMEOUT, takesEffectAfterMs });
 const formatKey = (index: number): string => `lodgement-${String(index).padStart(4, "0")}`;
 
-describe("createClaimKeeper while the platform hangs", () => {
-    let harness: KeeperHarness;
-    let node: KeeperNode;
+describe("createClaimManager while the platform hangs", () => {
+    let harness: ClaimHarness;
+    let node: ClaimNode;
 
     beforeEach(() => {
-        harness = createKeeperHarness();
+        harness = createClaimHarness();
         node = harness.startNode("node-1");
     });
     afterEach(() => harness.stop());
@@ -44,9 +44,9 @@
     it("refuses the first claim long before its deadline and the next ones immediately without a call", async () => {
         node.writeOutcomes.push(...createHangingCalls());
         expect(await claimDuringHang()).to.include(UNAVAILABLE);
-        const transactionsBefore = node.keeper.stats().transactions;
+        const transactionsBefore = node.claimManager.stats().transactions;
         expect(expectFailure(await node.startClaim(formatKey(1)))).to.include(UNAVAILABLE);
-        expect(node.keeper.stats().transactions).to.equal(transactionsBefore);
+        expect(node.claimManager.stats().transactions).to.equal(transactionsBefore);
     });
 
     // Guards against callers that retry after the retry-after time and then all wait for a timeout again: at the end of
@@ -105,7 +105,7 @@
         expect(await claimDuringHang()).to.include(UNAVAILABLE);
         node.writeOutcomes.length = 0;
         await harness.clock.advance(20 * CALL_TIMEOUT);
-        expect(node.keeper.stats().granted).to.equal(0);
+        expect(node.claimManager.stats().granted).to.equal(0);
         expectGranted(await harness.startNode("node-2").claim(formatKey(0)));
     });
 
--- a/packages/oleandergap-idempotency/src/__tests__/support/keeperHarness.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/keeperHarness.ts
@@ -3,7 +3,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { RequestFailure } from "oleandergap-types";
 import { createManualClock, createSeededRandom, type ManualClock } from "oleandergap-utils";
-import { claimOptionsSchema, createClaimKeeper, type Claim, type ClaimKeeper, type ClaimResult } from "../../index.js";
+import { claimOptionsSchema, createClaimManager, type Claim, type ClaimManager, type ClaimResult } from "../../index.js";
 import { createFreezableClock, type FreezableClock } from "../../measure/freezableClock.js";
 import { createMemoryTable, type CallOutcome, type MemoryTable } from "../../measure/memoryTable.js";
 import { SIMULATED_SERVICE } from "../../measure/simulatedNode.js";
@@ -15,8 +15,8 @@
 /** Time that is enough for a release and a subsequent claim, in milliseconds. */
 const CLAIM_TIME = 50;
 
-export interface KeeperNode {
-    readonly keeper: ClaimKeeper;
+export interface ClaimNode {
+    readonly claimManager: ClaimManager;
     readonly clock: FreezableClock;
     /** Outcomes of the next writes; after them, all writes succeed. */
     readonly writeOutcomes: CallOutcome[];
@@ -26,26 +26,26 @@
     readonly startClaim: (key: string, signal?: AbortSignal) => Promise<ClaimResult>;
 }
 
-export interface KeeperHarness {
+export interface ClaimHarness {
     readonly clock: ManualClock;
     readonly table: MemoryTable;
-    readonly startNode: (nodeId: string) => KeeperNode;
+    readonly startNode: (nodeId: string) => ClaimNode;
     readonly stop: () => void;
 }
 
-export const createKeeperHarness = (): KeeperHarness => {
+export const createClaimHarness = (): ClaimHarness => {
     const clock = createManualClock();
     const table = createMemoryTable(clock);
     const controller = new AbortController();
     setMaxListeners(0, controller.signal);
     let startCount = 0;
 
-    const startNode = (nodeId: string): KeeperNode => {
+    const startNode = (nodeId: string): ClaimNode => {
         const nodeClock = createFreezableClock(clock);
         const writeOutcomes: CallOutcome[] = [];
         const chooseOutcome = (call: "read" | "write"): CallOutcome =>
             call === "write" ? writeOutcomes.shift() ?? HEALTHY : HEALTHY;
-        const keeper = createClaimKeeper({
+        const keeper = createClaimManager({
             tableService: table.connect(nodeClock, chooseOutcome),
             clock: nodeClock,
             random: createSeededRandom(1),
@@ -58,7 +58,7 @@
         const start = (key: string, fingerprint: string, signal: AbortSignal): Promise<ClaimResult> =>
             keeper.claim({ ...SIMULATED_SERVICE, key, fingerprint, deadline: clock.monotonic() + TIMEOUT }, signal);
         return {
-            keeper,
+            claimManager: keeper,
             clock: nodeClock,
             writeOutcomes,
             startClaim: (key, signal = controller.signal) => start(key, "same", signal),
--- a/packages/oleandergap-idempotency/src/claim/claimKeeper.ts
+++ b/packages/oleandergap-idempotency/src/claim/claimKeeper.ts
@@ -65,7 +65,7 @@
     readonly reads: number;
 }
 
-export interface ClaimKeeper {
+export interface ClaimManager {
     /** Claims the key of a request. `signal` aborts when the caller disconnects. */
     readonly claim: (request: ClaimRequest, signal: AbortSignal) => Promise<ClaimResult>;
     /** Reads the key's row without claiming the key: returns a known outcome, or the failure that it may have run. */
@@ -75,7 +75,7 @@
     readonly stats: () => ClaimStats;
 }
 
-export interface ClaimKeeperDependencies {
+export interface ClaimManagerDependencies {
     readonly tableService: TableService;
     readonly clock: Clock;
     readonly random: Random;
@@ -109,7 +109,7 @@
     return lifetimeSignal;
 };
 
-export const createClaimKeeper = (baseDependencies: ClaimKeeperDependencies): ClaimKeeper => {
+export const createClaimManager = (baseDependencies: ClaimManagerDependencies): ClaimManager => {
     const dependencies = { ...baseDependencies, signal: createLifetimeSignal(baseDependencies.signal) };
     const { clock, nodeId, bootId, options } = dependencies;
     const reader = createBatchReader(dependencies);
@@ -218,7 +218,7 @@
         return result;
     };
 
-    const lookUp: ClaimKeeper["lookUp"] = async (request, signal) => {
+    const lookUp: ClaimManager["lookUp"] = async (request, signal) => {
         const pendingRead = reader.read(formatClaimRowKey(request, request.key));
         const found = await waitUntil(pendingRead, request.deadline, clock, signal);
         const row = found.kind === "Finished" && either.isRight(found.value) ? found.value.right : undefined;
--- a/packages/oleandergap-idempotency/src/index.ts
+++ b/packages/oleandergap-idempotency/src/index.ts
@@ -11,10 +11,10 @@
 } from "./claim/claimKey.js";
 export { claimRowSchema, type ClaimRow } from "./claim/claimRow.js";
 export {
-    createClaimKeeper,
+    createClaimManager,
     type ClaimGrant,
-    type ClaimKeeper,
-    type ClaimKeeperDependencies,
+    type ClaimManager,
+    type ClaimManagerDependencies,
     type ClaimRequest,
     type ClaimResult,
     type ClaimStats,
@@ -23,11 +23,11 @@
 export { createClaimSweeper, type ClaimSweeper, type ClaimSweeperDependencies } from "./claim/claimSweeper.js";
 export { computeFingerprint, type FingerprintedRequest } from "./claim/fingerprint.js";
 export { claimOptionsSchema, ownershipOptionsSchema, type ClaimOptions, type OwnershipOptions } from "./options.js";
-export { createOwnedClaimKeeper, type OwnedClaimKeeperDependencies } from "./ownership/ownedClaimKeeper.js";
+export { createOwnedClaimManager, type OwnedClaimManagerDependencies } from "./ownership/ownedClaimKeeper.js";
 export {
     createPartitionOwnership,
     type PartitionOwnership,
     type PartitionOwnershipDependencies,
 } from "./ownership/partitionOwnership.js";
 export type { AcceptKey, KeyDecision } from "./ownership/keyAcceptance.js";
-export { ownerOf, getPartition, rankOwners } from "./ownership/partitions.js";
+export { findOwner, getPartition, rankOwners } from "./ownership/partitions.js";
--- a/packages/oleandergap-idempotency/src/measure/atMostOnce.ts
+++ b/packages/oleandergap-idempotency/src/measure/atMostOnce.ts
@@ -6,7 +6,7 @@
 import { setMaxListeners } from "node:events";
 import type { Logger } from "oleandergap-logger";
 import { createManualClock, createSeededRandom, pickIndex, type ManualClock, type Random } from "oleandergap-utils";
-import { createClaimKeeper } from "../claim/claimKeeper.js";
+import { createClaimManager } from "../claim/claimKeeper.js";
 import { claimOptionsSchema, ownershipOptionsSchema } from "../options.js";
 import { createOutcomeChooser, type PlatformMode } from "./fates.js";
 import { createMemoryTable, type MemoryTable } from "./memoryTable.js";
@@ -96,7 +96,7 @@
             case "naive":
                 return createNaiveNode(shared);
             case "durable":
-                return createClaimingNode(shared, (nodeClock) => createClaimKeeper(
+                return createClaimingNode(shared, (nodeClock) => createClaimManager(
                     { ...shared, clock: nodeClock, tableService: connect(nodeClock), options: claimOptions },
                 ));
             case "owned":
--- a/packages/oleandergap-idempotency/src/measure/claimCost.ts
+++ b/packages/oleandergap-idempotency/src/measure/claimCost.ts
@@ -3,7 +3,7 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock } from "oleandergap-types";
 import { createManualClock, createSeededRandom, createSystemClock, type Random } from "oleandergap-utils";
-import { createClaimKeeper, type ClaimKeeper, type ClaimKeeperDependencies } from "../claim/claimKeeper.js";
+import { createClaimManager, type ClaimManager, type ClaimManagerDependencies } from "../claim/claimKeeper.js";
 import { claimOptionsSchema, ownershipOptionsSchema } from "../options.js";
 import { createPartitionOwnership } from "../ownership/partitionOwnership.js";
 import { createMemoryTable, type MemoryTable } from "./memoryTable.js";
@@ -33,7 +33,7 @@
     return user + system;
 };
 
-const claimAndComplete = async (keeper: ClaimKeeper, key: string, signal: AbortSignal): Promise<void> => {
+const claimAndComplete = async (keeper: ClaimManager, key: string, signal: AbortSignal): Promise<void> => {
     const deadline = Number.POSITIVE_INFINITY;
     const result = await keeper.claim({ ...SIMULATED_SERVICE, key, fingerprint: "same", deadline }, signal);
     if (result._tag === "Right" && result.right.kind === "Granted") {
@@ -47,7 +47,7 @@
     readonly controller: AbortController;
     readonly random: Random;
     readonly table: MemoryTable;
-    readonly dependencies: Omit<ClaimKeeperDependencies, "options">;
+    readonly dependencies: Omit<ClaimManagerDependencies, "options">;
 }
 
 /**
@@ -72,7 +72,7 @@
 export const measureDurableCost = async (concurrent: number, rounds: number): Promise<CostFigures> => {
     const { controller, random, table, dependencies } = createMeasurementSetup(createSystemClock());
     const options = claimOptionsSchema.parse({ batchWindowMs: 1 });
-    const keeper = createClaimKeeper({ ...dependencies, options });
+    const keeper = createClaimManager({ ...dependencies, options });
     // The timers of the clock do not keep the process alive.
     const keepAlive = setInterval(doNothing, KEEP_ALIVE_PERIOD);
     const before = getProcessorTime();
--- a/packages/oleandergap-idempotency/src/measure/ownedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/ownedNode.ts
@@ -3,9 +3,9 @@
 import type { Clock } from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
 import type { Random } from "oleandergap-utils";
-import { createClaimKeeper } from "../claim/claimKeeper.js";
+import { createClaimManager } from "../claim/claimKeeper.js";
 import type { ClaimOptions, OwnershipOptions } from "../options.js";
-import { createOwnedClaimKeeper } from "../ownership/ownedClaimKeeper.js";
+import { createOwnedClaimManager } from "../ownership/ownedClaimKeeper.js";
 import { createPartitionOwnership, type PartitionOwnership } from "../ownership/partitionOwnership.js";
 import { createClaimingNode, SIMULATED_SERVICE, type SimulatedNode, type SimulatedNodeDependencies } from "./simulatedNode.js";
 
@@ -29,7 +29,7 @@
     const ownerships: PartitionOwnership[] = [];
     const node = createClaimingNode(dependencies, (clock) => {
         const shared = { ...dependencies, clock, tableService: connect(clock) };
-        const keeper = createClaimKeeper({ ...shared, options: claimOptions });
+        const keeper = createClaimManager({ ...shared, options: claimOptions });
         const ownership = createPartitionOwnership({
             ...shared,
             options: ownershipOptions,
@@ -39,7 +39,7 @@
         });
         ownerships.push(ownership);
         void ownership.start(signal);
-        return createOwnedClaimKeeper({ keeper, ownership, clock, claimOptions });
+        return createOwnedClaimManager({ claimManager: keeper, ownership, clock, claimOptions });
     });
     const [ownership] = ownerships;
     if (ownership === undefined) {
--- a/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
@@ -5,7 +5,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import type { ClaimKeeper, ClaimResult } from "../claim/claimKeeper.js";
+import type { ClaimManager, ClaimResult } from "../claim/claimKeeper.js";
 import type { Claim } from "../claim/localClaims.js";
 import { createFreezableClock, type FreezableClock } from "./freezableClock.js";
 import type { SimulatedTarget, CallerResult } from "./simulatedTarget.js";
@@ -45,7 +45,7 @@
 /** Creates a node that runs a request only with a claim. `createKeeper` creates the source of its claims. */
 export const createClaimingNode = (
     dependencies: SimulatedNodeDependencies,
-    createKeeper: (clock: Clock) => ClaimKeeper,
+    createKeeper: (clock: Clock) => ClaimManager,
 ): SimulatedNode => {
     const { random, target, signal } = dependencies;
     const clock = createFreezableClock(dependencies.clock, dependencies.wallClockOffset);
--- a/packages/oleandergap-idempotency/src/ownership/ownedClaimKeeper.ts
+++ b/packages/oleandergap-idempotency/src/ownership/ownedClaimKeeper.ts
@@ -5,22 +5,22 @@
  */
 import * as either from "fp-ts/lib/Either.js";
 import { parseIdempotencyKey, readKeyTime } from "../claim/claimKey.js";
-import type { ClaimKeeper, ClaimRequest, ClaimResult } from "../claim/claimKeeper.js";
+import type { ClaimManager, ClaimRequest, ClaimResult } from "../claim/claimKeeper.js";
 import { checkKeyTime } from "../claim/keyTime.js";
 import type { ClaimOptions } from "../options.js";
 import type { Clock } from "oleandergap-types";
 import type { PartitionOwnership } from "./partitionOwnership.js";
 
-export interface OwnedClaimKeeperDependencies {
+export interface OwnedClaimManagerDependencies {
     /** Decides on keys without a timestamp, and on keys that ownership cannot decide from memory. */
-    readonly keeper: ClaimKeeper;
+    readonly claimManager: ClaimManager;
     readonly ownership: PartitionOwnership;
     readonly clock: Clock;
     readonly claimOptions: ClaimOptions;
 }
 
-export const createOwnedClaimKeeper = (dependencies: OwnedClaimKeeperDependencies): ClaimKeeper => {
-    const { keeper, ownership, clock, claimOptions } = dependencies;
+export const createOwnedClaimManager = (dependencies: OwnedClaimManagerDependencies): ClaimManager => {
+    const { claimManager, ownership, clock, claimOptions } = dependencies;
 
     const decide = async (request: ClaimRequest, keyTime: number, signal: AbortSignal): Promise<ClaimResult> => {
         const decision = ownership.acceptKey(request, keyTime);
@@ -30,13 +30,13 @@
             case "Decided":
                 return decision.result;
             case "ClaimDurably":
-                return keeper.claim(request, signal);
+                return claimManager.claim(request, signal);
             case "LookUp":
-                return keeper.lookUp(request, signal);
+                return claimManager.lookUp(request, signal);
         }
     };
 
-    const claim: ClaimKeeper["claim"] = async (request, signal) => {
+    const claim: ClaimManager["claim"] = async (request, signal) => {
         const checkedKey = either.chain((parsed: string) => checkKeyTime(parsed, clock.now(), claimOptions))(
             parseIdempotencyKey(request.key),
         );
@@ -45,9 +45,9 @@
         }
         const keyTime = readKeyTime(checkedKey.right);
         return keyTime === undefined ?
-            keeper.claim(request, signal) :
+            claimManager.claim(request, signal) :
             decide({ ...request, key: checkedKey.right }, keyTime, signal);
     };
 
-    return { ...keeper, claim };
+    return { ...claimManager, claim };
 };
--- a/packages/oleandergap-idempotency/src/ownership/partitions.ts
+++ b/packages/oleandergap-idempotency/src/ownership/partitions.ts
@@ -15,7 +15,7 @@
     rankByRendezvous(formatPartitionKey(reference), members, (member) => member);
 
 /** Returns the node that should own `key`, or undefined when there is no member. */
-export const ownerOf = (
+export const findOwner = (
     service: ServiceReference,
     key: string,
     members: readonly NodeId[],
--- a/packages/oleandergap-measure/src/naive/naivePolling.ts
+++ b/packages/oleandergap-measure/src/naive/naivePolling.ts
@@ -5,11 +5,11 @@
 import { setMaxListeners } from "node:events";
 import type { Socket } from "node:net";
 import {
-    rowsAnswerSchema,
+    rowsResponseSchema,
     TABLE_READ_PATH,
     TABLE_SCAN_PATH,
     type ReadRequest,
-    type RowsAnswer,
+    type RowsResponse,
     type ScanRequest,
 } from "oleandergap-platform";
 import type { Clock, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
@@ -77,7 +77,7 @@
     sockets.reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0);
 
 /** Throws when the platform refuses or cannot be reached. */
-const postRows = async (client: Client, path: string, body: ReadRequest | ScanRequest): Promise<RowsAnswer["rows"]> => {
+const postRows = async (client: Client, path: string, body: ReadRequest | ScanRequest): Promise<RowsResponse["rows"]> => {
     const answer = await client.request({
         method: "POST",
         path,
@@ -88,7 +88,7 @@
     if (answer.statusCode !== HTTP_OK) {
         throw new Error(`platform answered ${answer.statusCode}`);
     }
-    return rowsAnswerSchema.parse(JSON.parse(text)).rows;
+    return rowsResponseSchema.parse(JSON.parse(text)).rows;
 };
 
 interface Poller {
--- a/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
@@ -6,7 +6,7 @@
     targetDirectoryOptionsSchema,
     type FetchZone,
     type TargetDirectory,
-    type ZoneTargetsAnswer,
+    type ZoneTargetsResponse,
 } from "../index.js";
 import { createTestCluster, createSeed, createTarget, type TestNode, type TestCluster } from "./testZone.js";
 
@@ -18,7 +18,7 @@
     readonly nodesB: readonly TestNode[];
     /** Target directory of the first node of zone A. */
     readonly directory: TargetDirectory;
-    readonly answers: ZoneTargetsAnswer[];
+    readonly answers: ZoneTargetsResponse[];
     readonly link: { isPartitioned: boolean };
 }
 
@@ -30,7 +30,7 @@
         Array.from({ length: 16 }, (_, index) => cluster.startNode(first + index, { zone, seeds }));
     const nodesA = start(0, "zone-a");
     const nodesB = start(40, "zone-b");
-    const answers: ZoneTargetsAnswer[] = [];
+    const answers: ZoneTargetsResponse[] = [];
     const link = { isPartitioned: false };
     const createDirectory = (node: TestNode, fetchZone: FetchZone): TargetDirectory =>
         createTargetDirectory({
--- a/packages/oleandergap-membership/src/localTargets.ts
+++ b/packages/oleandergap-membership/src/localTargets.ts
@@ -9,13 +9,13 @@
 import {
     MAX_TARGETS_PER_SERVICE,
     type TargetMember,
-    type ZoneTargetsAnswer,
+    type ZoneTargetsResponse,
     type ZoneTargetsRequest,
 } from "./targetDirectoryTypes.js";
 
 export interface LocalTargets {
     readonly targetsOf: (service: ServiceReference) => readonly TargetMember[];
-    readonly answer: (request: ZoneTargetsRequest) => ZoneTargetsAnswer;
+    readonly answer: (request: ZoneTargetsRequest) => ZoneTargetsResponse;
     /** Returns the digest of all targets of the local zone. */
     readonly zoneDigest: () => number;
 }
@@ -26,7 +26,7 @@
     digest: string | undefined;
 }
 
-type ServiceAnswer = ZoneTargetsAnswer["services"][number];
+type ServiceAnswer = ZoneTargetsResponse["services"][number];
 
 const toTargetMember = (member: Member, target: NonNullable<Member["target"]>): TargetMember => ({
     nodeId: member.id,
--- a/packages/oleandergap-membership/src/remoteTargets.ts
+++ b/packages/oleandergap-membership/src/remoteTargets.ts
@@ -16,7 +16,7 @@
     MAX_SERVICES_PER_REQUEST,
     type FetchZone,
     type TargetMember,
-    type ZoneTargetsAnswer,
+    type ZoneTargetsResponse,
 } from "./targetDirectoryTypes.js";
 import type { ZoneDigest } from "./zoneDigests.js";
 
@@ -68,7 +68,7 @@
     readonly onSkipped: () => void;
 }
 
-const applyAnswer = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer): void => {
+const applyAnswer = (requested: readonly RemoteService[], answer: ZoneTargetsResponse): void => {
     requested.forEach((remoteService, index) => {
         const part = answer.services[index];
         if (part?.kind === "Changed") {
@@ -79,7 +79,7 @@
 };
 
 /** Returns the zone digest of the answer if the answer covers every requested list, otherwise undefined. */
-const selectZoneDigest = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer): number | undefined =>
+const selectZoneDigest = (requested: readonly RemoteService[], answer: ZoneTargetsResponse): number | undefined =>
     answer.services.length === requested.length ? answer.zoneDigest : undefined;
 
 /** Creates the targets of one remote zone. At most one fetch is in flight at a time. */
@@ -116,7 +116,7 @@
             .filter((remoteService) => now - remoteService.usedAt <= options.idleMs)
             .slice(0, MAX_SERVICES_PER_REQUEST);
 
-    const applyFetch = (requested: readonly RemoteService[], answer: ZoneTargetsAnswer, sentAt: Milliseconds): void => {
+    const applyFetch = (requested: readonly RemoteService[], answer: ZoneTargetsResponse, sentAt: Milliseconds): void => {
         applyAnswer(requested, answer);
         const digest = selectZoneDigest(requested, answer);
         lastFetch = digest === undefined ? undefined : { digest, fetchedAt: sentAt };
--- a/packages/oleandergap-membership/src/targetDirectoryTypes.ts
+++ b/packages/oleandergap-membership/src/targetDirectoryTypes.ts
@@ -45,7 +45,7 @@
 export type ZoneTargetsRequest = z.infer<typeof zoneTargetsRequestSchema>;
 
 /** Contains one answer per requested service, in the same order. */
-export const zoneTargetsAnswerSchema = z.strictObject({
+export const zoneTargetsResponseSchema = z.strictObject({
     services: z.array(z.discriminatedUnion("kind", [
         z.strictObject({ kind: z.literal("Unchanged") }),
         z.strictObject({
@@ -60,7 +60,7 @@
      */
     zoneDigest: z.number().int().min(0).max(MAX_TARGETS_DIGEST).optional(),
 });
-export type ZoneTargetsAnswer = z.infer<typeof zoneTargetsAnswerSchema>;
+export type ZoneTargetsResponse = z.infer<typeof zoneTargetsResponseSchema>;
 
 /** Reason why a remote availability zone did not answer. */
 export interface FetchZoneError {
@@ -73,7 +73,7 @@
     zone: ZoneName,
     request: ZoneTargetsRequest,
     signal: AbortSignal,
-) => TaskEither<FetchZoneError, ZoneTargetsAnswer>;
+) => TaskEither<FetchZoneError, ZoneTargetsResponse>;
 
 /** Targets of the services that this node holds. */
 export interface TargetDirectory {
@@ -86,7 +86,7 @@
      */
     readonly targetsOf: (service: ServiceReference, zones?: readonly ZoneName[]) => readonly TargetMember[];
     /** Answers the request of a remote zone from the members of the local zone. */
-    readonly answerZoneTargets: (request: ZoneTargetsRequest) => ZoneTargetsAnswer;
+    readonly answerZoneTargets: (request: ZoneTargetsRequest) => ZoneTargetsResponse;
     /** Returns the digest of the targets of the local zone, for `MembershipDependencies.targetsDigest`. */
     readonly zoneDigest: () => number;
     readonly stats: () => TargetDirectoryStats;
--- a/packages/oleandergap-node/src/__tests__/localTargetManager.test.ts
+++ b/packages/oleandergap-node/src/__tests__/localTargetManager.test.ts
@@ -50,7 +50,7 @@
         signal: new AbortController().signal,
     }).then((admission) => admission._tag);
 
-describe("createTargetKeeper", () => {
+describe("createLocalTargetManager", () => {
     it("publishes a target once and keeps it while it sends heartbeats", async () => {
         const { clock, keeper, published } = setUp();
 
--- a/packages/oleandergap-node/src/__tests__/readiness.test.ts
+++ b/packages/oleandergap-node/src/__tests__/readiness.test.ts
@@ -2,7 +2,7 @@
 import { createSeededRandom } from "oleandergap-utils";
 import { createReadinessState, findAdmissionRefusal } from "../admin/readiness.js";
 
-describe("findClosure", () => {
+describe("findAdmissionRefusal", () => {
     // Guards against a retry peak after all nodes have restarted together. Each node refuses callers for 0.4 s. With
     // the same retry delay, all of them return one second later, and half of the requests are late or refused again.
     it("spreads the retry delays of callers at a node that is recovering", () => {
--- a/packages/oleandergap-node/src/__tests__/support.ts
+++ b/packages/oleandergap-node/src/__tests__/support.ts
@@ -3,7 +3,7 @@
 import net from "node:net";
 import * as either from "fp-ts/lib/Either.js";
 import { createGate, defaultGateOptions } from "oleandergap-gate";
-import type { ClaimKeeper, ClaimRequest, ClaimResult } from "oleandergap-idempotency";
+import type { ClaimManager, ClaimRequest, ClaimResult } from "oleandergap-idempotency";
 import { createLogger } from "oleandergap-logger";
 import { createMemoryTableService } from "oleandergap-platform";
 import type { Announcement, Clock, Limit, MemberTarget } from "oleandergap-types";
@@ -154,7 +154,7 @@
     }
 };
 
-type Claims = Pick<ClaimKeeper, "claim">;
+type Claims = Pick<ClaimManager, "claim">;
 
 /** A claim keeper that records its calls, and the recorded events in order. */
 export interface RecordedClaims {
--- a/packages/oleandergap-node/src/__tests__/truncatedResponses.test.ts
+++ b/packages/oleandergap-node/src/__tests__/truncatedResponses.test.ts
@@ -69,7 +69,7 @@
     });
 });
 
-describe("createLoopLag", () => {
+describe("createEventLoopLagMonitor", () => {
     it("waits until pending input has been read only while the event loop lags", async () => {
         const clock = createManualClock();
         let turns = 0;
--- a/packages/oleandergap-node/src/control/zoneFetcher.ts
+++ b/packages/oleandergap-node/src/control/zoneFetcher.ts
@@ -6,7 +6,7 @@
     Contact,
     FetchZone,
     FetchZoneError,
-    ZoneTargetsAnswer,
+    ZoneTargetsResponse,
     ZoneTargetsRequest,
 } from "oleandergap-membership";
 import type { Clock, Milliseconds, ZoneName } from "oleandergap-types";
@@ -25,7 +25,7 @@
 /** Pause between rounds. After a start, the first contacts become known within a few of these pauses. */
 const ROUND_PAUSE_MS: Milliseconds = 100;
 
-type FetchResult = Either<FetchZoneError, ZoneTargetsAnswer>;
+type FetchResult = Either<FetchZoneError, ZoneTargetsResponse>;
 
 /** Resolves with the first successful result, or with the last failure if all fetches have failed. */
 const awaitFirstSuccess = (fetches: readonly Promise<FetchResult>[]): Promise<FetchResult> => new Promise((resolve) => {
--- a/packages/oleandergap-node/src/createControlPlane.ts
+++ b/packages/oleandergap-node/src/createControlPlane.ts
@@ -133,7 +133,7 @@
         partners,
         store,
         fleet,
-        outlet: {
+        sender: {
             sendHeads: (to, heads) => membership.sendTo(to, { kind: "Heads", heads }),
             send: spreadTransport.send,
         },
@@ -167,10 +167,10 @@
     evidenceTransport.onMessage(containment.receive);
     // Contacts are searched for in all zones that the tables contain, whether or not a zone has a seed node.
     store.subscribe(() => {
-        membership.addZones([...store.view().values()].flatMap((table) => [...table.zones]));
+        membership.addZones([...store.getTables().values()].flatMap((table) => [...table.zones]));
     });
     const listServiceZones = ({ partner, service }: ServiceReference): readonly ZoneName[] => {
-        const table = store.view().get(partner);
+        const table = store.getTables().get(partner);
         const row = table?.services.get(service);
         return table === undefined || row === undefined ? [] : listServingZones(table, row);
     };
--- a/packages/oleandergap-node/src/createNode.ts
+++ b/packages/oleandergap-node/src/createNode.ts
@@ -92,7 +92,7 @@
         callerService: adapters.callerService,
         metrics,
         containment: controlPlane.containment,
-        view: store.view,
+        view: store.getTables,
         directory,
         publishTarget: (target) => {
             announcedTarget = target;
--- a/packages/oleandergap-node/src/gate/claimedRun.ts
+++ b/packages/oleandergap-node/src/gate/claimedRun.ts
@@ -1,7 +1,7 @@
 /** Runs a request under an idempotency claim, if it needs one, and settles the claim with the outcome. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
-import { computeFingerprint, type Claim, type ClaimGrant, type ClaimKeeper } from "oleandergap-idempotency";
+import { computeFingerprint, type Claim, type ClaimGrant, type ClaimManager } from "oleandergap-idempotency";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import { createBufferedBody, observeBody, type UpstreamResponse } from "../http/upstreamResponse.js";
 import { flattenResponseHeaders, readHeaderPair } from "../http/headers.js";
@@ -102,7 +102,7 @@
     deadline - Math.min(MAX_REFUSAL_TRANSIT_MS, Math.max(0, deadline - now) * REFUSAL_TRANSIT_SHARE);
 
 export interface ClaimedRunDependencies {
-    readonly claims: Pick<ClaimKeeper, "claim">;
+    readonly claims: Pick<ClaimManager, "claim">;
     readonly clock: Clock;
     /** Maximum size of a response body that a claim stores for replays, in bytes. */
     readonly maxAnswerBytes: number;
--- a/packages/oleandergap-node/src/gate/createClaims.ts
+++ b/packages/oleandergap-node/src/gate/createClaims.ts
@@ -2,24 +2,24 @@
  * Creates the claim keeper. Claims are decided by the platform's table alone, or additionally by the owners of keys.
  */
 import {
-    createClaimKeeper,
-    createOwnedClaimKeeper,
+    createClaimManager,
+    createOwnedClaimManager,
     createPartitionOwnership,
-    type ClaimKeeper,
-    type ClaimKeeperDependencies,
+    type ClaimManager,
+    type ClaimManagerDependencies,
     type OwnershipOptions,
     type PartitionOwnership,
     type PartitionOwnershipDependencies,
 } from "oleandergap-idempotency";
 
-export interface ClaimsDependencies extends ClaimKeeperDependencies {
+export interface ClaimsDependencies extends ClaimManagerDependencies {
     readonly ownershipOptions: OwnershipOptions;
     readonly services: PartitionOwnershipDependencies["services"];
     readonly members: PartitionOwnershipDependencies["members"];
     readonly isMember: PartitionOwnershipDependencies["isMember"];
 }
 
-export interface Claims extends ClaimKeeper {
+export interface Claims extends ClaimManager {
     /** Renews leases and holds partitions until the node's signal aborts. Does nothing if key ownership is disabled. */
     readonly start: (signal: AbortSignal) => Promise<void>;
     /** Hands the partitions over to other nodes before this node leaves. */
@@ -29,7 +29,7 @@
 }
 
 export const createClaims = (dependencies: ClaimsDependencies): Claims => {
-    const keeper = createClaimKeeper(dependencies);
+    const keeper = createClaimManager(dependencies);
     if (!dependencies.ownershipOptions.enabled) {
         return { ...keeper, start: async () => undefined, leave: async () => undefined, ownership: undefined };
     }
@@ -39,6 +39,6 @@
         claimOptions,
         options: dependencies.ownershipOptions,
     });
-    const owned = createOwnedClaimKeeper({ keeper, ownership, clock: dependencies.clock, claimOptions });
+    const owned = createOwnedClaimManager({ claimManager: keeper, ownership, clock: dependencies.clock, claimOptions });
     return { ...owned, start: ownership.start, leave: ownership.leave, ownership };
 };
--- a/packages/oleandergap-node/src/gate/serveAtGate.ts
+++ b/packages/oleandergap-node/src/gate/serveAtGate.ts
@@ -2,7 +2,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Admission, ReleaseOutcome } from "oleandergap-gate";
-import type { ClaimKeeper } from "oleandergap-idempotency";
+import type { ClaimManager } from "oleandergap-idempotency";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import { discardBody, observeBody, type UpstreamResponse } from "../http/upstreamResponse.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
@@ -19,7 +19,7 @@
     readonly clock: Clock;
     readonly currentTarget: () => LocalTarget | undefined;
     readonly pools: ConnectionPools;
-    readonly claims: Pick<ClaimKeeper, "claim">;
+    readonly claims: Pick<ClaimManager, "claim">;
     readonly dialect: TargetDialect;
     /** Maximum size of a response body that a claim stores for replays, in bytes. */
     readonly maxAnswerBytes: number;
--- a/packages/oleandergap-node/src/gateway/ownerRouting.ts
+++ b/packages/oleandergap-node/src/gateway/ownerRouting.ts
@@ -3,7 +3,7 @@
  * load and distance of the targets are irrelevant.
  */
 import type { TargetMember } from "oleandergap-membership";
-import { ownerOf, parseIdempotencyKey, readKeyTime } from "oleandergap-idempotency";
+import { findOwner, parseIdempotencyKey, readKeyTime } from "oleandergap-idempotency";
 import { createRequestRouter, type RequestRouter, type TargetPick, type TargetPicker } from "oleandergap-routing";
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, NodeId, ServiceReference } from "oleandergap-types";
@@ -62,7 +62,7 @@
         if (key === undefined) {
             return undefined;
         }
-        const ownerId = ownerOf(service, key, listOwners(targets), partitions);
+        const ownerId = findOwner(service, key, listOwners(targets), partitions);
         const owner = targets.find((target) => target.nodeId === ownerId);
         return owner === undefined ? undefined : createRequestRouter({ clock, picker: createOwnerPicker(owner) });
     };
--- a/packages/oleandergap-platform/src/__tests__/tableState.test.ts
+++ b/packages/oleandergap-platform/src/__tests__/tableState.test.ts
@@ -127,7 +127,7 @@
         const table = createTableState();
         const put = (value: number): TableOperation => ({ kind: "Put", key: "a/1", condition: { kind: "Any" }, value });
         table.transact([put(1)]);
-        const copy = table.takeCopy();
+        const copy = table.takeSnapshot();
         table.transact([put(2)]);
         const lostVersion = table.read(["a/1"])[0]?.version ?? createRowVersion(0);
         table.restore(copy);
--- a/packages/oleandergap-platform/src/tableServiceClient.ts
+++ b/packages/oleandergap-platform/src/tableServiceClient.ts
@@ -8,7 +8,7 @@
 import type { PlatformCounters } from "./platformCounters.js";
 import { parseJson } from "./parseJson.js";
 import {
-    rowsAnswerSchema,
+    rowsResponseSchema,
     TABLE_READ_PATH,
     TABLE_SCAN_PATH,
     TABLE_TRANSACT_PATH,
@@ -65,7 +65,7 @@
         matchesRequest: (rows: readonly TableRow[]) => boolean,
         signal: AbortSignal,
     ): TaskEither<PlatformError, readonly TableRow[]> => async () => {
-        const response = await post("Read", path, request, rowsAnswerSchema, signal)();
+        const response = await post("Read", path, request, rowsResponseSchema, signal)();
         if (either.isLeft(response)) {
             return response;
         }
--- a/packages/oleandergap-platform/src/tableState.ts
+++ b/packages/oleandergap-platform/src/tableState.ts
@@ -26,15 +26,15 @@
      */
     readonly transact: (operations: readonly TableOperation[]) => TransactionResult;
     readonly size: () => number;
-    readonly takeCopy: () => TableCopy;
+    readonly takeSnapshot: () => TableSnapshot;
     /** Restores the table from a copy and starts a new era, in which versions after the copy are assigned again. */
-    readonly restore: (copy: TableCopy) => void;
+    readonly restore: (copy: TableSnapshot) => void;
     /** Returns the current era, which is the number of restores so far. */
     readonly era: () => StoreEra;
 }
 
 /** Contents of a table at one point in time. */
-export interface TableCopy {
+export interface TableSnapshot {
     readonly rows: ReadonlyMap<string, TableRow>;
     readonly deletedVersions: ReadonlyMap<string, number>;
 }
@@ -132,7 +132,7 @@
             return { kind: "Committed" };
         },
         size: () => rows.size,
-        takeCopy: () => ({ rows: new Map(rows), deletedVersions: new Map(deletedVersions) }),
+        takeSnapshot: () => ({ rows: new Map(rows), deletedVersions: new Map(deletedVersions) }),
         restore: (copy) => {
             rows = new Map(copy.rows);
             deletedVersions = new Map(copy.deletedVersions);
--- a/packages/oleandergap-platform/src/wire.ts
+++ b/packages/oleandergap-platform/src/wire.ts
@@ -4,8 +4,8 @@
  *
  * | call | request | response |
  * | --- | --- | --- |
- * | `POST /table/read` | {@link readRequestSchema} | 200 {@link rowsAnswerSchema} |
- * | `POST /table/scan` | {@link scanRequestSchema} | 200 {@link rowsAnswerSchema} |
+ * | `POST /table/read` | {@link readRequestSchema} | 200 {@link rowsResponseSchema} |
+ * | `POST /table/scan` | {@link scanRequestSchema} | 200 {@link rowsResponseSchema} |
  * | `POST /table/transact` | {@link transactRequestSchema} | 200 {@link transactResponseSchema} |
  * | `GET /objects/<key>` | | 200 with the bytes, or 404 |
  * | `PUT /objects/<key>` | the bytes | 204 |
@@ -96,7 +96,7 @@
 });
 
 /** Response to a read or scan: those of the requested rows that exist. */
-export const rowsAnswerSchema = z.strictObject({ rows: z.array(tableRowSchema) });
+export const rowsResponseSchema = z.strictObject({ rows: z.array(tableRowSchema) });
 
 /** Response to a transaction: committed, or the keys whose condition was not met. */
 export const transactResponseSchema = z.discriminatedUnion("kind", [
@@ -110,7 +110,7 @@
 export type ReadRequest = z.infer<typeof readRequestSchema>;
 export type ScanRequest = z.infer<typeof scanRequestSchema>;
 export type TransactRequest = z.infer<typeof transactRequestSchema>;
-export type RowsAnswer = z.infer<typeof rowsAnswerSchema>;
+export type RowsResponse = z.infer<typeof rowsResponseSchema>;
 
 /** Returns the URL path of an object. Slashes in the key are not escaped. */
 export const formatObjectPath = (key: string): string =>
--- a/packages/oleandergap-standins/src/platform/platformStandIn.ts
+++ b/packages/oleandergap-standins/src/platform/platformStandIn.ts
@@ -8,7 +8,7 @@
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Clock } from "oleandergap-types";
-import { createTableState, type TableCopy } from "oleandergap-platform";
+import { createTableState, type TableSnapshot } from "oleandergap-platform";
 import { createSeededRandom, createSystemClock, createTokenBucket, type Random } from "oleandergap-utils";
 import { closeAbruptly, listen, readJson, readPath, sendJson } from "../http/jsonHttp.js";
 import { createCounterBook, type PlatformStandInCounters } from "./counters.js";
@@ -26,7 +26,7 @@
 
 /** All rows and objects at a moment. */
 export interface PlatformCopy {
-    readonly table: TableCopy;
+    readonly table: TableSnapshot;
     readonly objects: ReadonlyMap<string, Uint8Array>;
 }
 
@@ -92,7 +92,7 @@
 };
 
 const takeCopy = ({ state }: Platform): PlatformCopy =>
-    ({ table: state.table.takeCopy(), objects: new Map(state.objects) });
+    ({ table: state.table.takeSnapshot(), objects: new Map(state.objects) });
 
 const restore = ({ state }: Platform, { table, objects }: PlatformCopy): void => {
     state.table.restore(table);
