--- a/packages/oleandergap-cli/src/__tests__/main.test.ts
+++ b/packages/oleandergap-cli/src/__tests__/main.test.ts
@@ -1,7 +1,7 @@
 import { spawn, type ChildProcessWithoutNullStreams } from "node:child_process";
 import { fileURLToPath } from "node:url";
 import { expect } from "chai";
-import { startHarness, type Harness, type CommandResult } from "./bench.js";
+import { startHarness, type Harness, type CommandResult } from "./harness.js";
 
 const programPath = fileURLToPath(new URL("../../bin/oleandergap.js", import.meta.url));
 
--- a/packages/oleandergap-cli/src/__tests__/program.test.ts
+++ b/packages/oleandergap-cli/src/__tests__/program.test.ts
@@ -7,7 +7,7 @@
 import { loadSettings } from "oleandergap-validation";
 import { hasUnsafeCharacters } from "../output/escapeText.js";
 import { commandLineSettingsSchema } from "../settings/settings.js";
-import { createMember, startHarness, type Harness, type CommandResult } from "./bench.js";
+import { createMember, startHarness, type Harness, type CommandResult } from "./harness.js";
 
 const LIMIT_ASSIGNMENTS = "limits/filing/concurrency=12 limits/filing/queue=4 " +
     "limits/filing/timeoutMs=900 limits/filing/retryRatio=0.1";
--- a/packages/oleandergap-cli/src/changes/changeFile.ts
+++ b/packages/oleandergap-cli/src/changes/changeFile.ts
@@ -9,7 +9,7 @@
 import type { Expectation } from "../notation/assignment.js";
 import { parseCell, type NotationError } from "../notation/cellNotation.js";
 import type { Edit } from "./edits.js";
-import { parseRemovals } from "../notation/parseAll.js";
+import { parseRemovals } from "../notation/parseLists.js";
 import { reportFailure, reportNotationError, type CommandReport } from "../report/report.js";
 
 /** Schema of a change file. Keys are cells in the notation of the command line. */
--- a/packages/oleandergap-cli/src/commands/apply.ts
+++ b/packages/oleandergap-cli/src/commands/apply.ts
@@ -6,7 +6,7 @@
 import { sendChange } from "../changes/sendChange.js";
 import { readChangeFile } from "../changes/changeFile.js";
 import type { Expectation } from "../notation/assignment.js";
-import { parseExpectations } from "../notation/parseAll.js";
+import { parseExpectations } from "../notation/parseLists.js";
 import { reportNotationError, type CommandReport } from "../report/report.js";
 import type { CommandRunner, CommandSession } from "../runCommand.js";
 
--- a/packages/oleandergap-cli/src/commands/set.ts
+++ b/packages/oleandergap-cli/src/commands/set.ts
@@ -4,7 +4,7 @@
 import { pipe } from "fp-ts/lib/function.js";
 import { addChangeOptions, type ChangeOptions } from "../changes/changeOptions.js";
 import { sendChange } from "../changes/sendChange.js";
-import { parseAssignments, parseExpectations } from "../notation/parseAll.js";
+import { parseAssignments, parseExpectations } from "../notation/parseLists.js";
 import { reportNotationError, type CommandReport } from "../report/report.js";
 import type { CommandRunner, CommandSession } from "../runCommand.js";
 
--- a/packages/oleandergap-cli/src/commands/validate.ts
+++ b/packages/oleandergap-cli/src/commands/validate.ts
@@ -7,7 +7,7 @@
 import { readChangeFile, type ChangeFile } from "../changes/changeFile.js";
 import { EXIT_USAGE } from "../report/exitCodes.js";
 import { validateEdits, type Edit } from "../changes/edits.js";
-import { parseAssignments, parseRemovals } from "../notation/parseAll.js";
+import { parseAssignments, parseRemovals } from "../notation/parseLists.js";
 import { formatChanges } from "../output/changeLines.js";
 import {
     reportSuccess, reportFailure, reportNotationError, reportOperatorError, type CommandReport,
--- a/packages/oleandergap-configuration/src/__tests__/planChange.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/planChange.test.ts
@@ -3,7 +3,7 @@
 import type { PartnerDocument } from "oleandergap-types";
 import { MAX_CELLS_PER_DOCUMENT } from "../change/documentSize.js";
 import { planChange } from "../change/planChange.js";
-import { getTable } from "../table/knownTables.js";
+import { getTable } from "../table/tableCache.js";
 import { createDocument } from "../version/document.js";
 
 const createZones = (count: number): PartnerDocument =>
--- a/packages/oleandergap-configuration/src/__tests__/routes.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/routes.test.ts
@@ -2,7 +2,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import fastCheck from "fast-check";
 import type { CellChange, Cells } from "oleandergap-types";
-import { getTableFromChanges, getTable, getTableFromPrevious } from "../table/knownTables.js";
+import { getTableFromChanges, getTable, getTableFromPrevious } from "../table/tableCache.js";
 import { parseTable } from "../table/parseTable.js";
 import type { TableProblem } from "../table/tableProblem.js";
 import { applyDeltas, createNextVersion } from "../version/delta.js";
--- a/packages/oleandergap-configuration/src/change/planChange.ts
+++ b/packages/oleandergap-configuration/src/change/planChange.ts
@@ -2,7 +2,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { CellAddress, CellChange, CellValue, PartnerDocument, Sequence } from "oleandergap-types";
-import { getTableFromChanges } from "../table/knownTables.js";
+import { getTableFromChanges } from "../table/tableCache.js";
 import { createNextVersion, type NextVersion } from "../version/delta.js";
 import { getDocumentHead, getRowIndex } from "../version/document.js";
 import { readCell } from "../version/rowIndex.js";
--- a/packages/oleandergap-configuration/src/store/partnerStore.ts
+++ b/packages/oleandergap-configuration/src/store/partnerStore.ts
@@ -2,7 +2,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Delta, Head, PartnerDocument, PartnerName, PartnerTable, Route, Sequence, ZoneName } from "oleandergap-types";
-import { getTableFromChanges, getTableFromPrevious } from "../table/knownTables.js";
+import { getTableFromChanges, getTableFromPrevious } from "../table/tableCache.js";
 import type { TableProblem } from "../table/tableProblem.js";
 import { applyDeltas, deriveDelta } from "../version/delta.js";
 import { checkDocument, createEmptyDocument, getDocumentHead } from "../version/document.js";
--- a/packages/oleandergap-distribution/src/__tests__/arrivals.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/arrivalLog.test.ts
@@ -2,7 +2,7 @@
 import type { LogContext, Logger } from "oleandergap-logger";
 import type { Head } from "oleandergap-types";
 import { createManualClock } from "oleandergap-utils";
-import { createArrivalLog } from "../arrivals.js";
+import { createArrivalLog } from "../arrivalLog.js";
 
 interface LogLine {
     readonly message: string;
--- a/packages/oleandergap-distribution/src/__tests__/boundedCall.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/callWithTimeout.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import * as either from "fp-ts/lib/Either.js";
 import { createManualClock } from "oleandergap-utils";
-import { callWithTimeout } from "../boundedCall.js";
+import { callWithTimeout } from "../callWithTimeout.js";
 
 describe("callWithin", () => {
     it("times out if the callee never responds and ignores its signal", async () => {
--- a/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { rankReaders } from "../readerDuty.js";
+import { rankReaders } from "../readerRole.js";
 import { createInMemoryFleet, type FleetNode, type InMemoryFleet } from "./inMemoryFleet.js";
 import { WEIGHT_CELL } from "./recordingStore.js";
 
--- a/packages/oleandergap-distribution/src/__tests__/wideReaders.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/readerLinks.test.ts
@@ -3,7 +3,7 @@
 // eleven nodes that lost the platform for about three seconds had narrow links.
 import { expect } from "chai";
 import { defaultDistributionOptions } from "../options.js";
-import { countReaders, rankReaders } from "../readerDuty.js";
+import { countReaders, rankReaders } from "../readerRole.js";
 import { createInMemoryFleet, type InMemoryFleet } from "./inMemoryFleet.js";
 import { expectInForceEverywhere } from "./fleetAssertions.js";
 import { WEIGHT_CELL } from "./recordingStore.js";
--- a/packages/oleandergap-distribution/src/choosePull.ts
+++ b/packages/oleandergap-distribution/src/choosePull.ts
@@ -1,8 +1,8 @@
 /** Chooses the source of the next request for a version. */
 import { pickOne, type Random } from "oleandergap-utils";
-import type { Claim, ClaimSource } from "./claimBook.js";
+import type { Claim, ClaimSource } from "./claimRegistry.js";
 import type { PeerAddress } from "./ports.js";
-import type { PullAttempt } from "./pullsUnderWay.js";
+import type { PullAttempt } from "./inFlightPulls.js";
 
 /** Inputs of the choice. */
 export interface PullChoice {
--- a/packages/oleandergap-distribution/src/pullFailures.ts
+++ b/packages/oleandergap-distribution/src/failureReporter.ts
@@ -1,9 +1,9 @@
 /** Counts and logs failed pulls, and records each failure for the claim of the source. */
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
-import type { ArrivalLog } from "./arrivals.js";
-import { formatClaimSource, type ClaimRegistry } from "./claimBook.js";
-import type { PullAttempt } from "./pullsUnderWay.js";
+import type { ArrivalLog } from "./arrivalLog.js";
+import { formatClaimSource, type ClaimRegistry } from "./claimRegistry.js";
+import type { PullAttempt } from "./inFlightPulls.js";
 import type { SpreadCounters } from "./statistics.js";
 import type { FetchFailure } from "./versionFetcher.js";
 
--- a/packages/oleandergap-distribution/src/headReceiver.ts
+++ b/packages/oleandergap-distribution/src/headReceiver.ts
@@ -2,8 +2,8 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Head, NodeId, PartnerName } from "oleandergap-types";
 import { createTokenBucket } from "oleandergap-utils";
-import type { ArrivalLog } from "./arrivals.js";
-import type { Claim } from "./claimBook.js";
+import type { ArrivalLog } from "./arrivalLog.js";
+import type { Claim } from "./claimRegistry.js";
 import { expandDelta, type CompactDelta } from "./compactDelta.js";
 import type { SpreadOptions } from "./options.js";
 import type { PeerHeads } from "./peerHeads.js";
--- a/packages/oleandergap-distribution/src/pullsUnderWay.ts
+++ b/packages/oleandergap-distribution/src/inFlightPulls.ts
@@ -3,7 +3,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import type { CancelTimer, Clock, Head, Milliseconds } from "oleandergap-types";
 import { linkSignal } from "oleandergap-utils";
-import { formatClaimSource, type Claim, type ClaimSource } from "./claimBook.js";
+import { formatClaimSource, type Claim, type ClaimSource } from "./claimRegistry.js";
 import type { PullOptions } from "./options.js";
 import { startTimer } from "./periodic.js";
 import type { ProgressListener } from "./ports.js";
--- a/packages/oleandergap-distribution/src/peerComparison.ts
+++ b/packages/oleandergap-distribution/src/peerComparison.ts
@@ -5,7 +5,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock } from "oleandergap-types";
 import { pickOne, type Random } from "oleandergap-utils";
-import { callWithTimeout } from "./boundedCall.js";
+import { callWithTimeout } from "./callWithTimeout.js";
 import type { HeadReceiver } from "./headReceiver.js";
 import type { PullOptions } from "./options.js";
 import type { PeerHeads } from "./peerHeads.js";
--- a/packages/oleandergap-distribution/src/platformReader.ts
+++ b/packages/oleandergap-distribution/src/platformReader.ts
@@ -6,13 +6,13 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Head, Milliseconds, PartnerName } from "oleandergap-types";
 import { drawBackoff, type Random } from "oleandergap-utils";
-import { callWithTimeout } from "./boundedCall.js";
-import type { Claim } from "./claimBook.js";
+import { callWithTimeout } from "./callWithTimeout.js";
+import type { Claim } from "./claimRegistry.js";
 import type { PullOptions, ReaderOptions } from "./options.js";
 import { drawJitter, runPeriodically } from "./periodic.js";
 import type { ConfigurationSourcePort, FleetPort, PeerPort } from "./ports.js";
 import type { ReadBudget } from "./readBudget.js";
-import { createReaderRole } from "./readerDuty.js";
+import { createReaderRole } from "./readerRole.js";
 import type { SpreadCounters } from "./statistics.js";
 
 /** Dependencies of a platform reader. */
--- a/packages/oleandergap-distribution/src/readerDuty.ts
+++ b/packages/oleandergap-distribution/src/readerRole.ts
@@ -11,7 +11,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, LinkClass, Milliseconds } from "oleandergap-types";
 import { rankByRendezvous } from "oleandergap-utils";
-import { callWithTimeout } from "./boundedCall.js";
+import { callWithTimeout } from "./callWithTimeout.js";
 import type { ReaderOptions } from "./options.js";
 import type { FleetMember, FleetPort, PeerAddress, PeerPort } from "./ports.js";
 
--- a/packages/oleandergap-distribution/src/versionFetcher.ts
+++ b/packages/oleandergap-distribution/src/versionFetcher.ts
@@ -2,9 +2,9 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { PartnerDocument, PartnerName } from "oleandergap-types";
-import type { ArrivalOrigin, ArrivalLog } from "./arrivals.js";
-import { callWithTimeout, type CallLimits } from "./boundedCall.js";
-import type { ClaimSource } from "./claimBook.js";
+import type { ArrivalOrigin, ArrivalLog } from "./arrivalLog.js";
+import { callWithTimeout, type CallLimits } from "./callWithTimeout.js";
+import type { ClaimSource } from "./claimRegistry.js";
 import type { PeerHeads } from "./peerHeads.js";
 import type {
     ConfigurationSourcePort,
--- a/packages/oleandergap-distribution/src/versionPuller.ts
+++ b/packages/oleandergap-distribution/src/versionPuller.ts
@@ -8,14 +8,14 @@
 import type { Logger } from "oleandergap-logger";
 import type { CancelTimer, Clock, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
 import { drawBackoff, type Random } from "oleandergap-utils";
-import type { ArrivalLog } from "./arrivals.js";
+import type { ArrivalLog } from "./arrivalLog.js";
 import { choosePull } from "./choosePull.js";
-import { createClaimRegistry, formatClaimSource, type Claim, type ClaimSource } from "./claimBook.js";
+import { createClaimRegistry, formatClaimSource, type Claim, type ClaimSource } from "./claimRegistry.js";
 import type { PullOptions } from "./options.js";
 import type { ConfigurationStorePort, PeerAddress } from "./ports.js";
 import { startTimer } from "./periodic.js";
-import { createFailureReporter } from "./pullFailures.js";
-import { createInFlightPulls, type PullAttempt } from "./pullsUnderWay.js";
+import { createFailureReporter } from "./failureReporter.js";
+import { createInFlightPulls, type PullAttempt } from "./inFlightPulls.js";
 import type { ReadBudget } from "./readBudget.js";
 import type { SpreadCounters } from "./statistics.js";
 import type { FetchFailure, FetchVersion } from "./versionFetcher.js";
--- a/packages/oleandergap-distribution/src/versionPusher.ts
+++ b/packages/oleandergap-distribution/src/versionPusher.ts
@@ -12,7 +12,7 @@
 import type { ConfigurationStorePort, FleetPort, PeerAddress, SpreadSender } from "./ports.js";
 import { divideRange, orderMembers, WHOLE_RANGE, type ScoreRange } from "./scoreRange.js";
 import type { SpreadCounters } from "./statistics.js";
-import { createHandoverSender, type SendSpreadMessage } from "./versionHandover.js";
+import { createHandoverSender, type SendSpreadMessage } from "./handoverSender.js";
 import { groupByZone } from "./zones.js";
 
 /** Dependencies of a version pusher. */
--- a/packages/oleandergap-idempotency/src/__tests__/claimKeeper.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimManager.test.ts
@@ -8,7 +8,7 @@
     expectGranted,
     type ClaimHarness,
     type ClaimNode,
-} from "./support/keeperHarness.js";
+} from "./support/claimHarness.js";
 
 const KEY = "lodgement-0001";
 const DAY = 24 * 3600 * 1000;
--- a/packages/oleandergap-idempotency/src/__tests__/claimModel.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimModel.test.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
 import { claimOptionsSchema, createClaimManager } from "../index.js";
-import { createOutcomeChooser } from "../measure/fates.js";
+import { createOutcomeChooser } from "../measure/platformMode.js";
 import { createClaimingNode, createNaiveNode } from "../measure/simulatedNode.js";
-import { NODES, runArbitrary, send, simulate, type StartNode, type Simulation } from "./support/modelWorld.js";
-import { silentLogger } from "./support/quietLogger.js";
+import { NODES, runArbitrary, send, simulate, type StartNode, type Simulation } from "./support/simulation.js";
+import { silentLogger } from "./support/silentLogger.js";
 
 const startDurable: StartNode = (simulation, index) => createClaimingNode(simulation, (clock) => createClaimManager({
     tableService: simulation.table.connect(
--- a/packages/oleandergap-idempotency/src/__tests__/claimSweeper.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimSweeper.test.ts
@@ -3,7 +3,7 @@
 import { claimOptionsSchema, createClaimSweeper, formatClaimRowKey, type ClaimRow } from "../index.js";
 import { createMemoryTable } from "../measure/memoryTable.js";
 import { SIMULATED_SERVICE } from "../measure/simulatedNode.js";
-import { silentLogger } from "./support/quietLogger.js";
+import { silentLogger } from "./support/silentLogger.js";
 
 const HOUR = 3_600_000;
 const base = { attemptId: "a", nodeId: "node-1", bootId: "0", fingerprint: "same", claimedAt: 0 };
--- a/packages/oleandergap-idempotency/src/__tests__/hangingPlatform.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/hangingPlatform.test.ts
@@ -8,7 +8,7 @@
     TIMEOUT,
     type ClaimHarness,
     type ClaimNode,
-} from "./support/keeperHarness.js";
+} from "./support/claimHarness.js";
 
 /** Default value of `answerTimeoutMs`. */
 const RESPONSE_TIMEOUT = 500;
--- a/packages/oleandergap-idempotency/src/__tests__/ownershipModel.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/ownershipModel.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import * as fc from "fast-check";
 import { claimOptionsSchema, ownershipOptionsSchema } from "../index.js";
-import { createOutcomeChooser } from "../measure/fates.js";
+import { createOutcomeChooser } from "../measure/platformMode.js";
 import { createOwnedNode } from "../measure/ownedNode.js";
 import {
     generateTestKey,
@@ -11,8 +11,8 @@
     simulate,
     type StartNode,
     type Simulation,
-} from "./support/modelWorld.js";
-import { silentLogger } from "./support/quietLogger.js";
+} from "./support/simulation.js";
+import { silentLogger } from "./support/silentLogger.js";
 
 const claimOptions = claimOptionsSchema.parse({ keyClockToleranceMs: 5000 });
 const ownershipOptions = ownershipOptionsSchema.parse({
--- a/packages/oleandergap-idempotency/src/__tests__/support/keeperHarness.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/claimHarness.ts
@@ -7,7 +7,7 @@
 import { createFreezableClock, type FreezableClock } from "../../measure/freezableClock.js";
 import { createMemoryTable, type CallOutcome, type MemoryTable } from "../../measure/memoryTable.js";
 import { SIMULATED_SERVICE } from "../../measure/simulatedNode.js";
-import { silentLogger } from "./quietLogger.js";
+import { silentLogger } from "./silentLogger.js";
 
 export const HEALTHY: CallOutcome = { kind: "Answered", delayMs: 1 };
 /** Timeout of the claims, in milliseconds. */
--- a/packages/oleandergap-idempotency/src/__tests__/support/ownershipHarness.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/ownershipHarness.ts
@@ -13,10 +13,10 @@
 } from "../../index.js";
 import { createFreezableClock, type FreezableClock } from "../../measure/freezableClock.js";
 import { createMemoryTable, type CallOutcome, type MemoryTable } from "../../measure/memoryTable.js";
-import { generateKey } from "../../measure/mintKey.js";
+import { generateKey } from "../../measure/generateKey.js";
 import { SIMULATED_SERVICE } from "../../measure/simulatedNode.js";
-import { HEALTHY } from "./keeperHarness.js";
-import { silentLogger } from "./quietLogger.js";
+import { HEALTHY } from "./claimHarness.js";
+import { silentLogger } from "./silentLogger.js";
 
 /** Duration of a lease, in milliseconds. */
 export const LEASE = 60_000;
--- a/packages/oleandergap-idempotency/src/__tests__/support/modelWorld.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/simulation.ts
@@ -2,9 +2,9 @@
 import { setMaxListeners } from "node:events";
 import * as fc from "fast-check";
 import { createManualClock, createSeededRandom, type ManualClock, type Random } from "oleandergap-utils";
-import { platformModes, type PlatformMode } from "../../measure/fates.js";
+import { platformModes, type PlatformMode } from "../../measure/platformMode.js";
 import { createMemoryTable, type MemoryTable } from "../../measure/memoryTable.js";
-import { generateKey } from "../../measure/mintKey.js";
+import { generateKey } from "../../measure/generateKey.js";
 import type { SimulatedNode } from "../../measure/simulatedNode.js";
 import { createSimulatedTarget, type SimulatedTarget, type CallerResult } from "../../measure/simulatedTarget.js";
 
--- a/packages/oleandergap-idempotency/src/claim/acquireClaim.ts
+++ b/packages/oleandergap-idempotency/src/claim/acquireClaim.ts
@@ -15,12 +15,12 @@
 } from "oleandergap-types";
 import { drawBackoff, type Random } from "oleandergap-utils";
 import type { ClaimOptions } from "../options.js";
-import { restoreResponse, type ReplayedResponse } from "./answer.js";
+import { restoreResponse, type ReplayedResponse } from "./targetResponse.js";
 import type { BatchReader } from "./batchReader.js";
 import type { BatchWriter } from "./batchWriter.js";
 import { claimRowSchema, type ClaimedRow, type ClaimRow } from "./claimRow.js";
 import { createKeyReuseFailure, createUnavailableFailure, createDuplicateFailure } from "./failures.js";
-import type { PlatformCircuitBreaker } from "./platformPause.js";
+import type { PlatformCircuitBreaker } from "./platformCircuitBreaker.js";
 
 export type KnownOutcome =
     /** The response to the first request, to be sent to the repeated request. */
--- a/packages/oleandergap-idempotency/src/claim/claimKeeper.ts
+++ b/packages/oleandergap-idempotency/src/claim/claimManager.ts
@@ -33,9 +33,9 @@
 import type { ClaimedRow } from "./claimRow.js";
 import { createUnavailableFailure } from "./failures.js";
 import { createLocalClaims, evaluateLocalClaim, type Claim } from "./localClaims.js";
-import { createPlatformCircuitBreaker } from "./platformPause.js";
+import { createPlatformCircuitBreaker } from "./platformCircuitBreaker.js";
 import { createSettler } from "./settler.js";
-import { waitForResponse, type ResponseWait } from "./waitForAnswer.js";
+import { waitForResponse, type ResponseWait } from "./waitForResponse.js";
 import { waitUntil } from "./waitUntil.js";
 
 export interface ClaimRequest {
--- a/packages/oleandergap-idempotency/src/claim/localClaims.ts
+++ b/packages/oleandergap-idempotency/src/claim/localClaims.ts
@@ -7,7 +7,7 @@
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import type { ClaimOptions } from "../options.js";
 import { createKnownOutcome, type KnownOutcome } from "./acquireClaim.js";
-import { createStoredResponse, type TargetResponse } from "./answer.js";
+import { createStoredResponse, type TargetResponse } from "./targetResponse.js";
 import type { ClaimedRow, SettledRow } from "./claimRow.js";
 import { createKeyReuseFailure, createDuplicateFailure } from "./failures.js";
 import type { Settler } from "./settler.js";
--- a/packages/oleandergap-idempotency/src/claim/settler.ts
+++ b/packages/oleandergap-idempotency/src/claim/settler.ts
@@ -16,7 +16,7 @@
 import type { BatchReader, ReadOutcome } from "./batchReader.js";
 import type { BatchWriter } from "./batchWriter.js";
 import { claimRowSchema, type ClaimRow } from "./claimRow.js";
-import type { PlatformCircuitBreaker } from "./platformPause.js";
+import type { PlatformCircuitBreaker } from "./platformCircuitBreaker.js";
 
 export interface Settlement {
     readonly rowKey: string;
--- a/packages/oleandergap-idempotency/src/index.ts
+++ b/packages/oleandergap-idempotency/src/index.ts
@@ -1,5 +1,5 @@
 /** Claims that prevent a non-idempotent request from running twice. */
-export type { TargetResponse, ReplayedResponse } from "./claim/answer.js";
+export type { TargetResponse, ReplayedResponse } from "./claim/targetResponse.js";
 export type { KnownOutcome } from "./claim/acquireClaim.js";
 export {
     MAX_KEY_LENGTH,
@@ -18,12 +18,12 @@
     type ClaimRequest,
     type ClaimResult,
     type ClaimStats,
-} from "./claim/claimKeeper.js";
+} from "./claim/claimManager.js";
 export type { Claim } from "./claim/localClaims.js";
 export { createClaimSweeper, type ClaimSweeper, type ClaimSweeperDependencies } from "./claim/claimSweeper.js";
 export { computeFingerprint, type FingerprintedRequest } from "./claim/fingerprint.js";
 export { claimOptionsSchema, ownershipOptionsSchema, type ClaimOptions, type OwnershipOptions } from "./options.js";
-export { createOwnedClaimManager, type OwnedClaimManagerDependencies } from "./ownership/ownedClaimKeeper.js";
+export { createOwnedClaimManager, type OwnedClaimManagerDependencies } from "./ownership/ownedClaimManager.js";
 export {
     createPartitionOwnership,
     type PartitionOwnership,
--- a/packages/oleandergap-idempotency/src/measure/atMostOnce.ts
+++ b/packages/oleandergap-idempotency/src/measure/atMostOnce.ts
@@ -6,11 +6,11 @@
 import { setMaxListeners } from "node:events";
 import type { Logger } from "oleandergap-logger";
 import { createManualClock, createSeededRandom, pickIndex, type ManualClock, type Random } from "oleandergap-utils";
-import { createClaimManager } from "../claim/claimKeeper.js";
+import { createClaimManager } from "../claim/claimManager.js";
 import { claimOptionsSchema, ownershipOptionsSchema } from "../options.js";
-import { createOutcomeChooser, type PlatformMode } from "./fates.js";
+import { createOutcomeChooser, type PlatformMode } from "./platformMode.js";
 import { createMemoryTable, type MemoryTable } from "./memoryTable.js";
-import { generateKey } from "./mintKey.js";
+import { generateKey } from "./generateKey.js";
 import { createOwnedNode } from "./ownedNode.js";
 import { createClaimingNode, createNaiveNode, type SimulatedNode } from "./simulatedNode.js";
 import { createSimulatedTarget, type FailureShares, type SimulatedTarget, type CallerResult } from "./simulatedTarget.js";
--- a/packages/oleandergap-idempotency/src/measure/claimCost.ts
+++ b/packages/oleandergap-idempotency/src/measure/claimCost.ts
@@ -3,11 +3,11 @@
 import type { Logger } from "oleandergap-logger";
 import type { Clock } from "oleandergap-types";
 import { createManualClock, createSeededRandom, createSystemClock, type Random } from "oleandergap-utils";
-import { createClaimManager, type ClaimManager, type ClaimManagerDependencies } from "../claim/claimKeeper.js";
+import { createClaimManager, type ClaimManager, type ClaimManagerDependencies } from "../claim/claimManager.js";
 import { claimOptionsSchema, ownershipOptionsSchema } from "../options.js";
 import { createPartitionOwnership } from "../ownership/partitionOwnership.js";
 import { createMemoryTable, type MemoryTable } from "./memoryTable.js";
-import { generateKey } from "./mintKey.js";
+import { generateKey } from "./generateKey.js";
 import { SIMULATED_SERVICE } from "./simulatedNode.js";
 
 export interface CostFigures {
--- a/packages/oleandergap-idempotency/src/measure/ownedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/ownedNode.ts
@@ -3,9 +3,9 @@
 import type { Clock } from "oleandergap-types";
 import type { Logger } from "oleandergap-logger";
 import type { Random } from "oleandergap-utils";
-import { createClaimManager } from "../claim/claimKeeper.js";
+import { createClaimManager } from "../claim/claimManager.js";
 import type { ClaimOptions, OwnershipOptions } from "../options.js";
-import { createOwnedClaimManager } from "../ownership/ownedClaimKeeper.js";
+import { createOwnedClaimManager } from "../ownership/ownedClaimManager.js";
 import { createPartitionOwnership, type PartitionOwnership } from "../ownership/partitionOwnership.js";
 import { createClaimingNode, SIMULATED_SERVICE, type SimulatedNode, type SimulatedNodeDependencies } from "./simulatedNode.js";
 
--- a/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
@@ -5,7 +5,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
-import type { ClaimManager, ClaimResult } from "../claim/claimKeeper.js";
+import type { ClaimManager, ClaimResult } from "../claim/claimManager.js";
 import type { Claim } from "../claim/localClaims.js";
 import { createFreezableClock, type FreezableClock } from "./freezableClock.js";
 import type { SimulatedTarget, CallerResult } from "./simulatedTarget.js";
--- a/packages/oleandergap-idempotency/src/ownership/keyAcceptance.ts
+++ b/packages/oleandergap-idempotency/src/ownership/keyAcceptance.ts
@@ -4,13 +4,13 @@
 import type { Clock, Milliseconds, NodeId, RequestFailure } from "oleandergap-types";
 import type { KnownOutcome } from "../claim/acquireClaim.js";
 import { formatClaimRowKey } from "../claim/claimKey.js";
-import type { ClaimRequest } from "../claim/claimKeeper.js";
+import type { ClaimRequest } from "../claim/claimManager.js";
 import type { ClaimedRow } from "../claim/claimRow.js";
 import { createUnavailableFailure } from "../claim/failures.js";
 import type { Claim } from "../claim/localClaims.js";
 import type { OwnershipOptions } from "../options.js";
-import type { KeyRegistry } from "./keyLedger.js";
-import { chooseDecisionSource } from "./keyRule.js";
+import type { KeyRegistry } from "./keyRegistry.js";
+import { chooseDecisionSource } from "./decisionSource.js";
 import { formatPartitionKey, type KeyRange } from "./ownershipRows.js";
 import { getPartition } from "./partitions.js";
 
--- a/packages/oleandergap-idempotency/src/ownership/keyLedger.ts
+++ b/packages/oleandergap-idempotency/src/ownership/keyRegistry.ts
@@ -6,7 +6,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import { createKnownOutcome, type KnownOutcome } from "../claim/acquireClaim.js";
-import { createStoredResponse, type TargetResponse } from "../claim/answer.js";
+import { createStoredResponse, type TargetResponse } from "../claim/targetResponse.js";
 import type { ClaimedRow, ClaimRow } from "../claim/claimRow.js";
 import { createKeyReuseFailure, createDuplicateFailure } from "../claim/failures.js";
 import type { Claim } from "../claim/localClaims.js";
--- a/packages/oleandergap-idempotency/src/ownership/ownedClaimKeeper.ts
+++ b/packages/oleandergap-idempotency/src/ownership/ownedClaimManager.ts
@@ -5,7 +5,7 @@
  */
 import * as either from "fp-ts/lib/Either.js";
 import { parseIdempotencyKey, readKeyTime } from "../claim/claimKey.js";
-import type { ClaimManager, ClaimRequest, ClaimResult } from "../claim/claimKeeper.js";
+import type { ClaimManager, ClaimRequest, ClaimResult } from "../claim/claimManager.js";
 import { checkKeyTime } from "../claim/keyTime.js";
 import type { ClaimOptions } from "../options.js";
 import type { Clock } from "oleandergap-types";
--- a/packages/oleandergap-idempotency/src/ownership/partitionHolding.ts
+++ b/packages/oleandergap-idempotency/src/ownership/partitionHolding.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds, RowVersion } from "oleandergap-types";
 import type { BatchReader } from "../claim/batchReader.js";
 import type { BatchWriter, WriteOutcome } from "../claim/batchWriter.js";
-import type { KeyRegistry } from "./keyLedger.js";
+import type { KeyRegistry } from "./keyRegistry.js";
 import type { Holder, KeyRange, PartitionRow } from "./ownershipRows.js";
 import type { Takeover, TakeoverStep } from "./takeover.js";
 
--- a/packages/oleandergap-idempotency/src/ownership/partitionOwnership.ts
+++ b/packages/oleandergap-idempotency/src/ownership/partitionOwnership.ts
@@ -7,12 +7,12 @@
 import { raceAbort, type Random } from "oleandergap-utils";
 import { createBatchReader } from "../claim/batchReader.js";
 import { createBatchWriter } from "../claim/batchWriter.js";
-import { createPlatformCircuitBreaker } from "../claim/platformPause.js";
+import { createPlatformCircuitBreaker } from "../claim/platformCircuitBreaker.js";
 import { createSettler } from "../claim/settler.js";
 import type { ClaimOptions, OwnershipOptions } from "../options.js";
-import { createFormerLeaseFencer } from "./formerLeases.js";
+import { createFormerLeaseFencer } from "./formerLeaseFencer.js";
 import { createKeyAcceptance, type AcceptKey } from "./keyAcceptance.js";
-import { createKeyRegistry } from "./keyLedger.js";
+import { createKeyRegistry } from "./keyRegistry.js";
 import { createNodeLease, type NodeLease } from "./nodeLease.js";
 import {
     formatPartitionKey,
--- a/packages/oleandergap-membership/src/remoteTargets.ts
+++ b/packages/oleandergap-membership/src/remoteTargets.ts
@@ -116,9 +116,9 @@
             .filter((remoteService) => now - remoteService.usedAt <= options.idleMs)
             .slice(0, MAX_SERVICES_PER_REQUEST);
 
-    const applyFetch = (requested: readonly RemoteService[], answer: ZoneTargetsResponse, sentAt: Milliseconds): void => {
-        applyAnswer(requested, answer);
-        const digest = selectZoneDigest(requested, answer);
+    const applyFetch = (queried: readonly RemoteService[], answer: ZoneTargetsResponse, sentAt: Milliseconds): void => {
+        applyAnswer(queried, answer);
+        const digest = selectZoneDigest(queried, answer);
         lastFetch = digest === undefined ? undefined : { digest, fetchedAt: sentAt };
     };
 
--- a/packages/oleandergap-node/src/__tests__/gateHandler.test.ts
+++ b/packages/oleandergap-node/src/__tests__/gateHandler.test.ts
@@ -111,7 +111,8 @@
             const gate = await startGate(cleanup.add, { clock: createManualClock() });
             gate.keeper.announce(createAnnouncement(target));
 
-            const answer = await sendHttpRequest({ port: gate.port, headers: createGateHeaders() }).catch(() => undefined);
+            const answer = await sendHttpRequest({ port: gate.port, headers: createGateHeaders() })
+                .catch(() => undefined);
 
             expect(answer?.isComplete ?? false).to.equal(false);
             await waitUntil(() => gate.keeper.current()?.gate.load().inFlight === 0);
@@ -179,7 +180,8 @@
         gate.keeper.announce(createAnnouncement(target));
         const caller = new AbortController();
 
-        const pending = sendHttpRequest({ port: gate.port, headers: createGateHeaders(), signal: caller.signal }).catch(() => undefined);
+        const pending = sendHttpRequest({ port: gate.port, headers: createGateHeaders(), signal: caller.signal })
+            .catch(() => undefined);
         await waitUntil(() => arrived === 1);
         expect(gate.keeper.current()?.gate.load().inFlight).to.equal(1);
         caller.abort();
@@ -311,7 +313,8 @@
         const gate = await startGate(cleanup.add, { clock: createManualClock(), limit });
         gate.keeper.announce(createAnnouncement(target));
         const caller = new AbortController();
-        const pending = sendHttpRequest({ port: gate.port, headers: createGateHeaders(), signal: caller.signal }).catch(() => undefined);
+        const pending = sendHttpRequest({ port: gate.port, headers: createGateHeaders(), signal: caller.signal })
+            .catch(() => undefined);
         await waitUntil(() => gate.keeper.current()?.gate.load().inFlight === 1);
 
         const answer = await sendHttpRequest({ port: gate.port, headers: createGateHeaders() });
--- a/packages/oleandergap-node/src/__tests__/gatewayHandler.test.ts
+++ b/packages/oleandergap-node/src/__tests__/gatewayHandler.test.ts
@@ -144,7 +144,8 @@
         const targets = [createMember("a", failingGate), createMember("b", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
 
-        const sendRequest = (): ReturnType<typeof sendHttpRequest> => sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
+        const sendRequest = (): ReturnType<typeof sendHttpRequest> =>
+            sendHttpRequest({ port: gateway.port, headers: { host: HOST } });
         const clientResponses = await Promise.all([sendRequest(), sendRequest(), sendRequest(), sendRequest()]);
 
         expect(clientResponses.map((response) => response.body.toString())).to.deep.equal(["file", "file", "file", "file"]);
@@ -204,7 +205,8 @@
         const clock = createManualClock();
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate)] });
 
-        const clientResponse = await sendHttpRequest({ port: gateway.port, headers: { host: HOST } }).catch(() => undefined);
+        const clientResponse = await sendHttpRequest({ port: gateway.port, headers: { host: HOST } })
+            .catch(() => undefined);
 
         expect(clientResponse?.isComplete ?? false).to.equal(false);
     });
@@ -273,7 +275,8 @@
         const targets = [createMember("a", frozenGate), createMember("b", gate.port)];
         const gateway = await startGateway(cleanup.add, { clock, targets });
         const sendRequest = (count: number, method: string): ReturnType<typeof sendHttpRequest>[] =>
-            Array.from({ length: count }, () => sendHttpRequest({ port: gateway.port, method, headers: { host: HOST } }));
+            Array.from({ length: count }, () =>
+                sendHttpRequest({ port: gateway.port, method, headers: { host: HOST } }));
 
         sendRequest(4, "POST").forEach((lodgement) => void lodgement.catch(() => undefined));
         await waitUntil(() => receivedCount + servedCount === 4);
--- a/packages/oleandergap-node/src/__tests__/lateHeartbeats.test.ts
+++ b/packages/oleandergap-node/src/__tests__/lateHeartbeats.test.ts
@@ -4,7 +4,15 @@
 import { createManualClock, type ManualClock } from "oleandergap-utils";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import {
-    sendHttpRequest, createAnnouncement, createCleanup, LOOPBACK, startGate, startTarget, waitUntil, type Cleanup, type ReceivedResponse,
+    type Cleanup,
+    createAnnouncement,
+    createCleanup,
+    LOOPBACK,
+    type ReceivedResponse,
+    sendHttpRequest,
+    startGate,
+    startTarget,
+    waitUntil,
 } from "./support.js";
 
 const GATE_SILENCE_MS = 1200;
--- a/packages/oleandergap-node/src/__tests__/listener.test.ts
+++ b/packages/oleandergap-node/src/__tests__/listener.test.ts
@@ -6,7 +6,15 @@
 import { writeResponse } from "../http/writeResponse.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import {
-    sendHttpRequest, callRaw, createAnnouncement, createCleanup, LOOPBACK, startGate, startTarget, startTestListener, waitUntil,
+    callRaw,
+    createAnnouncement,
+    createCleanup,
+    LOOPBACK,
+    sendHttpRequest,
+    startGate,
+    startTarget,
+    startTestListener,
+    waitUntil,
 } from "./support.js";
 
 const LARGE_BODY_BYTES = 3 * 1024 * 1024;
--- a/packages/oleandergap-node/src/__tests__/readiness.test.ts
+++ b/packages/oleandergap-node/src/__tests__/readiness.test.ts
@@ -8,7 +8,8 @@
     it("spreads the retry delays of callers at a node that is recovering", () => {
         const random = createSeededRandom(4);
         const state = createReadinessState();
-        const times = Array.from({ length: 700 }, () => findAdmissionRefusal(state, false, 200, random)?.retryAfterMs ?? 0);
+        const times = Array.from({ length: 700 }, () =>
+            findAdmissionRefusal(state, false, 200, random)?.retryAfterMs ?? 0);
         expect(Math.min(...times)).to.be.within(300, 350);
         expect(Math.max(...times)).to.be.within(950, 1000);
         const busiest = Math.max(...Array.from({ length: 10 }, (_, slice) =>
--- a/packages/oleandergap-node/src/__tests__/silentGates.test.ts
+++ b/packages/oleandergap-node/src/__tests__/silentGates.test.ts
@@ -2,7 +2,14 @@
 import { createManualClock, createSystemClock } from "oleandergap-utils";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import {
-    sendHttpRequest, createAnnouncement, createCleanup, createGateHeaders, startGate, startTarget, waitUntil, type ReceivedResponse,
+    createAnnouncement,
+    createCleanup,
+    createGateHeaders,
+    type ReceivedResponse,
+    sendHttpRequest,
+    startGate,
+    startTarget,
+    waitUntil,
 } from "./support.js";
 
 /** Longer than the silence timeout of the gateway in these tests, and shorter than twice that. */
@@ -124,7 +131,8 @@
     it("delivers the responses of all running requests when it is known to be silent", async () => {
         const gate = await startSilentGate(SLOW_MS, 2);
         const gateway = await startGateway(cleanup.add, { clock, targets: [createMember("a", gate.port)] });
-        const clientResponses = await Promise.all([1, 2].map(() => sendHttpRequest({ port: gateway.port, headers: HEADERS })));
+        const clientResponses = await Promise.all([1, 2].map(() =>
+            sendHttpRequest({ port: gateway.port, headers: HEADERS })));
         expect(clientResponses.map(({ statusCode }) => statusCode)).to.deep.equal([200, 200]);
         expect(gate.aborts()).to.equal(0);
     });
--- a/packages/oleandergap-node/src/__tests__/support.ts
+++ b/packages/oleandergap-node/src/__tests__/support.ts
@@ -215,7 +215,11 @@
     logger: createLogger("test"),
     options: defaultContainmentOptions,
     network: {
-        members: () => [], contacts: () => [], isInSameZone: () => true, isFirstInZone: () => true, send: () => undefined,
+        members: () => [],
+        contacts: () => [],
+        isInSameZone: () => true,
+        isFirstInZone: () => true,
+        send: () => undefined,
     },
     tableService: createMemoryTableService(),
     signal: new AbortController().signal,
--- a/packages/oleandergap-node/src/gate/containmentGuard.ts
+++ b/packages/oleandergap-node/src/gate/containmentGuard.ts
@@ -26,7 +26,10 @@
 });
 
 /** Returns the refusal if the request is contained, undefined otherwise. */
-export const createContainedRefusal = (containment: ContainmentQueries, judgement: Judgement): RequestFailure | undefined =>
+export const createContainedRefusal = (
+    containment: ContainmentQueries,
+    judgement: Judgement,
+): RequestFailure | undefined =>
     judgement.kind === "Contained" ?
         { kind: "Refused", verdict: "notRun", reason: "Contained", retryAfterMs: containment.retryAfter(judgement) } :
         undefined;
--- a/packages/oleandergap-node/src/gateway/requestContainment.ts
+++ b/packages/oleandergap-node/src/gateway/requestContainment.ts
@@ -69,7 +69,9 @@
 /**
  * Creates the containment of requests. The fingerprint of a request is computed only while there are suspect requests.
  */
-export const createRequestContainment = (containment: GatewayContainment): CreateRequestContainment => (request, body) => {
+export const createRequestContainment = (
+    containment: GatewayContainment,
+): CreateRequestContainment => (request, body) => {
     let fingerprint: Fingerprint | undefined;
     let hasCrashed = false;
     const getFingerprint = (): Fingerprint => fingerprint ??= fingerprintRequest(request, body);
--- a/packages/oleandergap-node/src/http/dialect.ts
+++ b/packages/oleandergap-node/src/http/dialect.ts
@@ -106,7 +106,8 @@
 };
 
 const defaultTargetDialect: TargetDialect = {
-    describeRequest: ({ attemptId, remainingMs }) => [TIMEOUT_HEADER, String(remainingMs), REQUEST_ID_HEADER, attemptId],
+    describeRequest: ({ attemptId, remainingMs }) =>
+        [TIMEOUT_HEADER, String(remainingMs), REQUEST_ID_HEADER, attemptId],
     responseIdHeader: REQUEST_ID_HEADER,
     expectResponseId: ({ attemptId }) => attemptId,
     readRefusal: (_statusCode, headers) => readTargetRefusal(headers),
--- a/packages/oleandergap-operator/src/__tests__/askNodes.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/queryNodes.test.ts
@@ -2,9 +2,9 @@
 import fc from "fast-check";
 import * as either from "fp-ts/lib/Either.js";
 import { createManualClock, type ManualClock } from "oleandergap-utils";
-import { queryNodes } from "../client/askNodes.js";
+import { queryNodes } from "../client/queryNodes.js";
 import type { AttemptResult } from "../client/attempt.js";
-import type { NodesResult } from "../client/judgeAttempts.js";
+import type { NodesResult } from "../client/classifyAttempts.js";
 
 const HEDGE_DELAY_MS = 2000;
 
--- a/packages/oleandergap-operator/src/__tests__/sendToNodes.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/sendToNodes.test.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import * as either from "fp-ts/lib/Either.js";
 import type { AttemptResult } from "../client/attempt.js";
-import type { NodesResult } from "../client/judgeAttempts.js";
+import type { NodesResult } from "../client/classifyAttempts.js";
 import { formatNodeAddress, type NodeAddress } from "../client/nodeAddress.js";
 import { sendToNodes } from "../client/sendToNodes.js";
 import type { OperatorError } from "../schemas/operatorError.js";
--- a/packages/oleandergap-operator/src/client/operatorClient.ts
+++ b/packages/oleandergap-operator/src/client/operatorClient.ts
@@ -17,9 +17,9 @@
     type OperatorTableView, type TargetsView, type ValidationView, type VersionsView,
 } from "../schemas/views.js";
 import { classifyFailure, parseResponse, type AttemptResult } from "./attempt.js";
-import { queryNodes } from "./askNodes.js";
+import { queryNodes } from "./queryNodes.js";
 import { formatNodeAddress, type NodeAddress } from "./nodeAddress.js";
-import type { NodesResult } from "./judgeAttempts.js";
+import type { NodesResult } from "./classifyAttempts.js";
 import { sendToNodes } from "./sendToNodes.js";
 
 /** Options of {@link createOperatorClient}. */
--- a/packages/oleandergap-operator/src/client/askNodes.ts
+++ b/packages/oleandergap-operator/src/client/queryNodes.ts
@@ -10,7 +10,7 @@
 import type { FailedAttempt } from "../schemas/operatorError.js";
 import { linkSignal } from "oleandergap-utils";
 import type { AttemptResult } from "./attempt.js";
-import { describeAttempt, isFinal, selectError, type NodesResult } from "./judgeAttempts.js";
+import { describeAttempt, isFinal, selectError, type NodesResult } from "./classifyAttempts.js";
 import { formatNodeAddress, type NodeAddress } from "./nodeAddress.js";
 
 /** Options of {@link queryNodes}. */
--- a/packages/oleandergap-operator/src/client/sendToNodes.ts
+++ b/packages/oleandergap-operator/src/client/sendToNodes.ts
@@ -10,7 +10,7 @@
 import type { AttemptResult } from "./attempt.js";
 import {
     describeAttempt, isDefinitive, isFinal, isUncertain, selectError, type NodesResult,
-} from "./judgeAttempts.js";
+} from "./classifyAttempts.js";
 import { formatNodeAddress, type NodeAddress } from "./nodeAddress.js";
 
 /** Options of {@link sendToNodes}. */
--- a/packages/oleandergap-operator/src/credentials/credentialChecker.ts
+++ b/packages/oleandergap-operator/src/credentials/credentialChecker.ts
@@ -14,7 +14,7 @@
 import { formatOperatorKey, hashCredential, isWellFormedCredential } from "./credential.js";
 import { createCredentialCache, type ConfirmedCredential } from "./credentialCache.js";
 import { operatorIdentitySchema, type OperatorIdentity } from "./identity.js";
-import { createKeyedRateLimiter } from "../keyedBudget.js";
+import { createKeyedRateLimiter } from "../keyedRateLimiter.js";
 import type { OperatorError } from "../schemas/operatorError.js";
 import { operatorOptionsSchema, type OperatorOptions } from "../options.js";
 import { raceAbort, startTimeLimit } from "oleandergap-utils";
--- a/packages/oleandergap-operator/src/handler.ts
+++ b/packages/oleandergap-operator/src/handler.ts
@@ -14,7 +14,7 @@
 import type { OperatorContext, OperatorServices } from "./procedures/context.js";
 import { readBearerCredential } from "./credentials/credential.js";
 import type { CredentialChecker, CredentialError } from "./credentials/credentialChecker.js";
-import { createKeyedRateLimiter } from "./keyedBudget.js";
+import { createKeyedRateLimiter } from "./keyedRateLimiter.js";
 import { OVER_BUDGET_STATUS, UNAUTHORIZED_STATUS, UNAVAILABLE_STATUS } from "./schemas/operatorError.js";
 import { operatorOptionsSchema, type OperatorOptions } from "./options.js";
 import { operatorRouter } from "./procedures/router.js";
--- a/packages/oleandergap-operator/src/procedures/change.ts
+++ b/packages/oleandergap-operator/src/procedures/change.ts
@@ -5,13 +5,13 @@
 import * as taskEither from "fp-ts/lib/TaskEither.js";
 import { pipe } from "fp-ts/lib/function.js";
 import type { ChangeOutcome, ChangePreview } from "oleandergap-configuration";
-import { convertChangeError } from "./changeFailure.js";
+import { convertChangeError } from "./convertChangeError.js";
 import type { OperatorContext } from "./context.js";
 import { changeInputSchema, validateInputSchema, type ChangeInput, type ValidateInput } from "../schemas/inputs.js";
 import type { OperatorError } from "../schemas/operatorError.js";
 import { procedure, router } from "./trpc.js";
 import type { ChangeOutcomeView, ValidationView } from "../schemas/views.js";
-import { platformTimeoutError, withDeadline } from "./withinTime.js";
+import { platformTimeoutError, withDeadline } from "./withDeadline.js";
 
 const toOutcomeView = ({ kind, changeId, head, isRepeat }: ChangeOutcome): ChangeOutcomeView => ({
     kind,
--- a/packages/oleandergap-operator/src/procedures/fleet.ts
+++ b/packages/oleandergap-operator/src/procedures/fleet.ts
@@ -8,12 +8,12 @@
 import type { OperatorContext } from "./context.js";
 import { toMembersView, toTargetsView, toVersionsView } from "./fleetViews.js";
 import type { OperatorError } from "../schemas/operatorError.js";
-import { convertPlatformReadError } from "./platformFailure.js";
+import { convertPlatformReadError } from "./convertPlatformReadError.js";
 import type { FleetReport } from "../ports.js";
 import { startTimeLimit } from "oleandergap-utils";
 import { procedure, router } from "./trpc.js";
 import type { VersionsView } from "../schemas/views.js";
-import { fleetTimeoutError, platformTimeoutError, withDeadline } from "./withinTime.js";
+import { fleetTimeoutError, platformTimeoutError, withDeadline } from "./withDeadline.js";
 
 /** Maximum time to wait for the accepted heads from the platform, after which the view is returned without them. */
 const ACCEPTED_HEADS_TIMEOUT_MS = 1000;
--- a/packages/oleandergap-operator/src/procedures/record.ts
+++ b/packages/oleandergap-operator/src/procedures/history.ts
@@ -3,11 +3,11 @@
 import { pipe } from "fp-ts/lib/function.js";
 import type { AuditEntry, Page } from "oleandergap-configuration";
 import type { Delta, PartnerName } from "oleandergap-types";
-import { convertChangeError } from "./changeFailure.js";
+import { convertChangeError } from "./convertChangeError.js";
 import { pageInputSchema } from "../schemas/inputs.js";
 import { procedure, router } from "./trpc.js";
 import type { AuditView, HistoryView } from "../schemas/views.js";
-import { platformTimeoutError, withDeadline } from "./withinTime.js";
+import { platformTimeoutError, withDeadline } from "./withDeadline.js";
 
 const toHistoryView = (partner: PartnerName) => ({ entries, before }: Page<Delta>): HistoryView => ({
     partner,
--- a/packages/oleandergap-operator/src/procedures/router.ts
+++ b/packages/oleandergap-operator/src/procedures/router.ts
@@ -1,7 +1,7 @@
 /** Operators' router with every procedure that the command line can call. */
 import { changeRouter } from "./change.js";
 import { fleetRouter } from "./fleet.js";
-import { auditRouter, historyRouter } from "./record.js";
+import { auditRouter, historyRouter } from "./history.js";
 import { tableRouter } from "./table.js";
 import { targetRouter } from "./target.js";
 import { router } from "./trpc.js";
--- a/packages/oleandergap-operator/src/procedures/table.ts
+++ b/packages/oleandergap-operator/src/procedures/table.ts
@@ -7,10 +7,10 @@
 import type { OperatorContext } from "./context.js";
 import { rowInputSchema, tableInputSchema, type TableSource } from "../schemas/inputs.js";
 import type { OperatorError } from "../schemas/operatorError.js";
-import { convertPlatformReadError } from "./platformFailure.js";
+import { convertPlatformReadError } from "./convertPlatformReadError.js";
 import { procedure, router } from "./trpc.js";
 import type { OperatorRowView, OperatorTableView } from "../schemas/views.js";
-import { platformTimeoutError, withDeadline } from "./withinTime.js";
+import { platformTimeoutError, withDeadline } from "./withDeadline.js";
 
 const readDocument = async (
     { tables, identity, signal }: OperatorContext,
--- a/packages/oleandergap-operator/src/procedures/target.ts
+++ b/packages/oleandergap-operator/src/procedures/target.ts
@@ -8,7 +8,7 @@
 import type { DrainError, FleetReport } from "../ports.js";
 import { procedure, router } from "./trpc.js";
 import type { DrainView } from "../schemas/views.js";
-import { fleetTimeoutError, withDeadline } from "./withinTime.js";
+import { fleetTimeoutError, withDeadline } from "./withDeadline.js";
 
 const findOwnTarget = (
     report: FleetReport,
--- a/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
@@ -15,7 +15,8 @@
 
 type Result = AttemptResult<string>;
 
-const answered = (answer: string): Result => ({ outcome: either.right(answer), load: undefined, retriedDownstream: false });
+const answered = (answer: string): Result =>
+    ({ outcome: either.right(answer), load: undefined, retriedDownstream: false });
 const failed = (failure: Parameters<typeof either.left>[0]): Result =>
     ({ outcome: either.left(failure), load: undefined, retriedDownstream: false } as Result);
 
--- a/packages/oleandergap-routing/src/__tests__/placement.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/placement.test.ts
@@ -61,7 +61,8 @@
             targets: createTargets("hall-a", 2),
             canResend: true,
         };
-        const hasFreeSlot = (exclude: readonly string[]): boolean => harness.picker.hasFreeSlot({ ...request, exclude });
+        const hasFreeSlot = (exclude: readonly string[]): boolean =>
+            harness.picker.hasFreeSlot({ ...request, exclude });
         const fullLoad = { inFlight: 10, queued: 4, capacity: 10, expectedWaitMs: 80 };
         harness.pick(["hall-a-1"])?.report({ kind: "Refused", reason: "QueueFull" }, fullLoad);
         expect(hasFreeSlot(["hall-a-0"])).to.equal(true);
