--- a/packages/oleandergap-utils/src/__tests__/backgroundClock.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/backgroundClock.test.ts
@@ -1,6 +1,6 @@
-// Symptom: nodes without any request take half as much processor time as those that serve.
-// Sequence: a dozen periodic duties, each with a timer of its own, fire at a dozen different moments of each 100 ms.
-// Cause: each of them wakes the process. Counted here: the timers of the clock below that fire.
+// Failure: idle nodes use half as much processor time as nodes that serve requests.
+// Cause: a dozen periodic tasks with separate timers fire at a dozen different times in each 100 ms, and each of them
+// wakes the process up. The tests count the different times at which timers of the underlying clock fire.
 import { expect } from "chai";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { createBackgroundClock } from "../backgroundClock.js";
@@ -9,77 +9,77 @@
 const STEP_MS: Milliseconds = 100;
 const SECOND_MS: Milliseconds = 1000;
 
-interface CountedClock extends Clock {
+interface CountingClock extends Clock {
     readonly wakeUps: () => number;
 }
 
-const countWakeUps = (clock: ManualClock): CountedClock => {
-    const moments = new Set<Milliseconds>();
+const createCountingClock = (clock: ManualClock): CountingClock => {
+    const firingTimes = new Set<Milliseconds>();
     return {
         ...clock,
         after: (delay, callback) => clock.after(delay, () => {
-            moments.add(clock.monotonic());
+            firingTimes.add(clock.monotonic());
             callback();
         }),
-        wakeUps: () => moments.size,
+        wakeUps: () => firingTimes.size,
     };
 };
 
-const repeat = (clock: Clock, period: Milliseconds, run: () => void): void => {
+const startPeriodicTimer = (clock: Clock, period: Milliseconds, run: () => void): void => {
     clock.after(period, () => {
         run();
-        repeat(clock, period, run);
+        startPeriodicTimer(clock, period, run);
     });
 };
 
-const PERIODS: readonly Milliseconds[] = [100, 100, 110, 130, 170, 230, 310, 430, 590, 700, 1000, 1000];
+const PERIODS_MS: readonly Milliseconds[] = [100, 100, 110, 130, 170, 230, 310, 430, 590, 700, 1000, 1000];
 
 describe("createBackgroundClock", () => {
-    it("wakes once a step at most, whatever the number of duties", async () => {
+    it("fires timers of the underlying clock at most once per step, for any number of periodic tasks", async () => {
         const manual = createManualClock(12_345);
-        const counted = countWakeUps(manual);
+        const counted = createCountingClock(manual);
         const clock = createBackgroundClock(counted, STEP_MS);
-        PERIODS.forEach((period) => repeat(clock, period, () => undefined));
+        PERIODS_MS.forEach((period) => startPeriodicTimer(clock, period, () => undefined));
         await manual.advance(10 * SECOND_MS);
         expect(counted.wakeUps()).to.be.at.most(10 * SECOND_MS / STEP_MS + 1);
 
     });
 
-    it("differs from timers of their own, which wake at three times as many moments", async () => {
+    it("replaces separate timers, which fire at three times as many different times or more", async () => {
         const manual = createManualClock(12_345);
-        const counted = countWakeUps(manual);
-        PERIODS.forEach((period) => repeat(counted, period, () => undefined));
+        const counted = createCountingClock(manual);
+        PERIODS_MS.forEach((period) => startPeriodicTimer(counted, period, () => undefined));
         await manual.advance(10 * SECOND_MS);
         expect(counted.wakeUps()).to.be.at.least(3 * 10 * SECOND_MS / STEP_MS);
     });
 
-    it("fires no timer more than a step late, and none before its time by more than the slack", async () => {
+    it("fires each timer at most one step late and at most the tolerance early", async () => {
         const manual = createManualClock(777);
         const clock = createBackgroundClock(manual, STEP_MS);
-        const late: Milliseconds[] = [];
+        const delaysAfterDue: Milliseconds[] = [];
         for (const delay of [0, 1, 50, 99, 100, 101, 250, 999]) {
-            const due = manual.monotonic() + delay;
-            clock.after(delay, () => late.push(manual.monotonic() - due));
+            const dueAt = manual.monotonic() + delay;
+            clock.after(delay, () => delaysAfterDue.push(manual.monotonic() - dueAt));
         }
         await manual.advance(2 * SECOND_MS);
-        expect(late).to.have.length(8);
-        late.forEach((time) => expect(time).to.be.within(-10, STEP_MS));
+        expect(delaysAfterDue).to.have.length(8);
+        delaysAfterDue.forEach((delayAfterDue) => expect(delayAfterDue).to.be.within(-10, STEP_MS));
     });
 
-    it("keeps a period of one step", async () => {
+    it("runs a periodic task at each step if the period is one step", async () => {
         const manual = createManualClock(0);
         const clock = createBackgroundClock(manual, STEP_MS);
         let runs = 0;
-        repeat(clock, STEP_MS, () => {
+        startPeriodicTimer(clock, STEP_MS, () => {
             runs += 1;
-            // The duty itself takes a moment.
+            // Running the task takes some time.
             manual.freeze(3);
         });
         await manual.advance(10 * SECOND_MS);
         expect(runs).to.be.at.least(95);
     });
 
-    it("cancels timers, and leaves nothing armed when none waits", async () => {
+    it("cancels timers, and starts no timer of the underlying clock when none is pending", async () => {
         const manual = createManualClock();
         const clock = createBackgroundClock(manual, STEP_MS);
         let fired = 0;
@@ -98,7 +98,7 @@
         expect(manual.pendingTimers()).to.equal(0);
     });
 
-    it("goes on with the other duties' later turns when one throws", async () => {
+    it("runs later timers of other tasks after a task throws", async () => {
         const manual = createManualClock();
         const timers: (() => void)[] = [];
         const clock = createBackgroundClock({
@@ -119,13 +119,13 @@
         expect(fired).to.equal(1);
     });
 
-    it("ends a sleep with its signal", async () => {
+    it("ends a sleep when its signal aborts", async () => {
         const manual = createManualClock();
         const clock = createBackgroundClock(manual, STEP_MS);
-        const life = new AbortController();
-        const slept = clock.sleep(SECOND_MS, life.signal);
-        life.abort();
-        await slept;
+        const controller = new AbortController();
+        const sleeping = clock.sleep(SECOND_MS, controller.signal);
+        controller.abort();
+        await sleeping;
         expect(manual.pendingTimers()).to.equal(0);
     });
 });
--- a/packages/oleandergap-utils/src/__tests__/timeLimit.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/timeLimit.test.ts
@@ -3,45 +3,45 @@
 import { createManualClock, linkSignal, raceAbort, startTimeLimit } from "../index.js";
 
 describe("startTimeLimit", () => {
-    it("leaves nothing behind at a signal that outlives it", async () => {
-        // Symptom: a node's memory grows with every operator's request until the VM runs out of it.
-        // Sequence: each request derives its signal from the node's own, ends, and the next one comes.
-        // Cause: the long-lived signal kept every derived one.
+    it("leaves no listener at an outer signal that outlives the time limit", async () => {
+        // Failure: the memory usage of a node grows with each operator request until the VM runs out of memory.
+        // Cause: each request derives its signal from the signal of the node, and this long-lived signal retains every
+        // derived signal after the request has ended.
         const clock = createManualClock();
-        const node = new AbortController();
+        const nodeController = new AbortController();
         for (let request = 0; request < 100; request++) {
-            const limit = startTimeLimit(clock, 1000, node.signal);
+            const limit = startTimeLimit(clock, 1000, nodeController.signal);
             limit.cancel();
         }
-        expect(getEventListeners(node.signal, "abort")).to.deep.equal([]);
+        expect(getEventListeners(nodeController.signal, "abort")).to.deep.equal([]);
         expect(clock.pendingTimers()).to.equal(0);
     });
 
-    it("aborts when the time is over, and tells that from an interruption", async () => {
+    it("aborts when the time limit expires, and distinguishes this from an abort of the outer signal", async () => {
         const clock = createManualClock();
         const outer = new AbortController();
-        const late = startTimeLimit(clock, 1000, outer.signal);
+        const expiredLimit = startTimeLimit(clock, 1000, outer.signal);
         await clock.advance(1000);
-        expect([late.signal.aborted, late.hasPassed()]).to.deep.equal([true, true]);
-        const interrupted = startTimeLimit(clock, 1000, outer.signal);
+        expect([expiredLimit.signal.aborted, expiredLimit.hasPassed()]).to.deep.equal([true, true]);
+        const abortedLimit = startTimeLimit(clock, 1000, outer.signal);
         outer.abort();
-        expect([interrupted.signal.aborted, interrupted.hasPassed()]).to.deep.equal([true, false]);
+        expect([abortedLimit.signal.aborted, abortedLimit.hasPassed()]).to.deep.equal([true, false]);
     });
 
-    it("is aborted from the start when the outer signal is", () => {
+    it("is aborted from the start if the outer signal is already aborted", () => {
         expect(linkSignal(AbortSignal.abort()).signal.aborted).to.equal(true);
     });
 });
 
 describe("raceAbort", () => {
-    it("gives up on work that ignores its signal, and lets go of the signal when work ends", async () => {
+    it("stops waiting for work that ignores its signal, and removes its listener when the work ends", async () => {
         const outer = new AbortController();
-        const stuck = raceAbort(new Promise<string>(() => undefined), outer.signal, () => "given up");
+        const pendingRace = raceAbort(new Promise<string>(() => undefined), outer.signal, () => "given up");
         expect(await raceAbort(Promise.resolve("done"), outer.signal, () => "given up")).to.equal("done");
         await new Promise((resolve) => setImmediate(resolve));
         expect(getEventListeners(outer.signal, "abort")).to.have.length(1);
         outer.abort();
-        expect(await stuck).to.equal("given up");
+        expect(await pendingRace).to.equal("given up");
         expect(await raceAbort(Promise.resolve("done"), outer.signal, () => "given up")).to.equal("given up");
     });
 });
--- a/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
@@ -2,7 +2,7 @@
 import { createManualClock, createTokenBucket, createTokenSupply } from "../index.js";
 
 describe("createTokenBucket", () => {
-    it("allows the burst, then the rate", async () => {
+    it("allows a burst first and limits the rate afterwards", async () => {
         const clock = createManualClock();
         const bucket = createTokenBucket({ clock, ratePerSecond: () => 10, burst: 2 });
         expect([bucket.tryTake(), bucket.tryTake(), bucket.tryTake()]).to.deep.equal([true, true, false]);
@@ -11,7 +11,7 @@
         expect([bucket.tryTake(), bucket.tryTake()]).to.deep.equal([true, false]);
     });
 
-    it("reports an endless wait when nothing flows in", () => {
+    it("reports an infinite wait if no tokens are added", () => {
         const bucket = createTokenBucket({ clock: createManualClock(), ratePerSecond: () => 0, burst: 1 });
         bucket.tryTake();
         expect(bucket.timeToNext()).to.equal(Number.POSITIVE_INFINITY);
@@ -19,7 +19,7 @@
 });
 
 describe("createTokenSupply", () => {
-    it("tells the time until several tokens are there and may go into debt", async () => {
+    it("returns the time until several tokens are available, and allows a negative number of tokens", async () => {
         const clock = createManualClock();
         const supply = createTokenSupply({ clock, ratePerSecond: () => 10, burst: 5 });
         expect(supply.timeUntil(5)).to.equal(0);
--- a/packages/oleandergap-utils/src/backgroundClock.ts
+++ b/packages/oleandergap-utils/src/backgroundClock.ts
@@ -1,70 +1,74 @@
 /**
- * A clock whose timers fire together, for work that may be a little late.
+ * A clock that coalesces timers, for work that may start slightly late.
  *
- * A node has a dozen periodic duties. With a timer of its own for each, a node that does nothing wakes fifty times a
- * second; on a VM that several processes share, each time with cold caches. One would see resting nodes take as much
- * processor time as those that serve. Here all timers fire at the multiples of one step, so that a turn of the event
- * loop does whatever is due.
+ * A node has a dozen periodic tasks. If each task had a separate timer, an idle node would wake up fifty times a
+ * second. On a VM that several processes share, each wake-up finds cold caches. Idle nodes would then use as much
+ * processor time as nodes that serve requests. Here, all timers fire at multiples of one step, so that one turn of the
+ * event loop runs all tasks that are due.
  */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { createSleep } from "./sleep.js";
 
-/** Timers may fire this much before their time; a duty that takes a moment would otherwise miss every second step. */
-const SLACK_MS: Milliseconds = 10;
+/**
+ * Maximum time by which a timer may fire early. Without this tolerance, a periodic task that takes some time to run
+ * would miss every second step.
+ */
+const MAX_EARLY_MS: Milliseconds = 10;
 
-interface Turn {
+/** Timers that fire at the same time. */
+interface TimerBatch {
     readonly at: Milliseconds;
     readonly callbacks: Set<() => void>;
 }
 
-/** Timers of the result fire up to `stepMs` late, at multiples of it; its times are those of `clock`. */
+/** Creates a clock with the times of `clock`, whose timers fire at multiples of `stepMs` and up to `stepMs` late. */
 export const createBackgroundClock = (clock: Clock, stepMs: Milliseconds): Clock => {
-    const turns = new Map<number, Turn>();
-    let armed: { readonly at: Milliseconds; readonly cancel: CancelTimer } | undefined;
+    const batches = new Map<number, TimerBatch>();
+    let armedTimer: { readonly at: Milliseconds; readonly cancel: CancelTimer } | undefined;
 
-    const listDue = (now: Milliseconds): readonly Turn[] =>
-        [...turns.values()].filter(({ at }) => at <= now + SLACK_MS).sort((left, right) => left.at - right.at);
+    const listDueBatches = (now: Milliseconds): readonly TimerBatch[] =>
+        [...batches.values()].filter(({ at }) => at <= now + MAX_EARLY_MS).sort((left, right) => left.at - right.at);
 
-    const arm = (): void => {
-        const next = Math.min(...[...turns.values()].map(({ at }) => at));
-        if (next === armed?.at) {
+    const armTimer = (): void => {
+        const nextAt = Math.min(...[...batches.values()].map(({ at }) => at));
+        if (nextAt === armedTimer?.at) {
             return;
         }
-        armed?.cancel();
-        armed = undefined;
-        if (turns.size > 0) {
-            armed = { at: next, cancel: clock.after(Math.max(0, next - clock.monotonic()), run) };
+        armedTimer?.cancel();
+        armedTimer = undefined;
+        if (batches.size > 0) {
+            armedTimer = { at: nextAt, cancel: clock.after(Math.max(0, nextAt - clock.monotonic()), runDueBatches) };
         }
     };
 
-    const run = (): void => {
-        armed = undefined;
-        const due = listDue(clock.monotonic());
-        for (const turn of due) {
-            turns.delete(turn.at);
+    const runDueBatches = (): void => {
+        armedTimer = undefined;
+        const dueBatches = listDueBatches(clock.monotonic());
+        for (const batch of dueBatches) {
+            batches.delete(batch.at);
         }
-        // Armed first, so that a duty that throws does not keep the later ones from their time.
-        arm();
-        for (const turn of due) {
-            for (const callback of turn.callbacks) {
+        // The next timer is armed before the callbacks run, so that later tasks run on time even if a task throws.
+        armTimer();
+        for (const batch of dueBatches) {
+            for (const callback of batch.callbacks) {
                 callback();
             }
         }
     };
 
     const after: Clock["after"] = (delay, callback) => {
-        const at = Math.ceil((clock.monotonic() + delay - SLACK_MS) / stepMs) * stepMs;
-        const turn = turns.get(at) ?? { at, callbacks: new Set<() => void>() };
-        turns.set(at, turn);
-        // Wrapped, so that the same function can wait twice.
-        const entry = (): void => callback();
-        turn.callbacks.add(entry);
-        arm();
+        const at = Math.ceil((clock.monotonic() + delay - MAX_EARLY_MS) / stepMs) * stepMs;
+        const batch = batches.get(at) ?? { at, callbacks: new Set<() => void>() };
+        batches.set(at, batch);
+        // The wrapper allows the same function to be scheduled twice.
+        const wrappedCallback = (): void => callback();
+        batch.callbacks.add(wrappedCallback);
+        armTimer();
         return () => {
-            turn.callbacks.delete(entry);
-            if (turn.callbacks.size === 0 && turns.get(at) === turn) {
-                turns.delete(at);
-                arm();
+            batch.callbacks.delete(wrappedCallback);
+            if (batch.callbacks.size === 0 && batches.get(at) === batch) {
+                batches.delete(at);
+                armTimer();
             }
         };
     };
--- a/packages/oleandergap-utils/src/canonicalJson.ts
+++ b/packages/oleandergap-utils/src/canonicalJson.ts
@@ -1,4 +1,4 @@
-/** JSON with sorted keys, so that equal values have equal texts. */
+/** Canonical JSON: keys are sorted, so that equal values have equal texts. */
 
 const compareText = (left: string, right: string): number => {
     if (left === right) {
@@ -14,5 +14,5 @@
     return Object.fromEntries(Object.entries(value).sort(([left], [right]) => compareText(left, right)));
 };
 
-/** Keys with an undefined value are left out, as in ordinary JSON. */
+/** Returns `value` as canonical JSON. Keys with an undefined value are omitted, as in ordinary JSON. */
 export const formatCanonicalJson = (value: unknown): string => JSON.stringify(value, sortKeys);
--- a/packages/oleandergap-utils/src/clock.ts
+++ b/packages/oleandergap-utils/src/clock.ts
@@ -3,7 +3,7 @@
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { createSleep } from "./sleep.js";
 
-const startTimer = (delay: Milliseconds, callback: () => void): CancelTimer => {
+const startUnreferencedTimer = (delay: Milliseconds, callback: () => void): CancelTimer => {
     const timer = setTimeout(callback, delay);
     timer.unref();
     return () => {
@@ -11,18 +11,18 @@
     };
 };
 
-/** Unlike the timers of `after`, those of a sleep keep the process alive. */
-const startKeptTimer = (delay: Milliseconds, callback: () => void): CancelTimer => {
+/** Starts a timer for `sleep`, which keeps the process alive. The timers of `after` do not keep it alive. */
+const startReferencedTimer = (delay: Milliseconds, callback: () => void): CancelTimer => {
     const timer = setTimeout(callback, delay);
     return () => {
         clearTimeout(timer);
     };
 };
 
-/** A clock backed by the operating system. */
+/** Creates a clock backed by the operating system. */
 export const createSystemClock = (): Clock => ({
     now: () => Date.now(),
     monotonic: () => performance.now(),
-    after: startTimer,
-    sleep: createSleep(startKeptTimer),
+    after: startUnreferencedTimer,
+    sleep: createSleep(startReferencedTimer),
 });
--- a/packages/oleandergap-utils/src/describeError.ts
+++ b/packages/oleandergap-utils/src/describeError.ts
@@ -1,4 +1,4 @@
-/** Texts of errors that JavaScript allows to be any value. */
+/** Texts of thrown values. JavaScript allows any value to be thrown. */
 
-/** The message of an `Error`, or the value as text. */
+/** Returns the message of an `Error`, or any other value as text. */
 export const describeError = (error: unknown): string => error instanceof Error ? error.message : String(error);
--- a/packages/oleandergap-utils/src/index.ts
+++ b/packages/oleandergap-utils/src/index.ts
@@ -1,4 +1,4 @@
-/** Clock, hashing, budgets and other small helpers. */
+/** Clocks, time limits, token buckets, hashing, random numbers and other small helpers. */
 export * from "./backgroundClock.js";
 export * from "./canonicalJson.js";
 export * from "./clock.js";
--- a/packages/oleandergap-utils/src/lateTimer.ts
+++ b/packages/oleandergap-utils/src/lateTimer.ts
@@ -1,25 +1,34 @@
 /**
- * Time limits on what another process does, that do not count this process's own delay.
+ * Timeouts for actions of other processes, which do not count delays of the local process.
  *
- * Timers run before what has arrived is read. A process that stood still would take every limit for passed, although an
- * answer, a sign or an open connection lies there; one would see good nodes avoided and answers thrown away by a
- * process that is short of processor time.
+ * Node.js runs expired timers before it reads pending input. After a pause, the process would therefore treat every
+ * timeout as exceeded, although a response, a heartbeat or an open connection is ready to be read. A process that is
+ * short of processor time would avoid healthy nodes and discard their responses.
  */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 
-/** Sockets are read once between two turns; data and the end of one socket need two. */
-const TURNS_TO_CATCH_UP = 2;
+/**
+ * Number of event loop turns until all pending input is read. Each socket is read once between two turns, and the data
+ * and the end of the same socket need two reads.
+ */
+const TURNS_UNTIL_READ = 2;
 
-const nextTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const waitForNextTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-/** Resolves when what has arrived by now is read. `turn` resolves in the next turn of the event loop. */
-export const waitTurns = async (turn: () => Promise<void> = nextTurn): Promise<void> => {
-    for (let count = 0; count < TURNS_TO_CATCH_UP; count++) {
-        await turn();
+/**
+ * Resolves when all input that has arrived by the time of the call is read. `waitForTurn` resolves in the next turn of
+ * the event loop.
+ */
+export const waitTurns = async (waitForTurn: () => Promise<void> = waitForNextTurn): Promise<void> => {
+    for (let count = 0; count < TURNS_UNTIL_READ; count++) {
+        await waitForTurn();
     }
 };
 
-/** Calls `callback` after `delay`; when that comes late, after what has arrived was read, unless cancelled by then. */
+/**
+ * Calls `callback` after `delay`, unless the timer is cancelled before. If the timer fires late, all input that has
+ * arrived by then is read first, and the timer can still be cancelled in the meantime.
+ */
 export const afterReading = (clock: Clock, delay: Milliseconds, callback: () => void): CancelTimer => {
     const dueAt = clock.monotonic() + delay;
     let isCancelled = false;
--- a/packages/oleandergap-utils/src/manualClock.ts
+++ b/packages/oleandergap-utils/src/manualClock.ts
@@ -1,45 +1,48 @@
-/** A clock that tests move by hand. */
+/** A clock for tests, whose time is set by the test. */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { createSleep } from "./sleep.js";
 
 interface ManualTimer {
-    readonly due: Milliseconds;
+    readonly dueAt: Milliseconds;
     readonly order: number;
     readonly callback: () => void;
 }
 
-/** Time stands still until a test moves it. */
+/** A clock whose time changes only when a test changes it. */
 export interface ManualClock extends Clock {
-    /** Moves time forward and runs what falls due, in order, letting promises settle in between. */
+    /** Advances the time, runs due timers in order and lets promises settle after each timer. */
     readonly advance: (duration: Milliseconds) => Promise<void>;
-    /** Moves the time without running timers, as when a process is frozen; overdue timers run at the next advance. */
+    /**
+     * Advances the time without running timers, as if the process were paused. Overdue timers run at the next call of
+     * `advance`.
+     */
     readonly freeze: (duration: Milliseconds) => void;
     /**
-     * Moves the time as when a process stands still, and runs the timers that fell due before anything that has arrived
-     * meanwhile is read.
+     * Advances the time as if the process were paused, and runs overdue timers before input that has arrived in the
+     * meantime is read.
      */
     readonly block: (duration: Milliseconds) => void;
-    /** Number of timers that are waiting. */
+    /** Returns the number of pending timers. */
     readonly pendingTimers: () => number;
 }
 
-/** Turns of the event loop that let chains of promises settle between two timers. */
+/** Number of event loop turns after which chains of promises have settled between two timers. */
 const SETTLE_TURNS = 3;
 
-const settle = async (): Promise<void> => {
+const settlePromises = async (): Promise<void> => {
     for (let turn = 0; turn < SETTLE_TURNS; turn++) {
         await new Promise<void>((resolve) => setImmediate(resolve));
     }
 };
 
-/** Starts at `start` (wall clock and monotonic alike). */
+/** Creates a clock whose wall clock time and monotonic time both start at `start`. */
 export const createManualClock = (start: Milliseconds = 1_000_000): ManualClock => {
     let time = start;
     let order = 0;
     const timers = new Set<ManualTimer>();
 
     const after = (delay: Milliseconds, callback: () => void): CancelTimer => {
-        const timer = { due: time + Math.max(0, delay), order: order++, callback };
+        const timer = { dueAt: time + Math.max(0, delay), order: order++, callback };
         timers.add(timer);
         return () => {
             timers.delete(timer);
@@ -47,12 +50,12 @@
     };
 
     const isBefore = (left: ManualTimer, right: ManualTimer): boolean =>
-        left.due === right.due ? left.order < right.order : left.due < right.due;
+        left.dueAt === right.dueAt ? left.order < right.order : left.dueAt < right.dueAt;
 
-    const nextDue = (limit: Milliseconds): ManualTimer | undefined => {
+    const findNextDue = (limit: Milliseconds): ManualTimer | undefined => {
         let next: ManualTimer | undefined;
         for (const timer of timers) {
-            if (timer.due <= limit && (next === undefined || isBefore(timer, next))) {
+            if (timer.dueAt <= limit && (next === undefined || isBefore(timer, next))) {
                 next = timer;
             }
         }
@@ -61,19 +64,19 @@
 
     const advance = async (duration: Milliseconds): Promise<void> => {
         const end = time + duration;
-        await settle();
-        for (let timer = nextDue(end); timer !== undefined; timer = nextDue(end)) {
+        await settlePromises();
+        for (let timer = findNextDue(end); timer !== undefined; timer = findNextDue(end)) {
             timers.delete(timer);
-            time = Math.max(time, timer.due);
+            time = Math.max(time, timer.dueAt);
             timer.callback();
-            await settle();
+            await settlePromises();
         }
         time = end;
     };
 
     const block = (duration: Milliseconds): void => {
         time += duration;
-        const overdue = [...timers].filter(({ due }) => due <= time);
+        const overdue = [...timers].filter(({ dueAt }) => dueAt <= time);
         for (const timer of overdue.sort((left, right) => isBefore(left, right) ? -1 : 1)) {
             timers.delete(timer);
             timer.callback();
--- a/packages/oleandergap-utils/src/random.ts
+++ b/packages/oleandergap-utils/src/random.ts
@@ -1,42 +1,43 @@
-/** Random numbers as a function argument, so that tests can repeat a run from its seed. */
+/** Random number generators that are passed as arguments, so that tests can reproduce a run from its seed. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Milliseconds } from "oleandergap-types";
 import { hashText } from "./rendezvousHash.js";
 
-/** A number from 0 (included) to 1 (excluded). */
+/** Returns a random number from 0 (inclusive) to 1 (exclusive). */
 export type Random = () => number;
 
 const TWO_TO_THE_32 = 2 ** 32;
 
-/** Repeats the same numbers for the same seed. */
+/** Creates a generator that returns the same numbers for the same seed. */
 export const createSeededRandom = (seed: number): Random => {
-    // Small seeds give near-equal first numbers; hashing spreads them over the generator's whole state.
+    // Small seeds would give nearly equal first numbers; hashing distributes them over the whole state of the
+    // generator.
     const generator = xoroshiro128plus(hashText(String(seed)));
     return () => (generator.next() >>> 0) / TWO_TO_THE_32;
 };
 
-/** A whole number from 0 to `bound - 1`. */
+/** Returns a random integer from 0 to `bound - 1`. */
 export const pickIndex = (random: Random, bound: number): number => Math.floor(random() * bound);
 
-/** One of `items`, or undefined when there is none. */
+/** Returns a random item of `items`, or undefined if `items` is empty. */
 export const pickOne = <Item>(random: Random, items: readonly Item[]): Item | undefined =>
     items[pickIndex(random, items.length)];
 
-/** Up to `count` different items in random order. */
+/** Returns up to `count` different items in random order. */
 export const pickSeveral = <Item>(random: Random, items: readonly Item[], count: number): readonly Item[] => {
-    const pool = [...items];
+    const remaining = [...items];
     const picked: Item[] = [];
-    while (picked.length < count && pool.length > 0) {
-        picked.push(...pool.splice(pickIndex(random, pool.length), 1));
+    while (picked.length < count && remaining.length > 0) {
+        picked.push(...remaining.splice(pickIndex(random, remaining.length), 1));
     }
     return picked;
 };
 
 /**
- * Full jitter: a uniformly random delay up to an exponentially growing bound.
+ * Returns a backoff delay with full jitter: uniformly distributed from 0 to a bound that grows exponentially.
  *
- * Without it, processes that failed together retry together and overload what they wait for; one would see request
- * peaks at regular distances. A uniform draw over the whole interval spreads them out.
+ * Without jitter, processes that failed together would retry together and overload the service that they wait for, with
+ * request peaks at regular intervals. A uniform distribution over the whole interval spreads the retries.
  */
 export const drawBackoff = (
     random: Random,
--- a/packages/oleandergap-utils/src/silenceWatch.ts
+++ b/packages/oleandergap-utils/src/silenceWatch.ts
@@ -1,55 +1,56 @@
 /**
- * Bounds an answer by its silence. A long answer over a narrow link takes its time, the more so when the link carries
- * much besides. Given up after a fixed time in all it would be asked for anew, from its first byte, and the link would
- * be filled by answers that nobody reads; one would see nodes with narrow links stay behind. So only a silence ends it,
- * and a total far beyond the usual, for an answer that comes without an end.
+ * Inactivity timeout for a response. A long response over a narrow link takes a long time, especially while the link
+ * carries much other traffic. After a fixed total timeout, the response would be discarded and requested again from its
+ * first byte. Discarded responses would then fill the link, and nodes with narrow links would fall behind. Therefore a
+ * response only times out due to inactivity, or after a total time far above the usual one, which limits a response
+ * that never ends.
  */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { afterReading } from "./lateTimer.js";
 
-/** Bounds on one answer. */
+/** Time limits for one response. */
 export interface SilenceLimits {
     readonly clock: Clock;
-    /** Longest silence: until the answer begins, and between two parts of it. */
+    /** Maximum time until the response starts, and between two parts of the response. */
     readonly timeoutMs: Milliseconds;
-    /** Longest time in all. */
+    /** Maximum total time of the response. */
     readonly longestMs: Milliseconds;
 }
 
-/** Which bound was passed. */
+/** The time limit that was exceeded: the limit for inactivity or the limit for the total time. */
 export type PassedLimit = "silence" | "total";
 
-/** A running watch. */
-export interface SilenceWatch {
-    /** Notes that a part of the answer has come. */
+/** A running inactivity timeout. */
+export interface InactivityTimeout {
+    /** Restarts the inactivity timer; call it when a part of the response has arrived. */
     readonly noteProgress: () => void;
-    /** To be called when the answer has ended. */
+    /** Stops all timers; call it when the response has ended. */
     readonly cancel: () => void;
 }
 
-/** Calls `onPassed` once, unless the watch is cancelled before. */
+/** Starts the timers of a response. Calls `onExceeded` once, unless the timeout is cancelled before. */
 export const watchSilence = (
     { clock, timeoutMs, longestMs }: SilenceLimits,
-    onPassed: (limit: PassedLimit) => void,
-): SilenceWatch => {
-    let isOver = false;
+    onExceeded: (limit: PassedLimit) => void,
+): InactivityTimeout => {
+    let hasEnded = false;
     const end = (): void => {
-        isOver = true;
-        cancelSilence();
-        cancelTotal();
+        hasEnded = true;
+        cancelInactivityTimer();
+        cancelTotalTimer();
     };
-    const pass = (limit: PassedLimit): void => {
+    const reportExceeded = (limit: PassedLimit): void => {
         end();
-        onPassed(limit);
+        onExceeded(limit);
     };
-    const startSilence = (): CancelTimer => afterReading(clock, timeoutMs, () => pass("silence"));
-    let cancelSilence = startSilence();
-    const cancelTotal = afterReading(clock, longestMs, () => pass("total"));
+    const startInactivityTimer = (): CancelTimer => afterReading(clock, timeoutMs, () => reportExceeded("silence"));
+    let cancelInactivityTimer = startInactivityTimer();
+    const cancelTotalTimer = afterReading(clock, longestMs, () => reportExceeded("total"));
     return {
         noteProgress: () => {
-            if (!isOver) {
-                cancelSilence();
-                cancelSilence = startSilence();
+            if (!hasEnded) {
+                cancelInactivityTimer();
+                cancelInactivityTimer = startInactivityTimer();
             }
         },
         cancel: end,
--- a/packages/oleandergap-utils/src/sleep.ts
+++ b/packages/oleandergap-utils/src/sleep.ts
@@ -1,7 +1,10 @@
-/** Builds a clock's `sleep` on its timers. */
+/** Implements the `sleep` function of a clock with the timers of the clock. */
 import type { Clock } from "oleandergap-types";
 
-/** Resolves when the timer of `after` fires or the signal aborts, and lets go of the other. Never rejects. */
+/**
+ * Creates a `sleep` function. Its promise resolves when a timer of `after` fires or the signal aborts, and never
+ * rejects. The timer is then cancelled, or the listener is removed from the signal.
+ */
 export const createSleep = (after: Clock["after"]): Clock["sleep"] => (delay, signal) =>
     new Promise((resolve) => {
         if (signal.aborted) {
--- a/packages/oleandergap-utils/src/timeLimit.ts
+++ b/packages/oleandergap-utils/src/timeLimit.ts
@@ -1,24 +1,25 @@
-/** Abort signals with a time limit, on the project's own clock. */
+/** Abort signals with a time limit that is measured by a `Clock`. */
 import { setMaxListeners } from "node:events";
 import type { Clock, Milliseconds } from "oleandergap-types";
 
-/** Stands for no limit in Node's own functions. */
+/** Value with which `setMaxListeners` allows any number of listeners. */
 const UNLIMITED = 0;
 
-/** A signal of its own that follows another one. */
+/** An abort signal that follows another abort signal. */
 export interface LinkedSignal {
-    /** Aborts when `outer` or `abort` does so. */
+    /** Aborts when `outer` aborts or `abort` is called. */
     readonly signal: AbortSignal;
     readonly abort: () => void;
-    /** Lets go of `outer`; to be called when the work has ended. */
+    /** Removes the listener from `outer`; call it when the work has ended. */
     readonly release: () => void;
 }
 
 /**
- * A signal that follows `outer` until it is released.
+ * Creates an abort signal that follows `outer` until it is released.
  *
- * `AbortSignal.any` would do the same, but in Node.js 20 a signal that lives as long as the process keeps something of
- * every signal derived from it, and all of one that is still listened to: a node's memory would grow with each request.
+ * `AbortSignal.any` would do the same, but in Node.js 20 a signal that lives as long as the process retains some memory
+ * for each signal derived from it, and retains the whole derived signal while that signal has listeners. The memory
+ * usage of a node would therefore grow with each request.
  */
 export const linkSignal = (outer?: AbortSignal): LinkedSignal => {
     const controller = new AbortController();
@@ -26,7 +27,8 @@
         controller.abort();
     };
     if (outer !== undefined) {
-        // As many requests as run at once listen to a node's signal; the library's warning is meant for forgotten ones.
+        // Each request in flight adds a listener to the signal of the node. The warning of Node.js about too many
+        // listeners is meant for listeners that are never removed, so the limit is lifted here.
         setMaxListeners(UNLIMITED, outer);
         outer.addEventListener("abort", abort, { once: true });
     }
@@ -44,25 +46,25 @@
 
 /** A running time limit. */
 export interface TimeLimit {
-    /** Aborts when the time is over or `outer` aborts. */
+    /** Aborts when the time limit expires or `outer` aborts. */
     readonly signal: AbortSignal;
-    /** True once the time is over. */
+    /** Returns true once the time limit has expired. */
     readonly hasPassed: () => boolean;
-    /** Stops the timer and lets go of `outer`; to be called when the work has ended. */
+    /** Stops the timer and removes the listener from `outer`; call it when the work has ended. */
     readonly cancel: () => void;
 }
 
 /** Starts a time limit of `limit` milliseconds. */
 export const startTimeLimit = (clock: Clock, limit: Milliseconds, outer?: AbortSignal): TimeLimit => {
     const { signal, abort, release } = linkSignal(outer);
-    let hasPassed = false;
+    let hasExpired = false;
     const cancelTimer = clock.after(limit, () => {
-        hasPassed = true;
+        hasExpired = true;
         abort();
     });
     return {
         signal,
-        hasPassed: () => hasPassed,
+        hasPassed: () => hasExpired,
         cancel: () => {
             cancelTimer();
             release();
@@ -70,21 +72,21 @@
     };
 };
 
-/** The result of `work`, or of `onAbort` as soon as `signal` aborts, even when `work` ignores the signal. */
+/** Returns the result of `work`, or that of `onAbort` as soon as `signal` aborts, even if `work` ignores the signal. */
 export const raceAbort = <Result>(
     work: Promise<Result>,
     signal: AbortSignal,
     onAbort: () => Result,
 ): Promise<Result> =>
     new Promise((resolve, reject) => {
-        const giveUp = (): void => {
+        const handleAbort = (): void => {
             resolve(onAbort());
         };
         if (signal.aborted) {
-            giveUp();
+            handleAbort();
         }
-        signal.addEventListener("abort", giveUp, { once: true });
+        signal.addEventListener("abort", handleAbort, { once: true });
         work.then(resolve, reject).finally(() => {
-            signal.removeEventListener("abort", giveUp);
+            signal.removeEventListener("abort", handleAbort);
         });
     });
--- a/packages/oleandergap-utils/src/tokenBucket.ts
+++ b/packages/oleandergap-utils/src/tokenBucket.ts
@@ -1,48 +1,54 @@
-/** A token bucket: limits how often something happens, with room for a short burst. */
+/** A token bucket, which limits the rate of an operation and allows a short burst. */
 import { MILLISECONDS_PER_SECOND, type Clock, type Milliseconds } from "oleandergap-types";
 
-/** How a bucket fills. */
+/** Options of a token bucket. */
 export interface TokenBucketOptions {
     readonly clock: Clock;
-    /** Tokens that flow in per second. Read at each use, so that it may follow the size of the fleet. */
+    /**
+     * Returns the number of tokens added per second. The function is called at each use of the bucket, so that the rate
+     * can follow the size of the fleet.
+     */
     readonly ratePerSecond: () => number;
-    /** Tokens that the bucket holds at most; it starts full. */
+    /** Maximum number of tokens in the bucket. The bucket starts full. */
     readonly burst: number;
 }
 
-/** The tokens of a bucket, for who takes several at once or has to look at several buckets before taking. */
+/** A token bucket for callers that take several tokens at once, or that check several buckets before taking tokens. */
 export interface TokenSupply {
-    /** Time until `amount` tokens are there, 0 when they are now; infinite when none flow in. */
+    /**
+     * Returns the time until `amount` tokens are available: 0 if they are available now, infinite if no tokens are
+     * added.
+     */
     readonly timeUntil: (amount: number) => Milliseconds;
-    /** Takes `amount` tokens, whether they are there or not. */
+    /** Takes `amount` tokens, even if fewer are available; the number of tokens may become negative. */
     readonly take: (amount: number) => void;
 }
 
-/** A bucket that gives one token at a time. */
+/** A token bucket from which one token is taken at a time. */
 export interface TokenBucket {
-    /** Takes one token if there is one. */
+    /** Takes one token if one is available, and returns whether a token was taken. */
     readonly tryTake: () => boolean;
-    /** Time until the next token, 0 when there is one. */
+    /** Returns the time until the next token is available: 0 if one is available now. */
     readonly timeToNext: () => Milliseconds;
 }
 
-/** Creates a full bucket whose tokens are looked at and taken in separate steps. */
+/** Creates a full token bucket with separate functions for checking and for taking tokens. */
 export const createTokenSupply = ({ clock, ratePerSecond, burst }: TokenBucketOptions): TokenSupply => {
     let tokens = burst;
     let refilledAt = clock.monotonic();
 
     const refill = (): void => {
         const now = clock.monotonic();
-        const gained = ((now - refilledAt) / MILLISECONDS_PER_SECOND) * ratePerSecond();
-        tokens = Math.min(burst, tokens + gained);
+        const addedTokens = ((now - refilledAt) / MILLISECONDS_PER_SECOND) * ratePerSecond();
+        tokens = Math.min(burst, tokens + addedTokens);
         refilledAt = now;
     };
 
     return {
         timeUntil: (amount) => {
             refill();
-            const missing = amount - tokens;
-            return missing > 0 ? (missing / ratePerSecond()) * MILLISECONDS_PER_SECOND : 0;
+            const missingTokens = amount - tokens;
+            return missingTokens > 0 ? (missingTokens / ratePerSecond()) * MILLISECONDS_PER_SECOND : 0;
         },
         take: (amount) => {
             tokens -= amount;
@@ -50,7 +56,7 @@
     };
 };
 
-/** Creates a full bucket. */
+/** Creates a full token bucket. */
 export const createTokenBucket = (options: TokenBucketOptions): TokenBucket => {
     const supply = createTokenSupply(options);
     const timeToNext = (): Milliseconds => supply.timeUntil(1);
