--- a/packages/oleandergap-logger/src/__tests__/logger.test.ts
+++ b/packages/oleandergap-logger/src/__tests__/logger.test.ts
@@ -12,7 +12,7 @@
         startLogging("silent");
     });
 
-    it("writes the part's prefix and the context, and keeps percent signs", () => {
+    it("writes the prefix of the component and the context, and keeps percent signs", () => {
         startLogging("info", (line) => lines.push(line));
         createLogger("gate").warn("Load is 100%.", { inFlight: 3 });
         const line: unknown = JSON.parse(lines[0] ?? "{}");
@@ -20,7 +20,7 @@
         expect(line).to.have.nested.property("context.inFlight", 3);
     });
 
-    it("drops lines below the level", () => {
+    it("drops lines below the minimum level", () => {
         startLogging("warn", (line) => lines.push(line));
         createLogger("gate").info("Quiet.");
         expect(lines).to.deep.equal([]);
--- a/packages/oleandergap-logger/src/enableLibrary.ts
+++ b/packages/oleandergap-logger/src/enableLibrary.ts
@@ -1,6 +1,6 @@
 /**
- * Switches the logging library on; to be imported before it. Without this variable at the time of its import, the
- * library replaces every logger by one that drops all lines, even when `ROARR.write` is set later; one would see a
- * daemon without any log.
+ * Enables the logging library; import this module before the library. If this variable is not set when the library is
+ * imported, the library replaces every logger with one that drops all lines, even if `ROARR.write` is set later. The
+ * daemon would then write no log lines at all.
  */
 process.env["ROARR_LOG"] = "true";
--- a/packages/oleandergap-logger/src/index.ts
+++ b/packages/oleandergap-logger/src/index.ts
@@ -1,2 +1,2 @@
-/** Log lines with a fixed prefix for each part. */
+/** Loggers that write log lines with a fixed prefix for each component. */
 export * from "./logger.js";
--- a/packages/oleandergap-logger/src/logger.ts
+++ b/packages/oleandergap-logger/src/logger.ts
@@ -1,14 +1,14 @@
 /**
- * Short log lines, each with the fixed prefix of the part that wrote it. Lines go to standard error as roarr's JSON,
- * so that standard output stays free for results.
+ * Loggers for short log lines. Each line has the fixed prefix of the component that writes it. Lines are written to
+ * standard error in the JSON format of roarr, because standard output is reserved for results.
  */
 import "./enableLibrary.js";
 import { ROARR, Roarr as rootLogger } from "roarr";
 
-/** Facts that accompany a line. Never a secret: credentials are not passed to loggers. */
+/** Fields that accompany a log line. They never contain secrets: credentials are not passed to loggers. */
 export type LogContext = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes lines of one part; `context` travels as fields beside the message. */
+/** Writes the log lines of one component; the entries of `context` are separate fields next to the message. */
 export interface Logger {
     readonly debug: (message: string, context?: LogContext) => void;
     readonly info: (message: string, context?: LogContext) => void;
@@ -16,11 +16,11 @@
     readonly error: (message: string, context?: LogContext) => void;
 }
 
-/** In order of importance; each level includes the later ones, and `silent` writes nothing. */
+/** Log levels in ascending order of severity. Each level includes the levels after it; `silent` writes nothing. */
 export const logLevels = ["debug", "info", "warn", "error", "silent"] as const;
 export type LogLevel = (typeof logLevels)[number];
 
-/** Receives each finished line, without its line end. */
+/** Writes one complete line, which is passed without a line terminator. */
 export type WriteLine = (line: string) => void;
 
 const writeToStandardError: WriteLine = (line) => {
@@ -31,16 +31,19 @@
 
 const isEnabled = (level: LogLevel): boolean => logLevels.indexOf(level) >= logLevels.indexOf(minimumLevel);
 
-/** Switches logging on for this process. Until it is called, loggers write nothing. */
+/** Enables logging in this process. Loggers write nothing until this function has been called. */
 export const startLogging = (level: LogLevel, write: WriteLine = writeToStandardError): void => {
     minimumLevel = level;
     ROARR.write = write;
 };
 
-/** The library formats messages as printf does; a percent sign from data would be taken for a placeholder. */
+/**
+ * Escapes percent signs. The library formats messages like printf and would treat a percent sign in the data as a
+ * placeholder.
+ */
 const escapeMessage = (message: string): string => message.replaceAll("%", "%%");
 
-/** Creates the logger of one part; `part` becomes the prefix of every message, for example `gate: `. */
+/** Creates the logger of the component `part`, whose name is the prefix of each message, for example `gate: `. */
 export const createLogger = (part: string): Logger => {
     const log = rootLogger.child({ part });
     const createWriter =
--- a/packages/oleandergap-validation/src/__tests__/loadSettings.test.ts
+++ b/packages/oleandergap-validation/src/__tests__/loadSettings.test.ts
@@ -22,7 +22,7 @@
         await rm(folder, { recursive: true });
     });
 
-    const load = async (text: string): Promise<string> => {
+    const loadAndFormat = async (text: string): Promise<string> => {
         const file = join(folder, "settings.yaml");
         await writeFile(file, text);
         const result = await loadSettings(schema, file)();
@@ -30,26 +30,26 @@
     };
 
     it("returns the typed settings", async () => {
-        expect(await load("listen:\n  port: 80\n")).to.equal("{\"listen\":{\"port\":80}}");
+        expect(await loadAndFormat("listen:\n  port: 80\n")).to.equal("{\"listen\":{\"port\":80}}");
     });
 
-    it("names path, value and what is allowed", async () => {
-        const text = await load("listen:\n  port: 99999\n");
+    it("reports the path, the value and the allowed values", async () => {
+        const text = await loadAndFormat("listen:\n  port: 99999\n");
         expect(text).to.match(/listen\.port: found 99999; .*65535/);
     });
 
-    it("refuses unknown keys by name", async () => {
-        expect(await load("listen:\n  port: 80\n  prot: 81\n")).to.contain("unknown key \"prot\"");
+    it("rejects unknown keys and reports their names", async () => {
+        expect(await loadAndFormat("listen:\n  port: 80\n  prot: 81\n")).to.contain("unknown key \"prot\"");
     });
 
-    it("never shows a wrong value below a secret's key", async () => {
-        const text = await load("listen:\n  port: 80\ncredentialFile: [hunter2]\n");
+    it("does not include an invalid value below a key that holds a secret", async () => {
+        const text = await loadAndFormat("listen:\n  port: 80\ncredentialFile: [hunter2]\n");
         expect(text).to.contain("credentialFile").and.not.to.contain("hunter2");
     });
 
-    it("tells a missing value, broken YAML and a missing file apart", async () => {
-        expect(await load("listen: {}\n")).to.contain("listen.port: found nothing");
-        expect(await load("listen: [\n")).to.contain("not valid YAML");
+    it("distinguishes a missing value, invalid YAML and a missing file", async () => {
+        expect(await loadAndFormat("listen: {}\n")).to.contain("listen.port: found nothing");
+        expect(await loadAndFormat("listen: [\n")).to.contain("not valid YAML");
         const missing = await loadSettings(schema, join(folder, "absent.yaml"))();
         expect(either.isLeft(missing) && missing.left.kind).to.equal("Unreadable");
     });
--- a/packages/oleandergap-validation/src/__tests__/secretFile.test.ts
+++ b/packages/oleandergap-validation/src/__tests__/secretFile.test.ts
@@ -12,21 +12,21 @@
     });
     afterEach(() => rm(folder, { recursive: true }));
 
-    const read = async (mode: number, text = "the-secret"): Promise<string> => {
+    const readAndFormat = async (mode: number, text = "the-secret"): Promise<string> => {
         const file = join(folder, `file-${mode.toString(8)}`);
         await writeFile(file, text, { mode });
         const secret = await readSecretFile(file)();
         return either.isRight(secret) ? secret.right : formatSecretFileError("key", secret.left);
     };
 
-    it("gives what only the owner can read", async () => {
-        expect(await read(0o600)).to.equal("the-secret");
+    it("returns the text of a file that only the owner can read", async () => {
+        expect(await readAndFormat(0o600)).to.equal("the-secret");
     });
 
-    it("refuses what group or others can read, what is too long and what is absent", async () => {
-        expect(await read(0o640)).to.include("mode 0640").and.include("chmod 600").and.not.include("the-secret");
-        expect(await read(0o604)).to.include("mode 0604");
-        expect(await read(0o400, "x".repeat(2000))).to.include("longer than 1024 bytes");
+    it("rejects files that group or others can read, files that are too long and missing files", async () => {
+        expect(await readAndFormat(0o640)).to.include("mode 0640").and.include("chmod 600").and.not.include("the-secret");
+        expect(await readAndFormat(0o604)).to.include("mode 0604");
+        expect(await readAndFormat(0o400, "x".repeat(2000))).to.include("longer than 1024 bytes");
         expect(either.isLeft(await readSecretFile(join(folder, "absent"))())).to.equal(true);
     });
 });
--- a/packages/oleandergap-validation/src/loadSettings.ts
+++ b/packages/oleandergap-validation/src/loadSettings.ts
@@ -1,4 +1,4 @@
-/** Reads a YAML settings file and checks it against a schema. Unknown keys are refused by strict schemas. */
+/** Reads a YAML settings file and validates it against a schema. Strict schemas reject unknown keys. */
 import { readFile } from "node:fs/promises";
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
@@ -7,20 +7,21 @@
 import type { z } from "zod";
 import type { SettingsError, SettingsIssue } from "./settingsError.js";
 
-/** Longest rendering of a wrong value in an error, in characters. */
-const MAX_SHOWN_VALUE_LENGTH = 80;
+/** Maximum length of an invalid value in an error, in characters. */
+const MAX_FORMATTED_VALUE_LENGTH = 80;
 const SECRET_KEY_PATTERN = /secret|token|password|credential/i;
 
-const readPath = (value: unknown, path: readonly PropertyKey[]): unknown =>
+const getValueAtPath = (value: unknown, path: readonly PropertyKey[]): unknown =>
     path.reduce<unknown>(
         (inner, key) => typeof inner === "object" && inner !== null ? Reflect.get(inner, key) : undefined,
         value,
     );
 
 /**
- * A wrong value is shown to help mend it, except below a key that holds a secret, so that an error may be logged.
+ * Formats an invalid value for an error, which helps to correct the value. Values below a key that may hold a secret
+ * are not included, so that the error can be logged.
  */
-const showValue = (value: unknown, path: readonly PropertyKey[]): string => {
+const formatValue = (value: unknown, path: readonly PropertyKey[]): string => {
     if (value === undefined) {
         return "nothing";
     }
@@ -28,18 +29,18 @@
         return "a value that is not shown";
     }
     const text = JSON.stringify(value);
-    return text.length > MAX_SHOWN_VALUE_LENGTH ? `${text.slice(0, MAX_SHOWN_VALUE_LENGTH)}...` : text;
+    return text.length > MAX_FORMATTED_VALUE_LENGTH ? `${text.slice(0, MAX_FORMATTED_VALUE_LENGTH)}...` : text;
 };
 
-const toIssue = (value: unknown) => (issue: z.core.$ZodIssue): SettingsIssue => ({
+const createIssue = (value: unknown) => (issue: z.core.$ZodIssue): SettingsIssue => ({
     path: issue.path.map(String).join("."),
     found: issue.code === "unrecognized_keys" ?
         `the unknown key ${issue.keys.map((key) => JSON.stringify(key)).join(", ")}` :
-        showValue(readPath(value, issue.path), issue.path),
+        formatValue(getValueAtPath(value, issue.path), issue.path),
     allowed: issue.message,
 });
 
-/** Checks an already parsed value; `file` only names its origin in errors. */
+/** Validates a parsed value; `file` is only used to report the source of the value in errors. */
 export const validateSettings = <Schema extends z.ZodType>(
     schema: Schema,
     value: unknown,
@@ -48,7 +49,7 @@
     const result = schema.safeParse(value);
     return result.success ?
         either.right(result.data) :
-        either.left({ kind: "Invalid", file, issues: result.error.issues.map(toIssue(value)) });
+        either.left({ kind: "Invalid", file, issues: result.error.issues.map(createIssue(value)) });
 };
 
 const parseYaml = (file: string, text: string): Either<SettingsError, unknown> =>
@@ -71,7 +72,7 @@
     }
 };
 
-/** Reads, parses and checks `file`. */
+/** Reads, parses and validates `file`. */
 export const loadSettings = <Schema extends z.ZodType>(
     schema: Schema,
     file: string,
--- a/packages/oleandergap-validation/src/secretFile.ts
+++ b/packages/oleandergap-validation/src/secretFile.ts
@@ -1,28 +1,28 @@
-/** Reads secrets from files that nobody but their owner may read. */
+/** Reads secrets from files that only the owner of the file may read. */
 import { open, type FileHandle } from "node:fs/promises";
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 
-/** Permissions of group and others. */
-const OTHERS_MODE = 0o077;
-const PERMISSION_BITS = 0o777;
-const OCTAL = 8;
-/** Longer files hold no secret and are not read. */
+/** Permission bits of group and others. */
+const GROUP_AND_OTHERS_MASK = 0o077;
+const PERMISSION_MASK = 0o777;
+const OCTAL_RADIX = 8;
+/** Maximum size of a secret file. Larger files contain no secret and are not read. */
 const MAX_FILE_BYTES = 1024;
 
-/** Why a file gave no secret. Never holds the file's content. */
+/** Reason why a secret file cannot be used. It never includes the content of the file. */
 export type SecretFileError =
     | { readonly kind: "ReadableByOthers"; readonly file: string; readonly mode: number }
     | { readonly kind: "Unreadable"; readonly file: string; readonly code: string }
     | { readonly kind: "TooLarge"; readonly file: string; readonly limitBytes: number };
 
-/** One sentence or two for people; `name` says what the file holds, for example `credential`. */
+/** Formats an error as one or two sentences; `name` is the kind of secret in the file, for example `credential`. */
 export const formatSecretFileError = (name: string, error: SecretFileError): string => {
     switch (error.kind) {
         case "ReadableByOthers": {
-            const shown = error.mode.toString(OCTAL).padStart(4, "0");
-            return `Others can read the ${name} file ${error.file} (mode ${shown}). Run: chmod 600 ${error.file}`;
+            const octalMode = error.mode.toString(OCTAL_RADIX).padStart(4, "0");
+            return `Others can read the ${name} file ${error.file} (mode ${octalMode}). Run: chmod 600 ${error.file}`;
         }
         case "Unreadable":
             return `The ${name} file ${error.file} cannot be read (${error.code}).`;
@@ -31,11 +31,11 @@
     }
 };
 
-const readOpened = async (file: string, handle: FileHandle): Promise<Either<SecretFileError, string>> => {
-    // The opened file is examined and not its path, which could be pointed elsewhere in between.
+const readOpenedFile = async (file: string, handle: FileHandle): Promise<Either<SecretFileError, string>> => {
+    // The check uses the opened file instead of its path, because the path could lead to another file before the read.
     const { mode, size } = await handle.stat();
-    if ((mode & OTHERS_MODE) !== 0) {
-        return either.left({ kind: "ReadableByOthers", file, mode: mode & PERMISSION_BITS });
+    if ((mode & GROUP_AND_OTHERS_MASK) !== 0) {
+        return either.left({ kind: "ReadableByOthers", file, mode: mode & PERMISSION_MASK });
     }
     if (size > MAX_FILE_BYTES) {
         return either.left({ kind: "TooLarge", file, limitBytes: MAX_FILE_BYTES });
@@ -43,12 +43,12 @@
     return either.right(await handle.readFile("utf8"));
 };
 
-/** The text in `file`; refused when group or others may read the file. */
+/** Reads the text in `file`. Returns an error if group or others may read the file. */
 export const readSecretFile = (file: string): TaskEither<SecretFileError, string> => async () => {
     let handle: FileHandle | undefined;
     try {
         handle = await open(file, "r");
-        return await readOpened(file, handle);
+        return await readOpenedFile(file, handle);
     }
     catch (error) {
         const code = error instanceof Error && "code" in error ? String(error.code) : "unknown error";
--- a/packages/oleandergap-validation/src/settingsError.ts
+++ b/packages/oleandergap-validation/src/settingsError.ts
@@ -1,16 +1,16 @@
-/** What is wrong with a settings file, told so that the reader can mend it. */
+/** Errors in a settings file, with the details that are needed to correct the file. */
 
-/** One wrong value. */
+/** One invalid value. */
 export interface SettingsIssue {
-    /** Path of the value, for example `listen.gatewayPort`; empty for the whole file. */
+    /** Path of the value, for example `listen.gatewayPort`; empty if the issue concerns the whole file. */
     readonly path: string;
-    /** The value found, as JSON; `nothing` when it is missing. */
+    /** The invalid value as JSON; `nothing` if the value is missing. */
     readonly found: string;
-    /** What is allowed there. */
+    /** Description of the values that are allowed. */
     readonly allowed: string;
 }
 
-/** Why a settings file cannot be used; each kind names the file. */
+/** Reason why a settings file cannot be used. Each kind contains the path of the file. */
 export type SettingsError =
     | { readonly kind: "Unreadable"; readonly file: string; readonly detail: string }
     | { readonly kind: "NotYaml"; readonly file: string; readonly detail: string }
@@ -19,7 +19,7 @@
 const formatIssue = (issue: SettingsIssue): string =>
     `  ${issue.path === "" ? "(whole file)" : issue.path}: found ${issue.found}; ${issue.allowed}`;
 
-/** Several lines for people, without a line end. */
+/** Formats an error as one or more lines, without a line terminator at the end. */
 export const formatSettingsError = (error: SettingsError): string => {
     switch (error.kind) {
         case "Unreadable":
@@ -27,6 +27,6 @@
         case "NotYaml":
             return `Settings file ${error.file} is not valid YAML: ${error.detail}`;
         case "Invalid":
-            return [`Settings file ${error.file} is refused:`, ...error.issues.map(formatIssue)].join("\n");
+            return [`Settings file ${error.file} is invalid:`, ...error.issues.map(formatIssue)].join("\n");
     }
 };
