--- a/admin/checkDependencies.js
+++ b/admin/checkDependencies.js
@@ -1,5 +1,5 @@
-// Checks that every package declares what its sources import. npm puts all packages of the workspace into one folder,
-// so an undeclared import works here and fails only where a package is installed alone.
+// Checks that every package declares the packages that its sources import. npm installs all packages of the workspace
+// into one folder, so that an undeclared import works here and fails only where a package is installed alone.
 import { readdirSync, readFileSync } from "node:fs";
 import { isBuiltin } from "node:module";
 import { basename, join } from "node:path";
@@ -26,7 +26,7 @@
 
 const folders = [...readdirSync(packagesFolder).map((name) => join(packagesFolder, name)), platformFolder];
 const problems = folders.flatMap((folder) =>
-    findUndeclared(folder).map((wanted) => `${basename(folder)} imports ${wanted}; add it to its package.json`));
+    findUndeclared(folder).map((wanted) => `${basename(folder)} imports ${wanted} without declaring it; add it to the dependencies in package.json`));
 for (const problem of problems) {
     process.stderr.write(`${problem}\n`);
 }
--- a/admin/runTests.js
+++ b/admin/runTests.js
@@ -1,6 +1,6 @@
-// Runs the tests. Those that KNOWN-RED.txt lists are passed over and printed: tests of real faults that are still to be
-// mended. Usage: node admin/runTests.js [arguments of mocha]   (needs a finished build)
-// A line of the list: title of the test | cause | open issue | command | seed | what was seen
+// Runs the tests. Tests that are listed in KNOWN-RED.txt are skipped and printed; they fail because of real faults that
+// are not fixed yet. Usage: node admin/runTests.js [arguments of mocha]   (requires a finished build)
+// Fields of a line in the list: title of the test | cause | open issue | command | seed | observed failure
 import { spawnSync } from "node:child_process";
 import { existsSync, readFileSync } from "node:fs";
 import { join } from "node:path";
@@ -14,7 +14,7 @@
     [];
 const malformed = lines.filter((line) => line.split(" | ").length !== FIELDS);
 if (lines.length > MOST_LINES || malformed.length > 0) {
-    process.stderr.write(`KNOWN-RED.txt may hold ${MOST_LINES} lines of ${FIELDS} fields, divided by " | ".\n`);
+    process.stderr.write(`KNOWN-RED.txt may contain at most ${MOST_LINES} lines, each with ${FIELDS} fields separated by " | ".\n`);
     process.exit(1);
 }
 
@@ -25,7 +25,7 @@
     ["--grep", `^(${titles.map(escapePattern).join("|")})$`, "--invert"];
 
 for (const line of lines) {
-    process.stdout.write(`Known to fail, passed over: ${line}\n`);
+    process.stdout.write(`Known failure, skipped: ${line}\n`);
 }
 const mocha = join(import.meta.dirname, "../node_modules/mocha/bin/mocha.js");
 const { status } = spawnSync(process.execPath, [mocha, ...exclusion, ...process.argv.slice(2)], { stdio: "inherit" });
--- a/admin/writeMeasurements.js
+++ b/admin/writeMeasurements.js
@@ -1,6 +1,6 @@
-// Runs every experiment and writes docs/MEASUREMENTS.md from the figures that the runs gave.
-// Usage: node admin/writeMeasurements.js [experiment[:nodes] ...]   (all by default; needs a finished build)
-// An experiment that fails is written down as failed; earlier figures are never kept in its place.
+// Runs experiments and writes docs/MEASUREMENTS.md with the figures from these runs.
+// Usage: node admin/writeMeasurements.js [experiment[:nodes] ...]   (default: all; requires a finished build)
+// A failed experiment is reported as failed; the page never shows figures of an earlier run in its place.
 import { spawnSync } from "node:child_process";
 import { appendFileSync, mkdirSync, readFileSync, writeFileSync, existsSync } from "node:fs";
 import { availableParallelism, loadavg, totalmem } from "node:os";
@@ -44,9 +44,9 @@
 const formatRun = ({ run, startedAt, load, result }) => [
     `## ${run.replace(":", ", ")}${run.includes(":") ? " nodes" : ""}`,
     "",
-    `Run ${startedAt}Z, load average at its start ${load}.`,
+    `Run ${startedAt}Z, load average ${load} at the start.`,
     "",
-    result === undefined ? "**Failed: the run gave no figures.**" : formatFigures(result),
+    result === undefined ? "**Failed: the run returned no figures.**" : formatFigures(result),
     "",
 ].join("\n");
 
@@ -64,9 +64,9 @@
     writeFileSync(pageFile, [
         "# Measurements",
         "",
-        "Written by `node admin/writeMeasurements.js`; each table is the last run of its experiment. Real daemons, stand-ins",
-        `and callers share one machine (${machine}), so latencies include what they take from each other. The naive version`,
-        "runs in the same run: what it is stands at the top of each experiment's module in `packages/oleandergap-measure/src`.",
+        "Written by `node admin/writeMeasurements.js`; each table shows the last run of an experiment. Real daemons, stand-ins",
+        `and callers share one machine (${machine}), so latencies include their effects on each other. Each run includes the`,
+        "naive version; the module of each experiment in `packages/oleandergap-measure/src` describes it at the top.",
         "",
         ...ordered.map(formatRun),
     ].join("\n"));
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,4 +1,4 @@
-// What the code may say; how it is laid out stands in eslint.format.config.js.
+// Rules for the content of the code. The rules for its layout are in eslint.format.config.js.
 import eslint from "@eslint/js";
 import jsdoc from "eslint-plugin-jsdoc";
 import tseslint from "typescript-eslint";
--- a/eslint.format.config.js
+++ b/eslint.format.config.js
@@ -1,4 +1,5 @@
-// Formatting only: the TypeScript team's guidelines, with `else` on its own line. `npm run format` mends what it can.
+// Rules for the layout only: the guidelines of the TypeScript team, with `else` on its own line. `npm run format` fixes
+// violations where this is possible automatically.
 import stylistic from "@stylistic/eslint-plugin";
 import tseslint from "typescript-eslint";
 
