--- a/packages/oleandergap-measure/src/__tests__/experiment.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/experiment.test.ts
@@ -14,7 +14,7 @@
 });
 
 describe("createDurationRecorder", () => {
-    it("keeps percentiles to three significant digits and bounds what is out of range", () => {
+    it("keeps percentiles to three significant digits and clamps values out of range", () => {
         const recorder = createDurationRecorder();
         for (let duration = 1; duration <= 100; duration++) {
             recorder.record(duration);
--- a/packages/oleandergap-measure/src/__tests__/naiveCaller.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/naiveCaller.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { startTargetStandIn, type Caller, type TargetStandIn } from "oleandergap-standins";
 import { createManualClock } from "oleandergap-utils";
-import { createNaiveCaller, NAIVE_RETRIES } from "../naive/naiveCaller.js";
+import { createNaiveCaller, MAX_RETRIES } from "../naive/naiveCaller.js";
 import { createMeasuredRead, createUnkeyedPost, measuredService } from "../requests/serviceFleet.js";
 
 const TIMEOUT_MS = 5000;
@@ -31,7 +31,7 @@
         await Promise.all(targets.map((target) => target.crash()));
     });
 
-    it("takes the targets in turn", async () => {
+    it("sends requests to the targets in round-robin order", async () => {
         for (let index = 0; index < 4; index++) {
             const result = await caller.call(gateway, createMeasuredRead("turn", index, TIMEOUT_MS));
             expect(result.kind).to.equal("Answered");
@@ -39,13 +39,13 @@
         expect(targets.map((target) => target.runLog.total())).to.deep.equal([2, 2]);
     });
 
-    it("sends again after every error, up to three times, whatever ran", async () => {
+    it("retries after every error up to three times, even if the request ran", async () => {
         targets.forEach((target) => target.setFaults({ cutAnswerShare: 1 }));
 
         const result = await caller.call(gateway, createUnkeyedPost("again", 0, TIMEOUT_MS));
 
         expect(result).to.include({ kind: "Failed", verdict: "mayHaveRun" });
         const runs = targets.reduce((sum, target) => sum + target.runLog.runsOf("again-0"), 0);
-        expect(runs).to.equal(1 + NAIVE_RETRIES);
+        expect(runs).to.equal(1 + MAX_RETRIES);
     });
 });
--- a/packages/oleandergap-measure/src/__tests__/naivePolling.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/naivePolling.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { startPlatformStandIn, type PlatformStandIn } from "oleandergap-standins";
 import { createManualClock, type ManualClock } from "oleandergap-utils";
-import { startNaivePolling, type NaiveApplied, type NaivePolling } from "../naive/naivePolling.js";
+import { startNaivePolling, type NaiveAppliedVersion, type NaivePolling } from "../naive/naivePolling.js";
 
 const INTERVAL_MS = 250;
 const NODES = 3;
@@ -10,21 +10,21 @@
     let platform: PlatformStandIn;
     let clock: ManualClock;
     let polling: NaivePolling;
-    let applied: NaiveApplied[] = [];
-    const end = new AbortController();
+    let appliedVersions: NaiveAppliedVersion[] = [];
+    const abortController = new AbortController();
 
     const write = (key: string, value: unknown): void => {
         platform.state.table.transact([{ kind: "Put", key, condition: { kind: "Any" }, value }]);
     };
 
-    const waitForReadings = async (count: number): Promise<void> => {
-        while (applied.length < count) {
+    const waitForAppliedVersions = async (count: number): Promise<void> => {
+        while (appliedVersions.length < count) {
             await new Promise<void>((resolve) => setImmediate(resolve));
         }
     };
 
     beforeEach(async () => {
-        applied = [];
+        appliedVersions = [];
         clock = createManualClock();
         platform = await startPlatformStandIn({}, { clock });
         write("config/halloway/delta/000000000001", { partner: "halloway", sequence: 1 });
@@ -35,21 +35,22 @@
             nodes: NODES,
             partners: ["halloway", "kushiro"],
             intervalMs: INTERVAL_MS,
-            signal: end.signal,
-            onApplied: (reading) => applied.push(reading),
+            signal: abortController.signal,
+            onApplied: (reading) => appliedVersions.push(reading),
         });
     });
 
     afterEach(async () => {
-        end.abort();
+        abortController.abort();
         await polling.finished;
         await platform.stop();
     });
 
-    it("reads the heads for each node, and the deltas only when one moved", async () => {
-        await waitForReadings(NODES);
+    it("reads the heads once per node, and deltas only for a head that has changed", async () => {
+        await waitForAppliedVersions(NODES);
 
-        expect(applied.map(({ node, sequence }) => `${node}:${sequence}`)).to.have.members(["0:1", "1:1", "2:1"]);
+        expect(appliedVersions.map(({ node, sequence }) => `${node}:${sequence}`))
+            .to.have.members(["0:1", "1:1", "2:1"]);
         expect(polling.reads()).to.equal(2 * NODES);
         expect(platform.counters().reads).to.equal(2 * NODES);
         expect(polling.bytes()).to.be.greaterThan(0);
--- a/packages/oleandergap-measure/src/__tests__/persistentCaller.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/persistentCaller.test.ts
@@ -1,43 +1,43 @@
 import { expect } from "chai";
 import type { Caller, CallRequest, CallResult } from "oleandergap-standins";
 import { createManualClock, createSeededRandom } from "oleandergap-utils";
-import { createPersistentCaller, MAX_ATTEMPTS } from "../requests/persistentCaller.js";
+import { createRetryingCaller, MAX_ATTEMPTS } from "../requests/persistentCaller.js";
 import { createMeasuredPost } from "../requests/serviceFleet.js";
 
 const gateway = { address: "127.0.0.1", port: 1 };
 const lodgement = createMeasuredPost("test", 1, 1000);
-const answered: CallResult =
+const answeredResult: CallResult =
     { kind: "Answered", runKey: lodgement.runKey, latencyMs: 1, target: "one", version: undefined };
 
-const refuseFor = (retryAfterMs: number): CallResult => ({
+const createRefusal = (retryAfterMs: number): CallResult => ({
     kind: "Refused", runKey: lodgement.runKey, latencyMs: 1, status: 503, verdict: "notRun", reason: "QueueFull",
     retryAfterMs,
 });
 
-describe("createPersistentCaller", () => {
+describe("createRetryingCaller", () => {
     const clock = createManualClock();
     let calls: CallRequest[] = [];
 
-    const create = (script: (call: number) => CallResult): Caller => {
+    const createCaller = (respond: (call: number) => CallResult): Caller => {
         calls = [];
-        return createPersistentCaller({
+        return createRetryingCaller({
             caller: {
                 call: (_gateway, request) => {
                     calls.push(request);
-                    return Promise.resolve(script(calls.length));
+                    return Promise.resolve(respond(calls.length));
                 },
                 close: () => Promise.resolve(),
             },
             gateways: () => [gateway],
             clock,
             random: createSeededRandom(1),
-            crossedShare: 0,
+            duplicateShare: 0,
             signal: new AbortController().signal,
         });
     };
 
-    it("repeats the same key when Retry-After is over, a second at most, until it is answered", async () => {
-        const caller = create((call) => call < 3 ? refuseFor(call === 1 ? 300 : 60_000) : answered);
+    it("retries with the same key after Retry-After, capped at one second, until it gets a response", async () => {
+        const caller = createCaller((call) => call < 3 ? createRefusal(call === 1 ? 300 : 60_000) : answeredResult);
 
         const result = caller.call(gateway, lodgement);
         await clock.advance(299);
@@ -50,8 +50,8 @@
         expect(calls.map(({ idempotencyKey }) => idempotencyKey)).to.deep.equal(Array(3).fill("test-lodgement-1"));
     });
 
-    it("gives up after its last attempt", async () => {
-        const result = create(() => refuseFor(10)).call(gateway, lodgement);
+    it("stops after the maximum number of attempts", async () => {
+        const result = createCaller(() => createRefusal(10)).call(gateway, lodgement);
         await clock.advance(100);
 
         expect((await result).kind).to.equal("Refused");
--- a/packages/oleandergap-measure/src/__tests__/profileTable.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/profileTable.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
-import { formatProfileTable, readProfileLine, type ProfileLine } from "../profile/profileTable.js";
+import { formatProfileTable, parseProfileLine, type ProfileLine } from "../profile/profileTable.js";
 
-const writeLine = (membership: number): string => JSON.stringify({
+const formatLogLine = (membership: number): string => JSON.stringify({
     context: {
         part: "profile",
         periodMs: 2000,
@@ -15,24 +15,24 @@
     message: "profile: Processor time by part.",
 });
 
-const readAll = (texts: readonly string[]): readonly ProfileLine[] =>
-    texts.map(readProfileLine).filter((line) => line !== undefined);
+const parseAll = (texts: readonly string[]): readonly ProfileLine[] =>
+    texts.map(parseProfileLine).filter((line) => line !== undefined);
 
-describe("table of processor time", () => {
-    it("adds the lines of all nodes up, whatever stands before them", () => {
-        const table = formatProfileTable(readAll([
-            `   1.2000 node-a ${writeLine(30)}`,
-            writeLine(10),
+describe("formatProfileTable", () => {
+    it("sums the lines of all nodes and ignores any text before them", () => {
+        const table = formatProfileTable(parseAll([
+            `   1.2000 node-a ${formatLogLine(30)}`,
+            formatLogLine(10),
             "node-b {\"context\":{},\"message\":\"another matter\"}",
-            `${writeLine(10).slice(0, 80)}`,
+            `${formatLogLine(10).slice(0, 80)}`,
         ]));
-        expect(table).to.contain("2 lines, 4 s of nodes: 25.0 ms/s of processor time, 50.0 wake-ups/s, 30.0 reads/s");
+        expect(table).to.contain("2 lines, 4 s of node time: 25.0 ms/s of CPU time, 50.0 wake-ups/s, 30.0 reads/s");
         expect(table).to.contain("| membership | 10.00 | 66.7% |");
         expect(table).to.contain("| garbage collection | 5.00 | 33.3% |");
         expect(table).to.contain("| poll src/prober.ts | 10.00 | 100.0% |");
     });
 
-    it("says what to set when no line tells of it", () => {
+    it("names the setting to enable if no line reports CPU time", () => {
         expect(formatProfileTable([])).to.contain("diagnostics.processorProfileMs");
     });
 });
--- a/packages/oleandergap-measure/src/__tests__/verdictLedger.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/verdictLedger.test.ts
@@ -3,41 +3,42 @@
 import type { Verdict } from "oleandergap-types";
 import { createVerdictLedger } from "../requests/verdictLedger.js";
 
-const answered = (runKey: string): CallResult =>
+const createAnswered = (runKey: string): CallResult =>
     ({ kind: "Answered", runKey, latencyMs: 1, target: "one", version: undefined });
 
-const refused = (runKey: string, verdict: Verdict | undefined): CallResult =>
+const createRefused = (runKey: string, verdict: Verdict | undefined): CallResult =>
     ({ kind: "Refused", runKey, latencyMs: 1, status: 503, verdict, reason: "QueueFull", retryAfterMs: 5 });
 
-const createRuns = (runs: Readonly<Record<string, number>>): RunsReport => ({
+const createRunsReport = (runs: Readonly<Record<string, number>>): RunsReport => ({
     total: 0,
     keys: Object.entries(runs).map(([key, count]) => ({ key, runs: count, requestIds: [] })),
 });
 
 describe("createVerdictLedger", () => {
-    it("finds doubled runs, and runs of what was said not to have run", () => {
+    it("finds duplicate runs, and runs of requests with the verdict notRun", () => {
         const ledger = createVerdictLedger();
-        [answered("twice"), refused("lied", "notRun"), refused("refused", "notRun")].forEach(ledger.record);
+        [createAnswered("twice"), createRefused("lied", "notRun"), createRefused("refused", "notRun")]
+            .forEach(ledger.record);
 
-        const audit = ledger.audit(createRuns({ twice: 2, lied: 1, stranger: 9 }));
+        const audit = ledger.audit(createRunsReport({ twice: 2, lied: 1, stranger: 9 }));
 
         expect(audit).to.deep.include({
-            keys: 3, runsPerKeyMax: 2, keysRunTwice: 1, doubledKeys: ["twice"], keysToldNotRun: 2,
+            keys: 3, runsPerKeyMax: 2, keysRunTwice: 1, duplicateRunKeys: ["twice"], keysToldNotRun: 2,
             notRunButRan: ["lied"],
         });
     });
 
-    it("holds nobody to a refusal after an attempt that may have run", () => {
+    it("does not report a refusal as a violation after an attempt that may have run", () => {
         const ledger = createVerdictLedger();
-        [refused("open", undefined), refused("open", "notRun")].forEach(ledger.record);
+        [createRefused("open", undefined), createRefused("open", "notRun")].forEach(ledger.record);
 
-        expect(ledger.audit(createRuns({ open: 1 })).notRunButRan).to.deep.equal([]);
+        expect(ledger.audit(createRunsReport({ open: 1 })).notRunButRan).to.deep.equal([]);
     });
 
-    it("finds answers that no target gave", () => {
+    it("finds responses of requests that no target ran", () => {
         const ledger = createVerdictLedger();
-        ledger.record(answered("ghost"));
+        ledger.record(createAnswered("ghost"));
 
-        expect(ledger.audit(createRuns({})).answeredWithoutRun).to.equal(1);
+        expect(ledger.audit(createRunsReport({})).answeredWithoutRun).to.equal(1);
     });
 });
--- a/packages/oleandergap-measure/src/control/changeTable.ts
+++ b/packages/oleandergap-measure/src/control/changeTable.ts
@@ -1,62 +1,66 @@
-/** Changes the table of a running fleet and watches the nodes follow. */
+/** Changes the table of a running fleet and waits until the nodes apply the change. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Fleet } from "oleandergap-demo";
 import type { Milliseconds, NodeId, PartnerName, Sequence } from "oleandergap-types";
 import { randomUUID } from "node:crypto";
-import { readApplied, type AppliedReading } from "./nodeReadings.js";
+import { readAppliedVersions, type AppliedVersion } from "./nodeReadings.js";
 
-/** A version that the operator's client made, with the times of its acceptance. */
+/** A version created by a change from the operator client, with the times of its acceptance. */
 export interface AcceptedChange {
     readonly partner: PartnerName;
     readonly sequence: Sequence;
-    /** Wall-clock time before the change was handed to a node; the acceptance itself counts as part of the way. */
+    /** Wall-clock time just before the change was sent to a node, so that durations from it include the acceptance. */
     readonly sentAt: Milliseconds;
-    /** Wall-clock time at which the operator had the answer. */
+    /** Wall-clock time at which the operator client received the response. */
     readonly acceptedAt: Milliseconds;
 }
 
 /**
- * Sets a limit that no load in the experiments depends on. Asks `nodeId`, or else any running node. Throws when the
- * change is refused.
+ * Submits a change of a limit that does not affect the load of any experiment. Sends it to `nodeId`, or to any running
+ * node if that is undefined. Throws if the change is refused.
  */
-export const acceptOneChange = async (
+export const submitChange = async (
     fleet: Fleet,
     partner: PartnerName,
-    round: number,
+    changeNumber: number,
     nodeId?: NodeId,
 ): Promise<AcceptedChange> => {
-    const limit = Object.keys(fleet.plan.partners.find((plan) => plan.partner === partner)?.limits ?? {})[0];
+    const limitName = Object.keys(fleet.plan.partners.find((plan) => plan.partner === partner)?.limits ?? {})[0];
     const client = fleet.operatorClient(partner, nodeId);
     const sentAt = Date.now();
     const result = await client.acceptChange({
         changeId: randomUUID(),
-        edits: [{ cell: `limits/${limit ?? ""}/timeoutMs`, value: 20_000 + round }],
+        edits: [{ cell: `limits/${limitName ?? ""}/timeoutMs`, value: 20_000 + changeNumber }],
     })();
     if (either.isLeft(result)) {
-        throw new Error(`change ${round} of ${partner} was refused: ${JSON.stringify(result.left)}`);
+        throw new Error(`change ${changeNumber} of ${partner} was refused: ${JSON.stringify(result.left)}`);
     }
     return { partner, sequence: result.right.sequence, sentAt, acceptedAt: Date.now() };
 };
 
 const POLL_PERIOD_MS = 150;
 
-/** Waits until all running nodes serve from at least `sequence`; throws, naming the last ones, when time is up. */
+/**
+ * Waits until all running nodes use at least version `sequence`. Throws after `timeoutMs` and names some lagging nodes.
+ */
 export const waitUntilApplied = async (
     fleet: Fleet,
     change: Pick<AcceptedChange, "partner" | "sequence">,
     timeoutMs: Milliseconds,
-): Promise<readonly AppliedReading[]> => {
-    const giveUpAt = Date.now() + timeoutMs;
+): Promise<readonly AppliedVersion[]> => {
+    const deadline = Date.now() + timeoutMs;
     for (;;) {
-        const readings = await readApplied(fleet.nodes, change.partner);
-        const behind = readings.filter(({ sequence }) => sequence < change.sequence);
-        const running = fleet.nodes.filter((node) => node.isRunning()).length;
-        if (behind.length === 0 && readings.length === running) {
-            return readings;
+        const appliedVersions = await readAppliedVersions(fleet.nodes, change.partner);
+        const lagging = appliedVersions.filter(({ sequence }) => sequence < change.sequence);
+        const runningCount = fleet.nodes.filter((node) => node.isRunning()).length;
+        if (lagging.length === 0 && appliedVersions.length === runningCount) {
+            return appliedVersions;
         }
-        if (Date.now() >= giveUpAt) {
-            const names = behind.slice(0, 5).map(({ node, sequence }) => `${node.vm.id} at ${sequence}`);
-            throw new Error(`${behind.length} nodes lack ${change.partner}:${change.sequence}, such as ${names.join(", ")}`);
+        if (Date.now() >= deadline) {
+            const examples = lagging.slice(0, 5).map(({ node, sequence }) => `${node.vm.id} at ${sequence}`);
+            throw new Error(
+                `${lagging.length} nodes have not applied ${change.partner}:${change.sequence}, such as ${examples.join(", ")}`,
+            );
         }
         await new Promise((resolve) => setTimeout(resolve, POLL_PERIOD_MS));
     }
--- a/packages/oleandergap-measure/src/control/convergence.ts
+++ b/packages/oleandergap-measure/src/control/convergence.ts
@@ -1,6 +1,6 @@
 /**
- * How long a change takes to every node and what distribution costs, at rest and per change. The naive version has
- * every node poll the platform often enough to be within a second.
+ * Measures how long a change takes to reach every node, and what distribution costs per idle node and per change. In
+ * the naive version every node polls the platform, often enough to apply a change within a second.
  */
 import type { Fleet } from "oleandergap-demo";
 import { MILLISECONDS_PER_SECOND, type PartnerName } from "oleandergap-types";
@@ -8,29 +8,29 @@
 import { createExperimentPlan } from "../fleetPlans.js";
 import { createDurationRecorder, type DurationRecorder } from "../recordDurations.js";
 import { withFleet } from "../withFleet.js";
-import { acceptOneChange, waitUntilApplied, type AcceptedChange } from "./changeTable.js";
-import { NAIVE_POLL_MS, startNaivePhase } from "./naivePhase.js";
-import { compareTotals, readControlTotals } from "./nodeReadings.js";
+import { submitChange, waitUntilApplied, type AcceptedChange } from "./changeTable.js";
+import { NAIVE_POLL_INTERVAL_MS, startNaivePhase } from "./naivePhase.js";
+import { computeControlCosts, readControlTotals } from "./nodeReadings.js";
 
-/** Changes made for the latencies, by both partners in turn. */
-const CHANGES = 20;
+/** Number of changes whose latency is measured; the partners take turns. */
+const CHANGE_COUNT = 20;
 const PAUSE_BETWEEN_CHANGES_MS = 300;
-/** Length of the measurement at rest. */
-const REST_MS = 20_000;
+/** Duration of the measurement without changes. */
+const IDLE_MS = 20_000;
 const APPLY_TIMEOUT_MS = 30_000;
 const BYTES_PER_MEBIBYTE = 1024 * 1024;
 
-const partnersOf = (fleet: Fleet): readonly PartnerName[] => fleet.plan.partners.map(({ partner }) => partner);
+const listPartners = (fleet: Fleet): readonly PartnerName[] => fleet.plan.partners.map(({ partner }) => partner);
 
-const makeChanges = async (
+const submitChanges = async (
     fleet: Fleet,
     context: ExperimentContext,
-    afterEach: (change: AcceptedChange) => Promise<void>,
+    onAccepted: (change: AcceptedChange) => Promise<void>,
 ): Promise<void> => {
-    const partners = partnersOf(fleet);
-    for (let round = 0; round < CHANGES; round++) {
-        const partner = partners[round % partners.length] ?? "";
-        await afterEach(await acceptOneChange(fleet, partner, round));
+    const partners = listPartners(fleet);
+    for (let changeNumber = 0; changeNumber < CHANGE_COUNT; changeNumber++) {
+        const partner = partners[changeNumber % partners.length] ?? "";
+        await onAccepted(await submitChange(fleet, partner, changeNumber));
         await context.clock.sleep(PAUSE_BETWEEN_CHANGES_MS, context.signal);
     }
 };
@@ -44,35 +44,35 @@
 const measureOurs = async (fleet: Fleet, context: ExperimentContext): Promise<Figures> => {
     const { clock, signal } = context;
     const nodes = fleet.nodes.length;
-    context.report(`Measuring ${nodes} nodes at rest.`);
-    const restStart = await readControlTotals(fleet, clock.now);
-    await clock.sleep(REST_MS, signal);
-    const restEnd = await readControlTotals(fleet, clock.now);
-    const rest = compareTotals(restStart, restEnd, nodes);
+    context.report(`Measuring ${nodes} idle nodes.`);
+    const idleStart = await readControlTotals(fleet, clock.now);
+    await clock.sleep(IDLE_MS, signal);
+    const idleEnd = await readControlTotals(fleet, clock.now);
+    const idleCosts = computeControlCosts(idleStart, idleEnd, nodes);
 
-    context.report(`Making ${CHANGES} changes.`);
-    const durations = createDurationRecorder();
-    const acceptance = createDurationRecorder();
-    await makeChanges(fleet, context, async (change) => {
-        acceptance.record(change.acceptedAt - change.sentAt);
-        const readings = await waitUntilApplied(fleet, change, APPLY_TIMEOUT_MS);
-        for (const { appliedAt } of readings) {
-            durations.record(appliedAt - change.sentAt);
+    context.report(`Submitting ${CHANGE_COUNT} changes.`);
+    const applyDurations = createDurationRecorder();
+    const acceptDurations = createDurationRecorder();
+    await submitChanges(fleet, context, async (change) => {
+        acceptDurations.record(change.acceptedAt - change.sentAt);
+        const appliedVersions = await waitUntilApplied(fleet, change, APPLY_TIMEOUT_MS);
+        for (const { appliedAt } of appliedVersions) {
+            applyDurations.record(appliedAt - change.sentAt);
         }
     });
-    const changed = await readControlTotals(fleet, clock.now);
-    const busy = compareTotals(restEnd, changed, nodes);
-    const changingSeconds = (changed.takenAt - restEnd.takenAt) / MILLISECONDS_PER_SECOND;
-    const extraBytes = (busy.bytesPerNodeAndSecond - rest.bytesPerNodeAndSecond) * changingSeconds;
+    const changesEnd = await readControlTotals(fleet, clock.now);
+    const changeCosts = computeControlCosts(idleEnd, changesEnd, nodes);
+    const changingSeconds = (changesEnd.takenAt - idleEnd.takenAt) / MILLISECONDS_PER_SECOND;
+    const extraBytes = (changeCosts.bytesPerNodeAndSecond - idleCosts.bytesPerNodeAndSecond) * changingSeconds;
     return {
-        ...describeDurations(durations),
-        acceptP50Ms: acceptance.percentile(50),
-        restBytesPerNodeAndSecond: rest.bytesPerNodeAndSecond,
-        changeBytesPerNode: extraBytes / CHANGES,
-        restPlatformReadsPerSecond: rest.platformReadsPerSecond,
-        restCoreSharePerNode: rest.coreSharePerNode,
-        residentMeanMebibytes: changed.residentBytes / nodes / BYTES_PER_MEBIBYTE,
-        residentMaxMebibytes: changed.residentBytesMaximum / BYTES_PER_MEBIBYTE,
+        ...describeDurations(applyDurations),
+        acceptP50Ms: acceptDurations.percentile(50),
+        restBytesPerNodeAndSecond: idleCosts.bytesPerNodeAndSecond,
+        changeBytesPerNode: extraBytes / CHANGE_COUNT,
+        restPlatformReadsPerSecond: idleCosts.platformReadsPerSecond,
+        restCoreSharePerNode: idleCosts.coreSharePerNode,
+        residentMeanMebibytes: changesEnd.residentBytes / nodes / BYTES_PER_MEBIBYTE,
+        residentMaxMebibytes: changesEnd.residentBytesMaximum / BYTES_PER_MEBIBYTE,
     };
 };
 
@@ -85,28 +85,28 @@
     await clock.sleep(2 * MILLISECONDS_PER_SECOND, context.signal);
     const bytesBefore = polling.bytes();
     const readsBefore = polling.reads();
-    await clock.sleep(REST_MS / 2, context.signal);
-    const seconds = REST_MS / 2 / MILLISECONDS_PER_SECOND;
-    const restBytes = polling.bytes() - bytesBefore;
-    const restReads = polling.reads() - readsBefore;
+    await clock.sleep(IDLE_MS / 2, context.signal);
+    const idleSeconds = IDLE_MS / 2 / MILLISECONDS_PER_SECOND;
+    const idleBytes = polling.bytes() - bytesBefore;
+    const idleReads = polling.reads() - readsBefore;
 
     const changes: AcceptedChange[] = [];
-    await makeChanges(fleet, context, async (change) => {
+    await submitChanges(fleet, context, async (change) => {
         changes.push(change);
-        await clock.sleep(4 * NAIVE_POLL_MS, context.signal);
+        await clock.sleep(4 * NAIVE_POLL_INTERVAL_MS, context.signal);
     });
     await phase.stop();
-    const durations = createDurationRecorder();
+    const applyDurations = createDurationRecorder();
     for (const change of changes) {
         phase.applied
             .filter(({ partner, sequence }) => partner === change.partner && sequence === change.sequence)
-            .forEach(({ at }) => durations.record(at - change.sentAt));
+            .forEach(({ at }) => applyDurations.record(at - change.sentAt));
     }
     return {
-        ...describeDurations(durations),
-        restBytesPerNodeAndSecond: restBytes / nodes / seconds,
-        restPlatformReadsPerSecond: restReads / seconds,
-        missedApplications: changes.length * nodes - durations.count(),
+        ...describeDurations(applyDurations),
+        restBytesPerNodeAndSecond: idleBytes / nodes / idleSeconds,
+        restPlatformReadsPerSecond: idleReads / idleSeconds,
+        missedApplications: changes.length * nodes - applyDurations.count(),
         platformFailures: polling.failures(),
     };
 };
--- a/packages/oleandergap-measure/src/control/nodeCost.ts
+++ b/packages/oleandergap-measure/src/control/nodeCost.ts
@@ -1,8 +1,9 @@
 /**
- * What a node costs: its start, its rest, and a request while the process is young.
+ * Measures the CPU time of a node's start, of an idle node, and of a request soon after the start.
  *
- * Restarted nodes and those of small VMs serve a few requests a second. Their code is not compiled for speed yet, so a
- * request costs several times what it does in a long run at a high rate, and rest costs more than the requests.
+ * Restarted nodes and nodes of small VMs serve only a few requests per second. The JIT compiler has not optimized their
+ * code yet, so a request costs several times as much as in a long run at a high rate, and the idle work of the node
+ * costs more than the requests.
  */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from "oleandergap-types";
 import type { Fleet } from "oleandergap-demo";
@@ -12,17 +13,17 @@
 import { createMeasuredRead, createServicePlan } from "../requests/serviceFleet.js";
 import { withFleet } from "../withFleet.js";
 
-/** Nodes unless the command line names another number. */
-export const COSTED_NODES = 8;
+/** Number of nodes unless the command line sets another one. */
+export const NODE_COST_DEFAULT_NODES = 8;
 const MEDIAN_MS: Milliseconds = 20;
 const TIMEOUT_MS: Milliseconds = 2000;
-/** So few that an interval holds hardly more than a node's periodic work. */
+/** Requests per second and node; so few that an interval contains little more than the periodic work of a node. */
 const RATE_PER_NODE = 10;
-const REST_MS: Milliseconds = 15_000;
+const IDLE_MS: Milliseconds = 15_000;
 const LOAD_MS: Milliseconds = 20_000;
 
-/** Mean processor time of the nodes since their start. */
-const readMeanCpu = async (fleet: Fleet): Promise<Milliseconds> => {
+/** Returns the mean CPU time of the nodes since their start. */
+const readMeanCpuTime = async (fleet: Fleet): Promise<Milliseconds> => {
     const nodes = (await fleet.usage()).filter(({ name }) => name.startsWith("node "));
     return nodes.reduce((sum, { cpuMs }) => sum + cpuMs, 0) / Math.max(1, nodes.length);
 };
@@ -31,9 +32,9 @@
 export const runNodeCost = (context: ExperimentContext): Promise<ExperimentResult> => {
     const plan = createServicePlan({ nodes: context.nodes, medianMs: MEDIAN_MS, shed: false, spread: 0 });
     return withFleet(plan, context, async (fleet) => {
-        const started = await readMeanCpu(fleet);
-        await context.clock.sleep(REST_MS, context.signal);
-        const rested = await readMeanCpu(fleet);
+        const cpuAfterStart = await readMeanCpuTime(fleet);
+        await context.clock.sleep(IDLE_MS, context.signal);
+        const cpuAfterIdle = await readMeanCpuTime(fleet);
         const caller = createCaller(context.clock);
         try {
             const { report } = await runMeasuredLoad(context, {
@@ -44,13 +45,14 @@
                 timeoutMs: TIMEOUT_MS,
                 createRequest: (index) => createMeasuredRead("young", index, TIMEOUT_MS),
             });
-            const loaded = await readMeanCpu(fleet);
-            const restPerMs = (rested - started) / REST_MS;
-            const perCall = (loaded - rested - restPerMs * LOAD_MS) * context.nodes / Math.max(1, report.sent);
+            const cpuAfterLoad = await readMeanCpuTime(fleet);
+            const idleCpuPerMs = (cpuAfterIdle - cpuAfterStart) / IDLE_MS;
+            const cpuPerCall =
+                (cpuAfterLoad - cpuAfterIdle - idleCpuPerMs * LOAD_MS) * context.nodes / Math.max(1, report.sent);
             const ours: Figures = {
-                startAndSettleCpuMs: started,
-                restCpuMsPerSecond: restPerMs * MILLISECONDS_PER_SECOND,
-                youngCpuMsPerCall: perCall,
+                startAndSettleCpuMs: cpuAfterStart,
+                restCpuMsPerSecond: idleCpuPerMs * MILLISECONDS_PER_SECOND,
+                youngCpuMsPerCall: cpuPerCall,
             };
             return { experiment: "node-cost", nodes: fleet.nodes.length, ours, naive: {} };
         }
--- a/packages/oleandergap-measure/src/control/nodeReadings.ts
+++ b/packages/oleandergap-measure/src/control/nodeReadings.ts
@@ -1,40 +1,43 @@
-/** What all nodes of a fleet say of themselves at one moment. */
+/** Reads applied versions and resource usage of all nodes of a fleet. */
 import { readMetricSamples, sumMetric, type Fleet, type FleetNode } from "oleandergap-demo";
 import { MILLISECONDS_PER_SECOND, type Milliseconds, type PartnerName, type Sequence } from "oleandergap-types";
 
-/** Version of a partner's document that a node serves from. */
-export interface AppliedReading {
+/** Version of a partner's document that a node uses. */
+export interface AppliedVersion {
     readonly node: FleetNode;
     readonly sequence: Sequence;
-    /** Wall-clock time at which the node put it in force. */
+    /** Wall-clock time at which the node applied the version. */
     readonly appliedAt: Milliseconds;
 }
 
-const readOne = async (node: FleetNode, partner: PartnerName): Promise<AppliedReading> => {
+const readAppliedVersion = async (node: FleetNode, partner: PartnerName): Promise<AppliedVersion> => {
     const text = await node.readMetrics();
-    const find = (name: string): number =>
+    const findValue = (name: string): number =>
         readMetricSamples(text, name).find(({ labels }) => labels["partner"] === partner)?.value ?? 0;
     return {
         node,
-        sequence: find("oleandergap_applied_sequence"),
-        appliedAt: find("oleandergap_applied_at_ms"),
+        sequence: findValue("oleandergap_applied_sequence"),
+        appliedAt: findValue("oleandergap_applied_at_ms"),
     };
 };
 
-/** Readings of the nodes that run and answer. */
-export const readApplied = async (nodes: readonly FleetNode[], partner: PartnerName): Promise<AppliedReading[]> => {
-    const readings = await Promise.allSettled(
-        nodes.filter((node) => node.isRunning()).map((node) => readOne(node, partner)),
+/** Returns the applied versions of the running nodes that respond. */
+export const readAppliedVersions = async (
+    nodes: readonly FleetNode[],
+    partner: PartnerName,
+): Promise<AppliedVersion[]> => {
+    const results = await Promise.allSettled(
+        nodes.filter((node) => node.isRunning()).map((node) => readAppliedVersion(node, partner)),
     );
-    return readings.flatMap((reading) => reading.status === "fulfilled" ? [reading.value] : []);
+    return results.flatMap((result) => result.status === "fulfilled" ? [result.value] : []);
 };
 
-/** Totals over a fleet, all since the start of each process. */
+/** Totals of a fleet, each since the start of the process that counts it. */
 export interface ControlTotals {
     readonly takenAt: Milliseconds;
-    /** Bytes of the nodes' control traffic with each other, sent and received, as each node counts them. */
+    /** Control traffic between nodes in bytes, sent and received, as counted by each node. */
     readonly peerBytes: number;
-    /** Bytes between the nodes and the platform, as the platform stand-in counts them. */
+    /** Traffic between nodes and platform in bytes, as counted by the platform stand-in. */
     readonly platformBytes: number;
     readonly platformReads: number;
     readonly cpuMs: Milliseconds;
@@ -47,7 +50,7 @@
 
 const sum = (values: readonly number[]): number => values.reduce((total, value) => total + value, 0);
 
-/** Reads every running node once; the reading itself is not control traffic and is not counted. */
+/** Reads the totals of all running nodes. The requests for this are not control traffic and are not counted. */
 export const readControlTotals = async (fleet: Fleet, now: () => Milliseconds): Promise<ControlTotals> => {
     const running = fleet.nodes.filter((node) => node.isRunning());
     const peerBytes = sum(await Promise.all(running.map(readPeerBytes)));
@@ -64,16 +67,16 @@
     };
 };
 
-/** Costs per node between two totals. */
+/** Costs between two totals. */
 export interface ControlCosts {
     readonly bytesPerNodeAndSecond: number;
     readonly platformReadsPerSecond: number;
-    /** Share of one core. */
+    /** CPU time per node, as a share of one core. */
     readonly coreSharePerNode: number;
 }
 
-/** The costs between two totals of the same `nodes` nodes; `before` must be the earlier one. */
-export const compareTotals = (before: ControlTotals, after: ControlTotals, nodes: number): ControlCosts => {
+/** Computes the costs between two totals of the same fleet of `nodes` nodes. `before` must be the earlier one. */
+export const computeControlCosts = (before: ControlTotals, after: ControlTotals, nodes: number): ControlCosts => {
     const seconds = (after.takenAt - before.takenAt) / MILLISECONDS_PER_SECOND;
     const bytes = after.peerBytes - before.peerBytes + after.platformBytes - before.platformBytes;
     return {
--- a/packages/oleandergap-measure/src/control/restartNode.ts
+++ b/packages/oleandergap-measure/src/control/restartNode.ts
@@ -1,11 +1,14 @@
-/** Kills a node and starts it again. */
+/** Kills and restarts a node. */
 import type { FleetNode } from "oleandergap-demo";
 import type { Milliseconds } from "oleandergap-types";
 import type { ExperimentContext } from "../experiment.js";
 
 const READY_TIMEOUT_MS: Milliseconds = 15_000;
 
-/** 1 when the node gets ready again, 0 when it does not within its time; a figure, as experiments print numbers. */
+/**
+ * Kills and restarts `node`. Returns 1 if the node becomes ready within `READY_TIMEOUT_MS`, otherwise 0. The result is
+ * a number because experiments print it as a figure.
+ */
 export const killAndRestart = async (node: FleetNode | undefined, context: ExperimentContext): Promise<0 | 1> => {
     await node?.kill();
     await node?.start();
--- a/packages/oleandergap-measure/src/control/restartStorm.ts
+++ b/packages/oleandergap-measure/src/control/restartStorm.ts
@@ -1,42 +1,42 @@
 /**
- * Half of the nodes are killed and restarted at once while requests go on. The naive version starts as many pollers at
- * once, without budget or jitter.
+ * Kills and restarts half of the nodes at once while requests continue. The naive version starts the same number of
+ * pollers at once, without a budget or jitter.
  */
 import type { Fleet, FleetNode } from "oleandergap-demo";
 import type { Milliseconds } from "oleandergap-types";
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
 import { createExperimentPlan } from "../fleetPlans.js";
 import { createDurationRecorder } from "../recordDurations.js";
-import { describeMisses, runFleetLoad, shareAnswered } from "../requests/fleetLoad.js";
+import { describeUnanswered, runFleetLoad, computeAnsweredShare } from "../requests/fleetLoad.js";
 import { withFleet } from "../withFleet.js";
-import { acceptOneChange, waitUntilApplied } from "./changeTable.js";
+import { submitChange, waitUntilApplied } from "./changeTable.js";
 import { startNaivePhase } from "./naivePhase.js";
-import { watchReads } from "./watchReads.js";
+import { monitorPlatformReads } from "./watchReads.js";
 
 const LOAD_PER_SECOND = 100;
 const LOAD_MS: Milliseconds = 20_000;
-const LEAD_MS: Milliseconds = 2000;
+const LOAD_LEAD_MS: Milliseconds = 2000;
 const APPLY_TIMEOUT_MS: Milliseconds = 30_000;
 
-/** Every second node, so that every availability zone loses about half of its own. */
-const pickHalf = (fleet: Fleet): readonly FleetNode[] => fleet.nodes.filter((_node, index) => index % 2 === 0);
+/** Returns every second node, which is about half of the nodes of each availability zone. */
+const pickHalfOfNodes = (fleet: Fleet): readonly FleetNode[] => fleet.nodes.filter((_node, index) => index % 2 === 0);
 
-const restartAll = async (victims: readonly FleetNode[], context: ExperimentContext): Promise<Figures> => {
-    const ready = createDurationRecorder();
-    await Promise.all(victims.map((node) => node.kill()));
+const killAndRestartNodes = async (nodes: readonly FleetNode[], context: ExperimentContext): Promise<Figures> => {
+    const readyDurations = createDurationRecorder();
+    await Promise.all(nodes.map((node) => node.kill()));
     const startedAt = context.clock.monotonic();
-    await Promise.all(victims.map(async (node) => {
+    await Promise.all(nodes.map(async (node) => {
         await node.start();
         await node.waitUntilReady(context.signal);
-        ready.record(context.clock.monotonic() - startedAt);
+        readyDurations.record(context.clock.monotonic() - startedAt);
     }));
-    return { startToReadyP50Ms: ready.percentile(50), startToReadyMaxMs: ready.maximum() };
+    return { startToReadyP50Ms: readyDurations.percentile(50), startToReadyMaxMs: readyDurations.maximum() };
 };
 
 const measureOurs = async (fleet: Fleet, context: ExperimentContext): Promise<Figures> => {
     const [partner = ""] = fleet.plan.partners.map((plan) => plan.partner);
-    const before = await acceptOneChange(fleet, partner, 1);
-    await waitUntilApplied(fleet, before, APPLY_TIMEOUT_MS);
+    const changeBefore = await submitChange(fleet, partner, 1);
+    await waitUntilApplied(fleet, changeBefore, APPLY_TIMEOUT_MS);
     const load = runFleetLoad(fleet, {
         seed: context.seed,
         ratePerSecond: LOAD_PER_SECOND,
@@ -44,38 +44,40 @@
         signal: context.signal,
         name: "storm",
     });
-    await context.clock.sleep(LEAD_MS, context.signal);
-    const watch = watchReads(fleet, context.clock);
-    const restart = await restartAll(pickHalf(fleet), context);
-    const readings = await waitUntilApplied(fleet, before, APPLY_TIMEOUT_MS);
-    const after = await acceptOneChange(fleet, partner, 2);
-    const converged = await waitUntilApplied(fleet, after, APPLY_TIMEOUT_MS);
+    await context.clock.sleep(LOAD_LEAD_MS, context.signal);
+    const readMonitor = monitorPlatformReads(fleet, context.clock);
+    const restartFigures = await killAndRestartNodes(pickHalfOfNodes(fleet), context);
+    const versionsAtReady = await waitUntilApplied(fleet, changeBefore, APPLY_TIMEOUT_MS);
+    const changeAfter = await submitChange(fleet, partner, 2);
+    const versionsAfter = await waitUntilApplied(fleet, changeAfter, APPLY_TIMEOUT_MS);
     const report = await load;
-    context.report(describeMisses(report));
-    const reads = await watch.stop();
+    context.report(describeUnanswered(report));
+    const reads = await readMonitor.stop();
     return {
-        ...restart,
-        nodesBehindAtReady: readings.filter(({ sequence }) => sequence < before.sequence).length,
-        changeAfterStormMs: Math.max(...converged.map(({ appliedAt }) => appliedAt)) - after.sentAt,
+        ...restartFigures,
+        nodesBehindAtReady: versionsAtReady.filter(({ sequence }) => sequence < changeBefore.sequence).length,
+        changeAfterStormMs: Math.max(...versionsAfter.map(({ appliedAt }) => appliedAt)) - changeAfter.sentAt,
         peakPlatformReadsPerSecond: reads.peakPerSecond,
-        requestsAnsweredShare: shareAnswered(report),
+        requestsAnsweredShare: computeAnsweredShare(report),
         requestsWrong: report.wrong,
     };
 };
 
-/** The pollers of the other half keep on polling, as ours do. */
+/**
+ * Measures the naive version. The pollers for the other half of the nodes keep polling, as those nodes of the mesh do.
+ */
 const measureNaive = async (fleet: Fleet, context: ExperimentContext): Promise<Figures> => {
-    const half = pickHalf(fleet).length;
-    const survivors = startNaivePhase(fleet, context, fleet.nodes.length - half);
-    await context.clock.sleep(LEAD_MS, context.signal);
-    const watch = watchReads(fleet, context.clock);
-    const restarted = startNaivePhase(fleet, context, half);
-    await context.clock.sleep(2 * LEAD_MS, context.signal);
-    await Promise.all([restarted.stop(), survivors.stop()]);
-    const reads = await watch.stop();
+    const restartedCount = pickHalfOfNodes(fleet).length;
+    const runningPhase = startNaivePhase(fleet, context, fleet.nodes.length - restartedCount);
+    await context.clock.sleep(LOAD_LEAD_MS, context.signal);
+    const readMonitor = monitorPlatformReads(fleet, context.clock);
+    const restartedPhase = startNaivePhase(fleet, context, restartedCount);
+    await context.clock.sleep(2 * LOAD_LEAD_MS, context.signal);
+    await Promise.all([restartedPhase.stop(), runningPhase.stop()]);
+    const reads = await readMonitor.stop();
     return {
         peakPlatformReadsPerSecond: reads.peakPerSecond,
-        platformFailures: restarted.polling.failures() + survivors.polling.failures(),
+        platformFailures: restartedPhase.polling.failures() + runningPhase.polling.failures(),
     };
 };
 
--- a/packages/oleandergap-measure/src/control/watchReads.ts
+++ b/packages/oleandergap-measure/src/control/watchReads.ts
@@ -1,16 +1,16 @@
-/** Watches how many reads per second the platform stand-in gets. */
+/** Measures how many reads per second the platform stand-in receives. */
 import type { Fleet } from "oleandergap-demo";
 import type { Clock, Milliseconds } from "oleandergap-types";
 
-/** A watch that samples the platform stand-in's counters until it is stopped. */
-export interface ReadWatch {
-    /** Ends the watch. */
+/** Samples the counters of the platform stand-in until it is stopped. */
+export interface ReadMonitor {
+    /** Stops sampling and returns the summary. */
     readonly stop: () => Promise<ReadSummary>;
 }
 
-/** Calls to the platform during a watch, those that it refused included. */
+/** Reads from the platform while a monitor ran, including refused calls. */
 export interface ReadSummary {
-    /** Most reads in any second. */
+    /** Highest number of reads per second. */
     readonly peakPerSecond: number;
     readonly total: number;
 }
@@ -23,40 +23,42 @@
     readonly reads: number;
 }
 
-const findPeak = (samples: readonly Sample[]): number => {
+const findPeakRate = (samples: readonly Sample[]): number => {
     let peak = 0;
     for (const [index, sample] of samples.entries()) {
-        const start = samples.slice(0, index).findLast(({ at }) => sample.at - at >= WINDOW_MS);
-        if (start !== undefined) {
-            peak = Math.max(peak, ((sample.reads - start.reads) / (sample.at - start.at)) * WINDOW_MS);
+        const windowStart = samples.slice(0, index).findLast(({ at }) => sample.at - at >= WINDOW_MS);
+        if (windowStart !== undefined) {
+            peak = Math.max(peak, ((sample.reads - windowStart.reads) / (sample.at - windowStart.at)) * WINDOW_MS);
         }
     }
     return peak;
 };
 
-/** Calls that the platform refused count as well: they are load on it. */
-const countAttempts = async (fleet: Fleet): Promise<number> => {
+/**
+ * Returns the number of reads since the start. Refused calls are included, because they put load on the platform too.
+ */
+const countPlatformReads = async (fleet: Fleet): Promise<number> => {
     const counters = await fleet.platform.counters();
     return counters.reads + counters.refused + counters.overLimit;
 };
 
-/** Starts a watch; it costs the stand-in a call to its counters at every sample. */
-export const watchReads = (fleet: Fleet, clock: Clock): ReadWatch => {
-    const end = new AbortController();
+/** Starts a monitor. Each sample makes one request for the counters of the stand-in. */
+export const monitorPlatformReads = (fleet: Fleet, clock: Clock): ReadMonitor => {
+    const abortController = new AbortController();
     const samples: Sample[] = [];
-    const watch = async (): Promise<void> => {
-        while (!end.signal.aborted) {
-            samples.push({ at: clock.monotonic(), reads: await countAttempts(fleet) });
-            await clock.sleep(SAMPLE_PERIOD_MS, end.signal);
+    const collectSamples = async (): Promise<void> => {
+        while (!abortController.signal.aborted) {
+            samples.push({ at: clock.monotonic(), reads: await countPlatformReads(fleet) });
+            await clock.sleep(SAMPLE_PERIOD_MS, abortController.signal);
         }
     };
-    const watching = watch();
+    const sampling = collectSamples();
     return {
         stop: async () => {
-            end.abort();
-            await watching;
+            abortController.abort();
+            await sampling;
             const total = (samples.at(-1)?.reads ?? 0) - (samples[0]?.reads ?? 0);
-            return { peakPerSecond: findPeak(samples), total };
+            return { peakPerSecond: findPeakRate(samples), total };
         },
     };
 };
--- a/packages/oleandergap-measure/src/experiment.ts
+++ b/packages/oleandergap-measure/src/experiment.ts
@@ -1,33 +1,34 @@
-/** What an experiment is and how its result is printed. */
+/** Types of an experiment, and the format of its result. */
 import type { Clock } from "oleandergap-types";
 
-/** Plain numbers by name; the unit is the end of the name, for example `appliedP99Ms`. */
+/** Numbers by name. The name ends with the unit, for example `appliedP99Ms`. */
 export type Figures = Readonly<Record<string, number>>;
 
-/** One run's figures, as they are printed. */
+/** Figures of one run, in the shape in which they are printed. */
 export interface ExperimentResult {
     readonly experiment: string;
-    /** Nodes that took part; 0 for an experiment that runs decision logic alone. */
+    /** Number of nodes in the run; 0 for an experiment that runs only decision logic. */
     readonly nodes: number;
+    /** Figures of the mesh. */
     readonly ours: Figures;
-    /** The naive version under the same load in the same run. */
+    /** Figures of the naive version under the same load in the same run. */
     readonly naive: Figures;
 }
 
-/** What a run is given. */
+/** Input of a run. */
 export interface ExperimentContext {
     readonly nodes: number;
     readonly seed: number;
     readonly clock: Clock;
     readonly signal: AbortSignal;
-    /** Tells a person how far the run is; goes to standard error. */
+    /** Writes a progress message to standard error. */
     readonly report: (line: string) => void;
 }
 
-/** Throws when the run could not be made; a run that was made returns its figures, also bad ones. */
+/** Runs the experiment. Throws if the run cannot be completed; a completed run returns its figures, even bad ones. */
 export type RunExperiment = (context: ExperimentContext) => Promise<ExperimentResult>;
 
-/** An experiment as the command line offers it. */
+/** An experiment that can be started from the command line. */
 export interface Experiment {
     readonly name: string;
     readonly summary: string;
@@ -35,14 +36,14 @@
     readonly run: RunExperiment;
 }
 
-/** Digits kept after the point; more would pretend a precision that no run has. */
-const KEPT_DECIMALS = 3;
+/** Decimal places of printed figures. More would suggest a precision that a run does not have. */
+const DECIMAL_PLACES = 3;
 
 const roundFigures = (figures: Figures): Figures =>
     Object.fromEntries(
-        Object.entries(figures).map(([name, value]) => [name, Number(value.toFixed(KEPT_DECIMALS))]),
+        Object.entries(figures).map(([name, value]) => [name, Number(value.toFixed(DECIMAL_PLACES))]),
     );
 
-/** The one line of JSON that ends every run. */
+/** Formats the result as one line of JSON, which is the last line of output of a run. */
 export const formatResult = (result: ExperimentResult): string =>
     JSON.stringify({ ...result, ours: roundFigures(result.ours), naive: roundFigures(result.naive) });
--- a/packages/oleandergap-measure/src/experiments.ts
+++ b/packages/oleandergap-measure/src/experiments.ts
@@ -1,92 +1,92 @@
 /** All experiments by name. */
 import { runConvergence } from "./control/convergence.js";
-import { COSTED_NODES, runNodeCost } from "./control/nodeCost.js";
+import { NODE_COST_DEFAULT_NODES, runNodeCost } from "./control/nodeCost.js";
 import { runPlatformOutage } from "./control/platformOutage.js";
 import { runRestartStorm } from "./control/restartStorm.js";
 import { runZoneCut } from "./control/zoneCut.js";
 import type { Experiment } from "./experiment.js";
-import { TODAYS_NODES } from "./fleetPlans.js";
+import { CURRENT_DEPLOYMENT_NODES } from "./fleetPlans.js";
 import { runAtMostOnce } from "./requests/atMostOnce.js";
-import { CRASHING_NODES, runCrashingRequest } from "./requests/crashingRequest.js";
+import { CRASHING_REQUEST_DEFAULT_NODES, runCrashingRequest } from "./requests/crashingRequest.js";
 import { runOverhead } from "./requests/overhead.js";
 import { runOverload } from "./requests/overload.js";
 import { runRollingRestart } from "./requests/rollingRestart.js";
-import { SERVICE_NODES } from "./requests/serviceFleet.js";
+import { SERVICE_FLEET_DEFAULT_NODES } from "./requests/serviceFleet.js";
 import { runSilentConnections } from "./requests/silentConnections.js";
 import { runSlowTarget } from "./requests/slowTarget.js";
 
-/** What the command line offers. */
+/** Experiments that can be started from the command line. */
 export const experiments: readonly Experiment[] = [
     {
         name: "convergence",
-        summary: "time from accept to applied on every node, and control costs",
-        defaultNodes: TODAYS_NODES,
+        summary: "time from sending a change until every node has applied it, and control plane costs",
+        defaultNodes: CURRENT_DEPLOYMENT_NODES,
         run: runConvergence,
     },
     {
         name: "restart-storm",
         summary: "half of the nodes killed and restarted at once, under load",
-        defaultNodes: TODAYS_NODES,
+        defaultNodes: CURRENT_DEPLOYMENT_NODES,
         run: runRestartStorm,
     },
     {
         name: "platform-outage",
-        summary: "the platform down for a while, a restart meanwhile, and its return",
-        defaultNodes: TODAYS_NODES,
+        summary: "an outage of the platform with a node restart during it, and the recovery",
+        defaultNodes: CURRENT_DEPLOYMENT_NODES,
         run: runPlatformOutage,
     },
     {
         name: "zone-cut",
-        summary: "an availability zone cut off, seen from inside and from outside, and its return",
-        defaultNodes: TODAYS_NODES,
+        summary: "an isolated availability zone, measured from inside and from outside, and its recovery",
+        defaultNodes: CURRENT_DEPLOYMENT_NODES,
         run: runZoneCut,
     },
     {
         name: "overload",
-        summary: "a service at once, twice and four times its capacity",
-        defaultNodes: SERVICE_NODES,
+        summary: "a service at one, two and four times its capacity",
+        defaultNodes: SERVICE_FLEET_DEFAULT_NODES,
         run: runOverload,
     },
     {
         name: "slow-target",
-        summary: "one target of four slow while its health endpoint says that it is well",
-        defaultNodes: SERVICE_NODES,
+        summary: "one of four targets slow while its health endpoint reports it as healthy",
+        defaultNodes: SERVICE_FLEET_DEFAULT_NODES,
         run: runSlowTarget,
     },
     {
         name: "silent-connections",
-        summary: "open connections of a target gone silent, and a node frozen",
-        defaultNodes: SERVICE_NODES,
+        summary: "open connections of a target that stop responding, and a frozen node",
+        defaultNodes: SERVICE_FLEET_DEFAULT_NODES,
         run: runSilentConnections,
     },
     {
         name: "at-most-once",
-        summary: "repeated keys under kills, cut and lost answers and crossed duplicates, then a platform outage",
-        defaultNodes: SERVICE_NODES,
+        summary: "retries of keys under kills, truncated or lost responses and duplicates, then a platform outage",
+        defaultNodes: SERVICE_FLEET_DEFAULT_NODES,
         run: runAtMostOnce,
     },
     {
         name: "rolling-restart",
-        summary: "every node stopped as planned and started again under load",
-        defaultNodes: SERVICE_NODES,
+        summary: "a planned restart of every node in turn, under load",
+        defaultNodes: SERVICE_FLEET_DEFAULT_NODES,
         run: runRollingRestart,
     },
     {
         name: "crashing-request",
-        summary: "a request that crashes the targets that run it, targets that crash of themselves, a caller that varies",
-        defaultNodes: CRASHING_NODES,
+        summary: "a request that crashes its targets, targets that crash by themselves, a caller with varying requests",
+        defaultNodes: CRASHING_REQUEST_DEFAULT_NODES,
         run: runCrashingRequest,
     },
     {
         name: "node-cost",
-        summary: "processor time of a node's start, of its rest and of a request while it is young",
-        defaultNodes: COSTED_NODES,
+        summary: "CPU time of a node's start, of an idle node and of a request soon after the start",
+        defaultNodes: NODE_COST_DEFAULT_NODES,
         run: runNodeCost,
     },
     {
         name: "overhead",
-        summary: "time and processor that the way through the nodes adds to a call",
-        defaultNodes: SERVICE_NODES,
+        summary: "latency and CPU time that the path through the nodes adds to a call",
+        defaultNodes: SERVICE_FLEET_DEFAULT_NODES,
         run: runOverhead,
     },
 ];
--- a/packages/oleandergap-measure/src/fleetPlans.ts
+++ b/packages/oleandergap-measure/src/fleetPlans.ts
@@ -1,20 +1,23 @@
-/** Which fleet an experiment runs on. */
+/** Creates the fleet plan of an experiment. */
 import { createGeneratedPlan, createTodaysPlan, type FleetPlan, type TargetBehaviour } from "oleandergap-demo";
 
-/** Nodes of today's two deployments. */
-export const TODAYS_NODES = 22;
+/** Number of nodes in the current two deployments. */
+export const CURRENT_DEPLOYMENT_NODES = 22;
 const MAX_NODES_PER_ZONE = 30;
 
-/** What an experiment may choose of its fleet. */
+/** Options of an experiment's fleet. */
 export interface PlanOptions {
     readonly nodes: number;
     readonly behaviour?: TargetBehaviour;
     readonly servicesPerPartner?: number;
 }
 
-/** Today's deployments for 22 nodes; otherwise both partners with half of the nodes each. */
+/**
+ * Creates the plan of the current deployments for 22 nodes, otherwise a plan of two partners with half of the nodes
+ * each.
+ */
 export const createExperimentPlan = ({ nodes, behaviour, servicesPerPartner }: PlanOptions): FleetPlan => {
-    if (nodes === TODAYS_NODES && behaviour === undefined && servicesPerPartner === undefined) {
+    if (nodes === CURRENT_DEPLOYMENT_NODES && behaviour === undefined && servicesPerPartner === undefined) {
         return createTodaysPlan();
     }
     return createGeneratedPlan({
--- a/packages/oleandergap-measure/src/index.ts
+++ b/packages/oleandergap-measure/src/index.ts
@@ -1,3 +1,3 @@
-/** Experiments: ours against a naive version. */
+/** Experiments that compare the mesh with a naive version. */
 export * from "./experiment.js";
 export * from "./experiments.js";
--- a/packages/oleandergap-measure/src/main.ts
+++ b/packages/oleandergap-measure/src/main.ts
@@ -15,10 +15,10 @@
     readonly seed: number;
 }
 
-const parseWholeNumber = (minimum: number, maximum: number) => (text: string): number => {
+const createIntegerParser = (minimum: number, maximum: number) => (text: string): number => {
     const value = Number(text);
     if (!Number.isInteger(value) || value < minimum || value > maximum) {
-        throw new InvalidArgumentError(`use a whole number from ${minimum} to ${maximum}`);
+        throw new InvalidArgumentError(`use an integer from ${minimum} to ${maximum}`);
     }
     return value;
 };
@@ -27,30 +27,30 @@
     process.stderr.write(`${line}\n`);
 };
 
-const runOne = async (experiment: Experiment, options: RunOptions): Promise<void> => {
-    const stop = new AbortController();
-    const abort = (): void => stop.abort(new Error("interrupted"));
+const runExperiment = async (experiment: Experiment, options: RunOptions): Promise<void> => {
+    const abortController = new AbortController();
+    const abort = (): void => abortController.abort(new Error("interrupted"));
     process.once("SIGINT", abort);
     process.once("SIGTERM", abort);
     const result = await experiment.run({
         nodes: options.nodes ?? experiment.defaultNodes,
         seed: options.seed,
         clock: createSystemClock(),
-        signal: stop.signal,
+        signal: abortController.signal,
         report,
     });
     process.stdout.write(`${formatResult(result)}\n`);
 };
 
-const addExperiment = (program: Command, experiment: Experiment): void => {
+const addExperimentCommand = (program: Command, experiment: Experiment): void => {
     program
         .command(experiment.name)
         .description(experiment.summary)
-        .option("--nodes <count>", "size of the fleet", parseWholeNumber(0, MAX_NODES))
-        .option("--seed <number>", "seed of the random numbers", parseWholeNumber(0, 2 ** 31), DEFAULT_SEED)
+        .option("--nodes <count>", "number of nodes in the fleet", createIntegerParser(0, MAX_NODES))
+        .option("--seed <number>", "seed of the random number generator", createIntegerParser(0, 2 ** 31), DEFAULT_SEED)
         .action(async (options: RunOptions) => {
             try {
-                await runOne(experiment, options);
+                await runExperiment(experiment, options);
             }
             catch (error) {
                 report(`The experiment could not be run: ${error instanceof Error ? error.message : String(error)}`);
@@ -62,6 +62,6 @@
 const program = new Command("npm run measure --").description(
     "Measures the system against a naive version. The last line of output is one JSON object.",
 );
-experiments.forEach((experiment) => addExperiment(program, experiment));
+experiments.forEach((experiment) => addExperimentCommand(program, experiment));
 addProfileCommand(program);
 await program.parseAsync();
--- a/packages/oleandergap-measure/src/naive/naivePolling.ts
+++ b/packages/oleandergap-measure/src/naive/naivePolling.ts
@@ -1,6 +1,7 @@
 /**
- * The naive way to distribute configuration: every node polls the platform for all heads and, when one moved, reads the
- * deltas since. No shared readers, no jitter, no budget, no back-off. It talks to the same stand-in as our own nodes.
+ * A naive way to distribute configuration: every node polls the platform for all heads and reads the new deltas of each
+ * head that has changed. There are no shared readers, no jitter, no budget and no backoff. The pollers use the same
+ * platform stand-in as the nodes of the mesh.
  */
 import { setMaxListeners } from "node:events";
 import type { Socket } from "node:net";
@@ -16,7 +17,7 @@
 import { buildConnector, Client } from "undici";
 import { z } from "zod";
 
-/** How many pollers read which partners, and how often. */
+/** Number of pollers, their partners and their polling interval. */
 export interface NaivePollingOptions {
     readonly clock: Clock;
     readonly platform: { readonly address: string; readonly port: number };
@@ -24,12 +25,12 @@
     readonly partners: readonly PartnerName[];
     readonly intervalMs: Milliseconds;
     readonly signal: AbortSignal;
-    /** Called once poller `node` has read everything up to `sequence`. */
-    readonly onApplied: (applied: NaiveApplied) => void;
+    /** Called when a poller has read all deltas up to a sequence. */
+    readonly onApplied: (applied: NaiveAppliedVersion) => void;
 }
 
-/** A version that one poller has read. */
-export interface NaiveApplied {
+/** A version that one poller has read completely. */
+export interface NaiveAppliedVersion {
     readonly node: number;
     readonly partner: PartnerName;
     readonly sequence: Sequence;
@@ -37,15 +38,15 @@
     readonly at: Milliseconds;
 }
 
-/** Pollers that are running, with their costs since the start. */
+/** Running pollers, with their costs since the start. */
 export interface NaivePolling {
-    /** Bytes on all pollers' connections to the platform, both ways. */
+    /** Returns the bytes sent and received on all connections to the platform. */
     readonly bytes: () => number;
-    /** Calls made, whether answered or not. */
+    /** Returns the number of calls made, including failed ones. */
     readonly reads: () => number;
-    /** Calls that found the platform unreachable or refusing. */
+    /** Returns the number of polls that failed because the platform was unreachable or refused a call. */
     readonly failures: () => number;
-    /** Resolves once all pollers have ended, which they do when the signal aborts. */
+    /** Resolves when all pollers have ended, which happens after the signal aborts. */
     readonly finished: Promise<void>;
 }
 
@@ -60,7 +61,7 @@
 const formatDeltaKey = (partner: PartnerName, sequence: Sequence): string =>
     `config/${partner}/delta/${String(sequence).padStart(SEQUENCE_DIGITS, "0")}`;
 
-/** Creates connections and keeps the sockets, so that their bytes can be counted. */
+/** Creates a connector that adds each new socket to `sockets`, so that its bytes can be counted. */
 const createCountingConnector = (sockets: Socket[]): buildConnector.connector => {
     const connect = buildConnector({});
     return (options, callback) => {
@@ -76,17 +77,17 @@
 const countBytes = (sockets: readonly Socket[]): number =>
     sockets.reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0);
 
-/** Throws when the platform refuses or cannot be reached. */
+/** Sends a request and returns the rows of the response. Throws if the platform refuses it or is unreachable. */
 const postRows = async (client: Client, path: string, body: ReadRequest | ScanRequest): Promise<RowsAnswer["rows"]> => {
-    const answer = await client.request({
+    const response = await client.request({
         method: "POST",
         path,
         headers: { "content-type": "application/json" },
         body: JSON.stringify(body),
     });
-    const text = await answer.body.text();
-    if (answer.statusCode !== HTTP_OK) {
-        throw new Error(`platform answered ${answer.statusCode}`);
+    const text = await response.body.text();
+    if (response.statusCode !== HTTP_OK) {
+        throw new Error(`platform responded with status ${response.statusCode}`);
     }
     return rowsAnswerSchema.parse(JSON.parse(text)).rows;
 };
@@ -113,19 +114,19 @@
     const rows = await postRows(poller.client, TABLE_READ_PATH, { keys: options.partners.map(formatHeadKey) });
     for (const partner of options.partners) {
         const row = rows.find(({ key }) => key === formatHeadKey(partner));
-        const before = poller.applied.get(partner) ?? 0;
-        if (row === undefined || headRowSchema.parse(row.value).sequence <= before) {
+        const appliedSequence = poller.applied.get(partner) ?? 0;
+        if (row === undefined || headRowSchema.parse(row.value).sequence <= appliedSequence) {
             continue;
         }
-        const sequence = await readDeltas(poller, partner, before);
+        const sequence = await readDeltas(poller, partner, appliedSequence);
         poller.applied.set(partner, sequence);
         options.onApplied({ node, partner, sequence, at: options.clock.now() });
     }
 };
 
-/** Starts all pollers; they end when the signal aborts. */
+/** Starts all pollers, which end when the signal aborts. */
 export const startNaivePolling = (options: NaivePollingOptions): NaivePolling => {
-    // Each poller listens while it sleeps; their number is known and does not grow.
+    // Each poller adds an abort listener while it sleeps. The number of pollers is fixed, so this is not a leak.
     setMaxListeners(0, options.signal);
     const sockets: Socket[] = [];
     let failures = 0;
--- a/packages/oleandergap-measure/src/profile/profileTable.ts
+++ b/packages/oleandergap-measure/src/profile/profileTable.ts
@@ -1,20 +1,20 @@
-/** Adds the nodes' lines on their processor time up into one table. */
+/** Sums the CPU time lines of node logs into one table. */
 import { z } from "zod";
 
 const timesSchema = z.record(z.string(), z.number().min(0));
 
-/** Times travel as text, since a line's fields are plain values. */
+/** Times are logged as JSON text, because the fields of a log line are scalar values. */
 const timesTextSchema = z.string().transform((text, context) => {
     try {
         return timesSchema.parse(JSON.parse(text));
     }
     catch (error) {
-        context.addIssue({ code: "custom", message: `no times by name: ${String(error)}` });
+        context.addIssue({ code: "custom", message: `invalid times by name: ${String(error)}` });
         return z.NEVER;
     }
 });
 
-/** One node's line on one period; times in milliseconds. */
+/** CPU time line of one node for one period; times in milliseconds. */
 const profileLineSchema = z.object({
     context: z.object({
         periodMs: z.number().positive(),
@@ -28,8 +28,8 @@
 });
 export type ProfileLine = z.output<typeof profileLineSchema>["context"];
 
-/** Reads a line of a log; undefined for lines on other matters. Text before the line's own object is passed over. */
-export const readProfileLine = (line: string): ProfileLine | undefined => {
+/** Parses a log line. Returns undefined for lines without CPU times. Text before the JSON object is ignored. */
+export const parseProfileLine = (line: string): ProfileLine | undefined => {
     const start = line.indexOf("{");
     if (start < 0 || !line.includes("\"processorMs\"")) {
         return undefined;
@@ -39,16 +39,16 @@
         return parsed.success ? parsed.data.context : undefined;
     }
     catch {
-        // A line that was cut off.
+        // The line is truncated.
         return undefined;
     }
 };
 
-type Times = Readonly<Record<string, number>>;
+type TimesByName = Readonly<Record<string, number>>;
 
-const addTimes = (all: readonly Times[]): readonly (readonly [name: string, time: number])[] => {
+const sumTimesByName = (timesOfLines: readonly TimesByName[]): readonly (readonly [name: string, time: number])[] => {
     const sums = new Map<string, number>();
-    for (const [name, time] of all.flatMap((times) => Object.entries(times))) {
+    for (const [name, time] of timesOfLines.flatMap((times) => Object.entries(times))) {
         sums.set(name, (sums.get(name) ?? 0) + time);
     }
     return [...sums.entries()].sort((left, right) => right[1] - left[1]);
@@ -59,34 +59,38 @@
 const MILLISECONDS_PER_SECOND = 1000;
 const PERCENT = 100;
 
-const formatRows = (heading: string, rows: readonly (readonly [string, number])[], seconds: number): string[] => {
+const formatTableLines = (heading: string, rows: readonly (readonly [string, number])[], seconds: number): string[] => {
     const total = sum(rows.map(([, time]) => time));
     return [
-        `| ${heading} | ms/s a node | share |`,
+        `| ${heading} | ms/s per node | share |`,
         "| --- | --- | --- |",
         ...rows.map(([name, time]) =>
             `| ${name} | ${(time / seconds).toFixed(2)} | ${(time / total * PERCENT).toFixed(1)}% |`),
     ];
 };
 
-/** Functions shown; the rest of a line's are of no weight. */
-const SHOWN_FUNCTIONS = 25;
+/** Number of functions in the table; the others use hardly any CPU time. */
+const MAX_FUNCTION_ROWS = 25;
 
-/** A table in Markdown. Rates are for one node, in the mean of all lines. */
+/** Formats the lines as a Markdown table. Rates are per node, averaged over all lines. */
 export const formatProfileTable = (lines: readonly ProfileLine[]): string => {
     const seconds = sum(lines.map(({ periodMs }) => periodMs)) / MILLISECONDS_PER_SECOND;
     if (seconds === 0) {
-        return "No line tells of processor time; is `diagnostics.processorProfileMs` set?";
+        return "No line reports CPU time; is `diagnostics.processorProfileMs` set?";
     }
-    const rate = (count: number): string => (count / seconds).toFixed(1);
+    const toRate = (count: number): string => (count / seconds).toFixed(1);
     return [
-        `${lines.length} lines, ${seconds.toFixed(0)} s of nodes: ` +
-        `${rate(sum(lines.map(({ processorMs }) => processorMs)))} ms/s of processor time, ` +
-        `${rate(sum(lines.map(({ wakeUps }) => wakeUps)))} wake-ups/s, ` +
-        `${rate(sum(lines.map(({ reads }) => reads)))} reads/s, ${rate(sum(lines.map(({ writes }) => writes)))} writes/s`,
+        `${lines.length} lines, ${seconds.toFixed(0)} s of node time: ` +
+        `${toRate(sum(lines.map(({ processorMs }) => processorMs)))} ms/s of CPU time, ` +
+        `${toRate(sum(lines.map(({ wakeUps }) => wakeUps)))} wake-ups/s, ` +
+        `${toRate(sum(lines.map(({ reads }) => reads)))} reads/s, ${toRate(sum(lines.map(({ writes }) => writes)))} writes/s`,
         "",
-        ...formatRows("part", addTimes(lines.map(({ parts }) => parts)), seconds),
+        ...formatTableLines("part", sumTimesByName(lines.map(({ parts }) => parts)), seconds),
         "",
-        ...formatRows("function", addTimes(lines.map(({ functions }) => functions)).slice(0, SHOWN_FUNCTIONS), seconds),
+        ...formatTableLines(
+            "function",
+            sumTimesByName(lines.map(({ functions }) => functions)).slice(0, MAX_FUNCTION_ROWS),
+            seconds,
+        ),
     ].join("\n");
 };
--- a/packages/oleandergap-measure/src/recordDurations.ts
+++ b/packages/oleandergap-measure/src/recordDurations.ts
@@ -1,8 +1,8 @@
-/** Percentiles of durations, kept in constant memory. */
+/** Computes percentiles of durations in constant memory. */
 import { build, type Histogram } from "hdr-histogram-js";
 import type { Milliseconds } from "oleandergap-types";
 
-/** Durations that were recorded so far, and their percentiles. */
+/** Records durations and returns their percentiles, maximum and count. */
 export interface DurationRecorder {
     readonly record: (duration: Milliseconds) => void;
     readonly percentile: (percent: number) => Milliseconds;
@@ -10,22 +10,22 @@
     readonly count: () => number;
 }
 
-/** The histogram counts whole microseconds. */
+/** The histogram stores whole microseconds. */
 const MICROSECONDS_PER_MILLISECOND = 1000;
-/** Longest duration told apart, ten minutes. */
-const HIGHEST_MICROSECONDS = 600_000_000;
+/** Ten minutes; longer durations are recorded as this value. */
+const MAX_TRACKED_MICROSECONDS = 600_000_000;
 
-/** Values are kept to three significant digits. */
+/** Creates an empty recorder, which keeps values to three significant digits. */
 export const createDurationRecorder = (): DurationRecorder => {
     const histogram: Histogram = build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: HIGHEST_MICROSECONDS,
+        highestTrackableValue: MAX_TRACKED_MICROSECONDS,
         numberOfSignificantValueDigits: 3,
     });
     return {
         record: (duration) => {
             const microseconds = Math.round(duration * MICROSECONDS_PER_MILLISECOND);
-            histogram.recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(0, microseconds)));
+            histogram.recordValue(Math.min(MAX_TRACKED_MICROSECONDS, Math.max(0, microseconds)));
         },
         percentile: (percent) => histogram.getValueAtPercentile(percent) / MICROSECONDS_PER_MILLISECOND,
         maximum: () => histogram.maxValue / MICROSECONDS_PER_MILLISECOND,
--- a/packages/oleandergap-measure/src/requests/atMostOnce.ts
+++ b/packages/oleandergap-measure/src/requests/atMostOnce.ts
@@ -1,6 +1,7 @@
 /**
- * Requests that must not run twice, sent by callers that repeat the same key until they know, while nodes are killed,
- * targets cut answers, the platform loses answers, and duplicates cross. Then the platform is down.
+ * Sends requests that must not run twice. Callers retry them with the same key until the result is known, while nodes
+ * are killed, targets truncate responses, the platform loses responses, and duplicates are sent concurrently. Then
+ * measures the same requests during a platform outage.
  */
 import { setMaxListeners } from "node:events";
 import type { Fleet } from "oleandergap-demo";
@@ -10,12 +11,18 @@
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
 import { createNaiveCaller } from "../naive/naiveCaller.js";
 import { withFleet } from "../withFleet.js";
-import { beginFaults, endFaults, killInTurn } from "./faultSchedule.js";
-import { describeMisses, shareAnswered } from "./fleetLoad.js";
+import { startFaults, stopFaults, killNodesInTurn } from "./faultSchedule.js";
+import { describeUnanswered, computeAnsweredShare } from "./fleetLoad.js";
 import { runMeasuredLoad } from "./measuredLoad.js";
-import { createPersistentCaller } from "./persistentCaller.js";
+import { createRetryingCaller } from "./persistentCaller.js";
 import { createMeasuredPost, createServicePlan, listMeasuredTargets } from "./serviceFleet.js";
-import { createAuditedCaller, createVerdictLedger, describeAudit, listSuspects, readVerdict } from "./verdictLedger.js";
+import {
+    createAuditedCaller,
+    createVerdictLedger,
+    describeAudit,
+    describeViolations,
+    readVerdict,
+} from "./verdictLedger.js";
 
 const MEDIAN_MS: Milliseconds = 20;
 const TIMEOUT_MS: Milliseconds = 2000;
@@ -23,9 +30,9 @@
 const PHASE_MS: Milliseconds = 20_000;
 const OUTAGE_MS: Milliseconds = 5000;
 const SETTLE_MS: Milliseconds = 3000;
-const CROSSED_SHARE = 0.2;
+const DUPLICATE_SHARE = 0.2;
 
-/** Owns `caller` and closes it. */
+/** Measures the load under faults. Closes `caller` at the end. */
 const measureFaults = async (
     fleet: Fleet,
     context: ExperimentContext,
@@ -33,26 +40,26 @@
     name: string,
 ): Promise<Figures> => {
     const { clock, signal, seed } = context;
-    // Every repeat that waits listens to this one signal; many listeners are no leak here.
+    // Every waiting retry adds a listener to this signal, so many listeners are not a leak.
     setMaxListeners(0, signal);
-    const end = new AbortController();
+    const abortController = new AbortController();
     let completed = 0;
-    const persistent = createPersistentCaller({
+    const retryingCaller = createRetryingCaller({
         caller,
         gateways: fleet.gateways,
         clock,
         random: createSeededRandom(seed + 1),
-        crossedShare: CROSSED_SHARE,
+        duplicateShare: DUPLICATE_SHARE,
         signal,
     });
-    await beginFaults(fleet);
-    const ended = AbortSignal.any([signal, end.signal]);
-    const killing = killInTurn(fleet, context, ended);
-    // A node that cannot be restarted ends the load; the reason is thrown where the kills are awaited.
-    killing.catch(() => end.abort());
+    await startFaults(fleet);
+    const loadSignal = AbortSignal.any([signal, abortController.signal]);
+    const killLoop = killNodesInTurn(fleet, context, loadSignal);
+    // If a node cannot be restarted, the load ends. The error is thrown where `killLoop` is awaited.
+    killLoop.catch(() => abortController.abort());
     try {
-        const { report } = await runMeasuredLoad({ seed, signal: ended }, {
-            caller: persistent,
+        const { report } = await runMeasuredLoad({ seed, signal: loadSignal }, {
+            caller: retryingCaller,
             gateways: fleet.gateways,
             ratePerSecond: RATE_PER_SECOND,
             durationMs: PHASE_MS,
@@ -62,24 +69,24 @@
                 completed += readVerdict(result) === "ran" ? 1 : 0;
             },
         });
-        end.abort();
-        const kills = await killing;
-        context.report(`${name}: ${describeMisses(report)}`);
+        abortController.abort();
+        const kills = await killLoop;
+        context.report(`${name}: ${describeUnanswered(report)}`);
         return {
             completedShare: completed / Math.max(1, report.sent + report.notSent),
-            answeredShare: shareAnswered(report),
+            answeredShare: computeAnsweredShare(report),
             wrong: report.wrong,
             kills,
         };
     }
     finally {
-        end.abort();
+        abortController.abort();
         await caller.close();
-        await endFaults(fleet);
+        await stopFaults(fleet);
     }
 };
 
-/** Each request is sent once, so that the time to a refusal is that of one call. */
+/** Measures a platform outage. Each request is sent once, so that the time to a refusal is that of one call. */
 const measureOutage = async (
     fleet: Fleet,
     context: ExperimentContext,
@@ -97,9 +104,9 @@
             timeoutMs: TIMEOUT_MS,
             createRequest: (index) => createMeasuredPost(name, index, TIMEOUT_MS),
         });
-        context.report(`${name}: ${describeMisses(report)}`);
+        context.report(`${name}: ${describeUnanswered(report)}`);
         return {
-            [`${outage}OutageAcceptedShare`]: shareAnswered(report),
+            [`${outage}OutageAcceptedShare`]: computeAnsweredShare(report),
             [`${outage}OutageRefusalP99Ms`]: refusals.percentile(99),
         };
     }
@@ -112,21 +119,21 @@
 const measure = async (
     fleet: Fleet,
     context: ExperimentContext,
-    createOne: () => Caller,
+    createBaseCaller: () => Caller,
     name: string,
 ): Promise<Figures> => {
     const ledger = createVerdictLedger();
-    const createAudited = (): Caller => createAuditedCaller(createOne(), ledger);
-    const faults = await measureFaults(fleet, context, createAudited(), name);
+    const createLedgerCaller = (): Caller => createAuditedCaller(createBaseCaller(), ledger);
+    const faultFigures = await measureFaults(fleet, context, createLedgerCaller(), name);
     await fleet.waitUntilReady();
     await context.clock.sleep(SETTLE_MS, context.signal);
-    const refusing = await measureOutage(fleet, context, createAudited(), "refuse", `${name}-refuse`);
+    const refuseFigures = await measureOutage(fleet, context, createLedgerCaller(), "refuse", `${name}-refuse`);
     await context.clock.sleep(SETTLE_MS, context.signal);
-    const hanging = await measureOutage(fleet, context, createAudited(), "hang", `${name}-hang`);
+    const hangFigures = await measureOutage(fleet, context, createLedgerCaller(), "hang", `${name}-hang`);
     await context.clock.sleep(SETTLE_MS, context.signal);
     const audit = ledger.audit(await fleet.targets.runs());
-    context.report(`${name}: ${listSuspects(audit)}`);
-    return { ...describeAudit(audit), ...faults, ...refusing, ...hanging };
+    context.report(`${name}: ${describeViolations(audit)}`);
+    return { ...describeAudit(audit), ...faultFigures, ...refuseFigures, ...hangFigures };
 };
 
 /** Runs the `at-most-once` experiment on a fleet of its own. */
--- a/packages/oleandergap-measure/src/requests/crashingRequest.ts
+++ b/packages/oleandergap-measure/src/requests/crashingRequest.ts
@@ -1,7 +1,7 @@
 /**
- * A request that crashes the targets that run it, sent again and again beside harmless reads, half of which are for one
- * path. Ours against nodes that contain nothing. Then what must not be contained: targets that crash of themselves, and
- * a caller that varies its request each time.
+ * Repeatedly sends a request that crashes every target that runs it, along with harmless reads, half of which are for
+ * one path. Compares the mesh with nodes whose containment is disabled. Two more phases measure what must not be
+ * contained: targets that crash by themselves, and a caller that varies its request each time.
  */
 import { createOneServicePlan, type Fleet } from "oleandergap-demo";
 import { createCaller, type Caller, type CallRequest, type CallResult } from "oleandergap-standins";
@@ -10,74 +10,78 @@
 import { withFleet } from "../withFleet.js";
 import { runMeasuredLoad } from "./measuredLoad.js";
 
-/** Nodes, each with a target of the one service, unless the command line names another number. */
-export const CRASHING_NODES = 10;
+/** Number of nodes unless the command line sets another one. Each node has a target of the only service. */
+export const CRASHING_REQUEST_DEFAULT_NODES = 10;
 const PORT_BASE = 18_480;
 const SERVICE = { partner: "halloway", service: "wills-desk" } as const;
 const CRASH_PATH = "/crash";
 const MEDIAN_MS: Milliseconds = 100;
-const DOWN_MS: Milliseconds = 3000;
+const TARGET_DOWN_MS: Milliseconds = 3000;
 const TIMEOUT_MS: Milliseconds = 3000;
-const HARMLESS_PER_SECOND = 150;
+const HARMLESS_READS_PER_SECOND = 150;
 const PHASE_MS: Milliseconds = 25_000;
-/** Lets targets come back and evidence of the phase before settle. */
+/** Pause between phases, in which targets restart and the crash evidence of the previous phase settles. */
 const PAUSE_MS: Milliseconds = 6000;
 const CRASHES_TO_CONTAIN = 3;
-/** Time after the third crash after which at most three more sends are allowed. */
-const CONTACT_MS: Milliseconds = 3000;
-/** Time after the third crash after which harmless reads are to be served as before. */
-const SETTLED_MS: Milliseconds = 6000;
+/** Grace period after the third crash. After it, at most three more sends are allowed. */
+const CONTAINMENT_GRACE_MS: Milliseconds = 3000;
+/** Time after the third crash within which harmless reads must be served as before. */
+const RECOVERY_MS: Milliseconds = 6000;
 const POLL_MS: Milliseconds = 25;
-/** More crashes than there ever are: nodes contain nothing. */
-const CONTAIN_NOTHING = { containment: { crashesToContain: 100 } } as const;
+/** The threshold is higher than the number of crashes in any run, so nodes contain no request. */
+const CONTAINMENT_DISABLED = { containment: { crashesToContain: 100 } } as const;
 
-/** What is sent beside the harmless reads, and how often. */
+/** A disturbance during the harmless reads, and its rate. */
 interface Phase {
     readonly name: string;
-    readonly perSecond: number;
-    /** Sends one, or ends a target. */
+    readonly ratePerSecond: number;
+    /** Sends one crashing request, or crashes a target. */
     readonly disturb: (fleet: Fleet, caller: Caller, index: number) => Promise<unknown>;
 }
 
-const sendCrash = (method: "GET" | "POST", phase: string, query: (index: number) => string): Phase["disturb"] =>
+const createCrashSender = (
+    method: "GET" | "POST",
+    phase: string,
+    createQuery: (index: number) => string,
+): Phase["disturb"] =>
     (fleet, caller, index) => {
         const gateways = fleet.gateways();
         const gateway = gateways[index % gateways.length];
         const request: CallRequest = {
             service: SERVICE,
             method,
-            path: `${CRASH_PATH}?${query(index)}`,
+            path: `${CRASH_PATH}?${createQuery(index)}`,
             runKey: `crash-${phase}-${index}`,
             timeoutMs: TIMEOUT_MS,
         };
         return gateway === undefined ? Promise.resolve() : caller.call(gateway, request);
     };
 
-const restartInTurn: Phase["disturb"] = (fleet, _caller, index) => {
+const restartNextTarget: Phase["disturb"] = (fleet, _caller, index) => {
     const vm = fleet.plan.vms[index % fleet.plan.vms.length];
     return vm === undefined ? Promise.resolve() : fleet.targets.restart(vm.id);
 };
 
 const phases: readonly Phase[] = [
-    { name: "get", perSecond: 2, disturb: sendCrash("GET", "get", () => "get") },
-    { name: "post", perSecond: 2, disturb: sendCrash("POST", "post", () => "post") },
-    { name: "seldom", perSecond: 1 / 3, disturb: sendCrash("GET", "seldom", () => "seldom") },
-    { name: "ofThemselves", perSecond: 1, disturb: restartInTurn },
-    { name: "varied", perSecond: 2, disturb: sendCrash("GET", "varied", String) },
+    { name: "get", ratePerSecond: 2, disturb: createCrashSender("GET", "get", () => "get") },
+    { name: "post", ratePerSecond: 2, disturb: createCrashSender("POST", "post", () => "post") },
+    { name: "seldom", ratePerSecond: 1 / 3, disturb: createCrashSender("GET", "seldom", () => "seldom") },
+    { name: "ofThemselves", ratePerSecond: 1, disturb: restartNextTarget },
+    { name: "varied", ratePerSecond: 2, disturb: createCrashSender("GET", "varied", String) },
 ];
 
-interface Counts {
-    /** Crashes by requests. */
+interface TargetCounts {
+    /** Number of crashes caused by requests. */
     readonly crashes: number;
-    /** Runs that were broken off, by crashes and by callers that left. */
-    readonly cut: number;
+    /** Number of runs that were interrupted by a crash or by a caller that disconnected. */
+    readonly interruptedRuns: number;
 }
 
-const readCounts = async (fleet: Fleet): Promise<Counts> => {
+const readTargetCounts = async (fleet: Fleet): Promise<TargetCounts> => {
     const targets = await fleet.targets.targets();
     return {
         crashes: targets.reduce((sum, { counters }) => sum + counters.crashes, 0),
-        cut: targets.reduce((sum, { counters }) => sum + counters.cancelled, 0),
+        interruptedRuns: targets.reduce((sum, { counters }) => sum + counters.cancelled, 0),
     };
 };
 
@@ -93,39 +97,42 @@
     timeoutMs: TIMEOUT_MS,
 });
 
-/** When the third crash of a phase was seen, and the runs of its request from then on. */
-const watchThirdCrash = async (
+/**
+ * Waits for the third crash of a phase. Returns when it was detected, and how often the crashing request had run by the
+ * end of the grace period. Returns undefined if the signal aborts before the third crash.
+ */
+const waitForThirdCrash = async (
     fleet: Fleet,
     { clock }: ExperimentContext,
     phase: string,
     signal: AbortSignal,
-): Promise<{ readonly at: Milliseconds; readonly runsByContact: number } | undefined> => {
-    const before = (await readCounts(fleet)).crashes;
-    while ((await readCounts(fleet)).crashes - before < CRASHES_TO_CONTAIN) {
+): Promise<{ readonly at: Milliseconds; readonly runsAtGraceEnd: number } | undefined> => {
+    const crashesBefore = (await readTargetCounts(fleet)).crashes;
+    while ((await readTargetCounts(fleet)).crashes - crashesBefore < CRASHES_TO_CONTAIN) {
         await clock.sleep(POLL_MS, signal);
         if (signal.aborted) {
             return undefined;
         }
     }
     const at = clock.monotonic();
-    await clock.sleep(CONTACT_MS, signal);
-    return { at, runsByContact: await countRuns(fleet, phase) };
+    await clock.sleep(CONTAINMENT_GRACE_MS, signal);
+    return { at, runsAtGraceEnd: await countRuns(fleet, phase) };
 };
 
-const disturbRepeatedly = async (
+const runDisturbance = async (
     fleet: Fleet,
     caller: Caller,
     { clock }: ExperimentContext,
-    { perSecond, disturb }: Phase,
+    { ratePerSecond, disturb }: Phase,
     signal: AbortSignal,
 ): Promise<void> => {
     for (let index = 0; !signal.aborted; index++) {
         void disturb(fleet, caller, index);
-        await clock.sleep(1000 / perSecond, signal);
+        await clock.sleep(1000 / ratePerSecond, signal);
     }
 };
 
-const share = (part: number, whole: number): number => whole === 0 ? 1 : part / whole;
+const computeShare = (part: number, whole: number): number => whole === 0 ? 1 : part / whole;
 
 const measurePhase = async (
     fleet: Fleet,
@@ -135,36 +142,39 @@
 ): Promise<Figures> => {
     const { clock } = context;
     const results: { readonly at: Milliseconds; readonly result: CallResult }[] = [];
-    const before = await readCounts(fleet);
-    const end = new AbortController();
-    const third = watchThirdCrash(fleet, context, phase.name, end.signal);
-    const disturbance = disturbRepeatedly(fleet, caller, context, phase, end.signal);
+    const before = await readTargetCounts(fleet);
+    const abortController = new AbortController();
+    const pendingThirdCrash = waitForThirdCrash(fleet, context, phase.name, abortController.signal);
+    const disturbance = runDisturbance(fleet, caller, context, phase, abortController.signal);
     await runMeasuredLoad(context, {
         caller,
-        ratePerSecond: HARMLESS_PER_SECOND,
+        ratePerSecond: HARMLESS_READS_PER_SECOND,
         durationMs: PHASE_MS,
         timeoutMs: TIMEOUT_MS,
         gateways: fleet.gateways,
         createRequest: (index) => createHarmlessRead(phase.name, index),
         onResult: (result) => results.push({ at: clock.monotonic() - result.latencyMs, result }),
     });
-    end.abort();
+    abortController.abort();
     await disturbance;
-    const after = await readCounts(fleet);
-    const found = await third;
-    const settledFrom = (found?.at ?? Number.POSITIVE_INFINITY) + SETTLED_MS;
+    const after = await readTargetCounts(fleet);
+    const thirdCrash = await pendingThirdCrash;
+    const settledFrom = (thirdCrash?.at ?? Number.POSITIVE_INFINITY) + RECOVERY_MS;
     const settled = results.filter(({ at }) => at >= settledFrom);
     const isServed = ({ result }: { readonly result: CallResult }): boolean => result.kind === "Answered";
     const countReason = (reason: string): number =>
         results.filter(({ result }) => result.kind === "Refused" && result.reason === reason).length;
-    const cut = after.cut - before.cut;
+    const interruptedRuns = after.interruptedRuns - before.interruptedRuns;
     const figures: Figures = {
         crashes: after.crashes - before.crashes,
-        sendsLater: found === undefined ? 0 : await countRuns(fleet, phase.name) - found.runsByContact,
-        served: share(results.filter(isServed).length, results.length),
-        servedSettled: share(settled.filter(isServed).length, settled.length),
-        cutRuns: cut,
-        cutServedElsewhere: 1 - share(countReason("AnswerLost"), cut === 0 ? Number.POSITIVE_INFINITY : cut),
+        sendsLater: thirdCrash === undefined ? 0 : await countRuns(fleet, phase.name) - thirdCrash.runsAtGraceEnd,
+        served: computeShare(results.filter(isServed).length, results.length),
+        servedSettled: computeShare(settled.filter(isServed).length, settled.length),
+        cutRuns: interruptedRuns,
+        cutServedElsewhere: 1 - computeShare(
+            countReason("AnswerLost"),
+            interruptedRuns === 0 ? Number.POSITIVE_INFINITY : interruptedRuns,
+        ),
         blamed: countReason("Contained"),
         noTarget: countReason("NoTarget") + countReason("ConnectFailed"),
     };
@@ -181,7 +191,7 @@
     });
     return withFleet(plan, context, async (fleet) => {
         const caller = createCaller(context.clock);
-        const faults = { crashPath: CRASH_PATH, crashDownMs: DOWN_MS };
+        const faults = { crashPath: CRASH_PATH, crashDownMs: TARGET_DOWN_MS };
         await Promise.all(plan.vms.map(({ id }) => fleet.targets.setFaults(id, faults)));
         const figures: Figures[] = [];
         for (const phase of phases) {
@@ -198,5 +208,5 @@
     experiment: "crashing-request",
     nodes: context.nodes,
     ours: await measureFleet(context, {}),
-    naive: await measureFleet(context, CONTAIN_NOTHING),
+    naive: await measureFleet(context, CONTAINMENT_DISABLED),
 });
--- a/packages/oleandergap-measure/src/requests/faultSchedule.ts
+++ b/packages/oleandergap-measure/src/requests/faultSchedule.ts
@@ -1,47 +1,51 @@
-/** The faults that the at-most-once experiment plays while keys are sent. */
+/** Faults that the at-most-once experiment injects while it sends requests with keys. */
 import type { Fleet, FleetNode } from "oleandergap-demo";
 import type { Milliseconds } from "oleandergap-types";
 import type { ExperimentContext } from "../experiment.js";
 import { listMeasuredTargets } from "./serviceFleet.js";
 
-const LOSE_ANSWERS_SHARE = 0.1;
-const CUT_ANSWER_SHARE = 0.05;
+const LOST_RESPONSE_SHARE = 0.1;
+const TRUNCATED_RESPONSE_SHARE = 0.05;
 const HANG_SHARE = 0.03;
 const KILL_PERIOD_MS: Milliseconds = 2500;
 
-/** Targets cut answers and hang, and the platform loses answers after the write. */
-export const beginFaults = async (fleet: Fleet): Promise<void> => {
-    await fleet.platform.setFaults({ loseAnswersShare: LOSE_ANSWERS_SHARE });
+/** Makes targets truncate responses and hang, and makes the platform lose responses after it has written. */
+export const startFaults = async (fleet: Fleet): Promise<void> => {
+    await fleet.platform.setFaults({ loseAnswersShare: LOST_RESPONSE_SHARE });
     const targets = await listMeasuredTargets(fleet);
     await Promise.all(targets.map(({ id }) =>
-        fleet.targets.setFaults(id, { cutAnswerShare: CUT_ANSWER_SHARE, hangShare: HANG_SHARE })));
+        fleet.targets.setFaults(id, { cutAnswerShare: TRUNCATED_RESPONSE_SHARE, hangShare: HANG_SHARE })));
 };
 
 /** Ends all faults of the platform and of the measured targets. */
-export const endFaults = async (fleet: Fleet): Promise<void> => {
+export const stopFaults = async (fleet: Fleet): Promise<void> => {
     await fleet.platform.setFaults({});
     const targets = await listMeasuredTargets(fleet);
     await Promise.all(targets.map(({ id }) => fleet.targets.setFaults(id, {})));
 };
 
-const killAndRestart = async (node: FleetNode, signal: AbortSignal): Promise<void> => {
+const killAndRestartUntilReady = async (node: FleetNode, signal: AbortSignal): Promise<void> => {
     await node.kill();
     await node.start();
     await node.waitUntilReady(signal);
 };
 
-/** Kills the measured service's nodes one after the other, and starts each again, until `end` aborts. */
-export const killInTurn = async (fleet: Fleet, context: ExperimentContext, end: AbortSignal): Promise<number> => {
+/** Kills and restarts the nodes of the measured service in turn until `signal` aborts. Returns the number of kills. */
+export const killNodesInTurn = async (
+    fleet: Fleet,
+    context: ExperimentContext,
+    signal: AbortSignal,
+): Promise<number> => {
     const targets = await listMeasuredTargets(fleet);
     let kills = 0;
-    while (!end.aborted) {
+    while (!signal.aborted) {
         const target = targets[kills % targets.length];
         if (target === undefined) {
             break;
         }
-        await killAndRestart(fleet.node(target.id), context.signal);
+        await killAndRestartUntilReady(fleet.node(target.id), context.signal);
         kills++;
-        await context.clock.sleep(KILL_PERIOD_MS, end);
+        await context.clock.sleep(KILL_PERIOD_MS, signal);
     }
     return kills;
 };
--- a/packages/oleandergap-measure/src/requests/faultWatch.ts
+++ b/packages/oleandergap-measure/src/requests/faultWatch.ts
@@ -1,50 +1,59 @@
-/** What a fault costs the requests around it, on the time line of their sends. */
+/** Measures the impact of a fault on requests, by the time at which each request was sent. */
 import type { CallResult } from "oleandergap-standins";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Figures } from "../experiment.js";
 
-/** Records the requests of a run and tells what became of those that met the fault. */
-export interface FaultWatch {
+/** Records the results of a run and describes those of the requests that the fault affected. */
+export interface FaultImpactRecorder {
     readonly record: (result: CallResult) => void;
-    /** The fault begins now. */
-    readonly markFault: () => void;
-    readonly describe: () => Figures;
+    /** Sets the start of the fault to the present time. */
+    readonly markFaultStart: () => void;
+    /** Returns the figures of the affected requests. */
+    readonly describeImpact: () => Figures;
 }
 
 interface Observation {
     readonly sentAt: Milliseconds;
     readonly latencyMs: Milliseconds;
-    /** Whole and within the caller's timeout. */
+    /** Whether the complete response arrived within the caller's timeout. */
     readonly isAnswered: boolean;
-    /** Whole and too late. */
+    /** Whether the complete response arrived after the caller's timeout. */
     readonly isLate: boolean;
     readonly isRead: boolean;
 }
 
-const shareAnswered = (observations: readonly Observation[]): number =>
+const computeAnsweredShare = (observations: readonly Observation[]): number =>
     observations.filter(({ isAnswered }) => isAnswered).length / Math.max(1, observations.length);
 
-/** Late answers count, since each of them kept somebody waiting. */
-const findSlowest = (observations: readonly Observation[]): Milliseconds =>
+/**
+ * Returns the longest latency of a complete response. Late responses are included, because their callers waited for
+ * them.
+ */
+const findLongestLatency = (observations: readonly Observation[]): Milliseconds =>
     observations
         .filter(({ isLate, isAnswered }) => isLate || isAnswered)
         .reduce((slowest, { latencyMs }) => Math.max(slowest, latencyMs), 0);
 
-/** What a fault watch works with. */
-export interface FaultWatchOptions {
+/** Options of a fault impact recorder. */
+export interface FaultImpactOptions {
     readonly clock: Clock;
-    /** The callers' own timeout; what comes later is not an answer to them. */
+    /** Timeout of the callers; a later response does not count as an answer. */
     readonly timeoutMs: Milliseconds;
-    /** A request is served normally when it is answered within this time. */
-    readonly normalMs: Milliseconds;
-    /** Tells reads by their run keys. */
+    /** Highest latency of a response that counts as served normally. */
+    readonly normalLatencyMs: Milliseconds;
+    /** Returns whether the request with this run key is a read. */
     readonly isRead: (runKey: string) => boolean;
 }
 
-/** Creates a watch; without `markFault`, no request counts as having met the fault. */
-export const createFaultWatch = ({ clock, timeoutMs, normalMs, isRead }: FaultWatchOptions): FaultWatch => {
+/** Creates a recorder. No request counts as affected until `markFaultStart` is called. */
+export const createFaultImpactRecorder = ({
+    clock,
+    timeoutMs,
+    normalLatencyMs,
+    isRead,
+}: FaultImpactOptions): FaultImpactRecorder => {
     const observations: Observation[] = [];
-    let faultAt = Number.POSITIVE_INFINITY;
+    let faultStartedAt = Number.POSITIVE_INFINITY;
     return {
         record: (result) => {
             observations.push({
@@ -55,22 +64,23 @@
                 isRead: isRead(result.runKey),
             });
         },
-        markFault: () => {
-            faultAt = clock.monotonic();
+        markFaultStart: () => {
+            faultStartedAt = clock.monotonic();
         },
-        describe: () => {
-            // Requests that were under way when the fault began meet it as well.
-            const met = observations.filter(({ sentAt, latencyMs }) => sentAt + latencyMs >= faultAt);
-            const disturbed = met.filter(({ isAnswered, latencyMs }) => !isAnswered || latencyMs > normalMs);
-            const lastDisturbed = disturbed.reduce((last, { sentAt }) => Math.max(last, sentAt), faultAt);
+        describeImpact: () => {
+            // Requests that were in flight when the fault began are affected as well.
+            const affected = observations.filter(({ sentAt, latencyMs }) => sentAt + latencyMs >= faultStartedAt);
+            const disturbed = affected.filter(({ isAnswered, latencyMs }) =>
+                !isAnswered || latencyMs > normalLatencyMs);
+            const lastDisturbedAt = disturbed.reduce((last, { sentAt }) => Math.max(last, sentAt), faultStartedAt);
             return {
-                answeredShare: shareAnswered(met),
-                answeredReadsShare: shareAnswered(met.filter((observation) => observation.isRead)),
-                answeredPostsShare: shareAnswered(met.filter((observation) => !observation.isRead)),
+                answeredShare: computeAnsweredShare(affected),
+                answeredReadsShare: computeAnsweredShare(affected.filter((observation) => observation.isRead)),
+                answeredPostsShare: computeAnsweredShare(affected.filter((observation) => !observation.isRead)),
                 disturbed: disturbed.length,
-                slowestAnsweredMs: findSlowest(met),
-                late: met.filter(({ isLate }) => isLate).length,
-                servedNormallyAfterMs: lastDisturbed - faultAt,
+                slowestAnsweredMs: findLongestLatency(affected),
+                late: affected.filter(({ isLate }) => isLate).length,
+                servedNormallyAfterMs: lastDisturbedAt - faultStartedAt,
             };
         },
     };
--- a/packages/oleandergap-measure/src/requests/fleetLoad.ts
+++ b/packages/oleandergap-measure/src/requests/fleetLoad.ts
@@ -1,10 +1,10 @@
-/** Ordinary load on a fleet: idempotent reads of every service, through every gateway that runs. */
+/** Ordinary load on a fleet: idempotent reads of every service, through the gateways of all running nodes. */
 import type { Fleet } from "oleandergap-demo";
 import { createCaller, runLoad, type CallRequest, type GatewayAddress, type LoadReport } from "oleandergap-standins";
 import { formatServiceReference, type Milliseconds, type ServiceReference } from "oleandergap-types";
 import { createSeededRandom } from "oleandergap-utils";
 
-/** How much load is sent, for how long, and where to. */
+/** Rate, duration and destinations of the load. */
 export interface FleetLoadOptions {
     readonly seed: number;
     readonly ratePerSecond: number;
@@ -15,13 +15,13 @@
     /** Defaults to the gateways of all running nodes. */
     readonly gateways?: () => readonly GatewayAddress[];
     readonly signal: AbortSignal;
-    /** Added to run keys, which must differ between runs on one fleet. */
+    /** Prefix of the run keys, which must differ between runs on one fleet. */
     readonly name: string;
 }
 
 const DEFAULT_TIMEOUT_MS = 3000;
 
-/** Services with at least one target in the fleet, each once. */
+/** Lists the services with at least one target in the fleet, without duplicates. */
 export const listServedServices = (fleet: Fleet): readonly ServiceReference[] => {
     const served = fleet.plan.vms.flatMap(({ target }) => target === undefined ? [] : [target]);
     const byName = new Map(served.map(({ partner, service }) => {
@@ -31,10 +31,14 @@
     return [...byName.values()];
 };
 
-const createRead = (services: readonly ServiceReference[], options: FleetLoadOptions, index: number): CallRequest => {
+const createReadRequest = (
+    services: readonly ServiceReference[],
+    options: FleetLoadOptions,
+    index: number,
+): CallRequest => {
     const service = services[index % services.length];
     if (service === undefined) {
-        throw new RangeError("the fleet serves nothing");
+        throw new RangeError("the fleet has no service with targets");
     }
     return {
         service,
@@ -45,7 +49,7 @@
     };
 };
 
-/** Resolves with the caller's report when the last request has ended. */
+/** Sends the load. Resolves with the report when the last request has ended. */
 export const runFleetLoad = async (fleet: Fleet, options: FleetLoadOptions): Promise<LoadReport> => {
     const services = options.services ?? listServedServices(fleet);
     const caller = createCaller();
@@ -56,7 +60,7 @@
             ratePerSecond: options.ratePerSecond,
             durationMs: options.durationMs,
             gateways: options.gateways ?? fleet.gateways,
-            createRequest: (index) => createRead(services, options, index),
+            createRequest: (index) => createReadRequest(services, options, index),
             signal: options.signal,
         });
     }
@@ -65,10 +69,10 @@
     }
 };
 
-/** The reasons of what was not answered, for a person to read. */
-export const describeMisses = ({ refusedByReason, failedByDetail, notSent }: LoadReport): string =>
+/** Describes the unanswered requests by reason, as text for progress messages. */
+export const describeUnanswered = ({ refusedByReason, failedByDetail, notSent }: LoadReport): string =>
     `Not answered: ${JSON.stringify({ ...refusedByReason, ...failedByDetail, notSent })}.`;
 
-/** Share of the arrivals that got their whole answer. */
-export const shareAnswered = ({ answered, sent, notSent }: LoadReport): number =>
+/** Returns the share of all arrivals that got a complete response. */
+export const computeAnsweredShare = ({ answered, sent, notSent }: LoadReport): number =>
     answered / Math.max(1, sent + notSent);
--- a/packages/oleandergap-measure/src/requests/gatewayMeter.ts
+++ b/packages/oleandergap-measure/src/requests/gatewayMeter.ts
@@ -1,17 +1,19 @@
-/** How fast refusals leave the gateways by the nodes' own count, apart from any delay in the caller's process. */
+/**
+ * Measures how fast gateways refuse requests. The nodes count this themselves, so delays of the caller are excluded.
+ */
 import { sumMetric, type Fleet } from "oleandergap-demo";
 
-/** Totals over the running nodes, since the start of each. */
-export interface GatewayReading {
+/** Totals of the running nodes, each since the start of the node. */
+export interface GatewayCounters {
     readonly refused: number;
-    /** Requests of any end that were answered or refused within five milliseconds. */
+    /** Number of requests with any result that ended within five milliseconds. */
     readonly withinFiveMs: number;
 }
 
 const FIVE_MS_BUCKET = "0.005";
 
-/** Rejects when a running node does not answer. */
-export const readGateways = async (fleet: Fleet): Promise<GatewayReading> => {
+/** Reads the counters of all running nodes. Rejects if one of them does not respond. */
+export const readGatewayCounters = async (fleet: Fleet): Promise<GatewayCounters> => {
     const texts = await Promise.all(
         fleet.nodes.filter((node) => node.isRunning()).map((node) => node.readMetrics()),
     );
@@ -24,10 +26,10 @@
 };
 
 /**
- * Share of the refusals that left their gateway within five milliseconds. It holds only while no target answers as
- * fast as that, since the nodes count all ends together.
+ * Returns the share of refusals that the gateway sent within five milliseconds. This is valid only if no target
+ * responds that fast, because the nodes count requests with any result together.
  */
-export const shareRefusedFast = (before: GatewayReading, after: GatewayReading): number => {
+export const computeFastRefusalShare = (before: GatewayCounters, after: GatewayCounters): number => {
     const refused = after.refused - before.refused;
     return refused === 0 ? 1 : Math.min(1, (after.withinFiveMs - before.withinFiveMs) / refused);
 };
--- a/packages/oleandergap-measure/src/requests/measuredLoad.ts
+++ b/packages/oleandergap-measure/src/requests/measuredLoad.ts
@@ -1,4 +1,4 @@
-/** One phase of load, with the figures that every experiment of the request path needs. */
+/** Runs one phase of load and measures the figures that all experiments on requests need. */
 import { monitorEventLoopDelay } from "node:perf_hooks";
 import {
     runLoad,
@@ -13,51 +13,52 @@
 import type { ExperimentContext } from "../experiment.js";
 import { createDurationRecorder, type DurationRecorder } from "../recordDurations.js";
 
-/** What is sent, how fast and for how long. */
+/** Requests, rate and duration of a phase of load. */
 export interface LoadPhase {
     readonly caller: Caller;
-    /** Read at each request. */
+    /** Called for each request. */
     readonly gateways: () => readonly GatewayAddress[];
     readonly ratePerSecond: number;
     readonly durationMs: Milliseconds;
-    /** The callers' own timeout: an answer that comes later is of no use to them. */
+    /** Timeout of the callers. A later response is of no use to them. */
     readonly timeoutMs: Milliseconds;
     readonly createRequest: (index: number) => CallRequest;
     readonly onResult?: (result: CallResult) => void;
 }
 
-/** What became of the requests of a phase. */
+/** Results of the requests of a phase. */
 export interface LoadOutcome {
     readonly report: LoadReport;
-    /** Latency of the whole answers that came within the callers' timeout. */
+    /** Latencies of the complete responses that arrived within the callers' timeout. */
     readonly inTime: DurationRecorder;
+    /** Latencies of the refusals. */
     readonly refusals: DurationRecorder;
-    /** How late this process's own event loop ran, at the 99th percentile; part of every latency that it measures. */
+    /** 99th percentile of the event loop delay of this process, which is part of every latency that it measures. */
     readonly callerDelayP99Ms: Milliseconds;
 }
 
 const DELAY_RESOLUTION_MS = 1;
 const NANOSECONDS_PER_MILLISECOND = 1_000_000;
 
-/** Starts to watch the event loop; the returned function stops and gives the 99th percentile of its delay. */
-const watchEventLoop = (): (() => Milliseconds) => {
+/** Starts to measure the event loop delay. The returned function stops this and returns the 99th percentile. */
+const measureEventLoopDelay = (): (() => Milliseconds) => {
     const delays = monitorEventLoopDelay({ resolution: DELAY_RESOLUTION_MS });
     delays.enable();
     return () => {
         delays.disable();
-        // The histogram holds the whole time between two ticks, the resolution included.
+        // The histogram records the whole time between two ticks, so the resolution is subtracted.
         return Math.max(0, delays.percentile(99) / NANOSECONDS_PER_MILLISECOND - DELAY_RESOLUTION_MS);
     };
 };
 
-/** The same seed gives the same arrivals and choices of gateways. */
+/** Runs a phase of load. The same seed produces the same arrivals and choices of gateways. */
 export const runMeasuredLoad = async (
     { seed, signal }: Pick<ExperimentContext, "seed" | "signal">,
     phase: LoadPhase,
 ): Promise<LoadOutcome> => {
     const inTime = createDurationRecorder();
     const refusals = createDurationRecorder();
-    const stopWatch = watchEventLoop();
+    const stopDelayMeasurement = measureEventLoopDelay();
     const report = await runLoad({
         ...phase,
         random: createSeededRandom(seed),
@@ -72,9 +73,9 @@
             phase.onResult?.(result);
         },
     });
-    return { report, inTime, refusals, callerDelayP99Ms: stopWatch() };
+    return { report, inTime, refusals, callerDelayP99Ms: stopDelayMeasurement() };
 };
 
-/** Share of the arrivals that got their whole answer within the callers' timeout. */
-export const shareInTime = ({ report, inTime }: LoadOutcome): number =>
+/** Returns the share of all arrivals that got a complete response within the callers' timeout. */
+export const computeInTimeShare = ({ report, inTime }: LoadOutcome): number =>
     inTime.count() / Math.max(1, report.sent + report.notSent);
--- a/packages/oleandergap-measure/src/requests/mixedRequests.ts
+++ b/packages/oleandergap-measure/src/requests/mixedRequests.ts
@@ -1,17 +1,17 @@
-/** The mix of requests that experiments with faults send: reads, and writes that must not run twice. */
+/** Request mixes of the experiments with faults: reads, and writes that must not run twice. */
 import type { CallRequest } from "oleandergap-standins";
 import type { Milliseconds } from "oleandergap-types";
 import { createMeasuredPost, createMeasuredRead, createMeasuredUpload, createUnkeyedPost } from "./serviceFleet.js";
 
-/** Size of an upload, in bytes. */
+/** Size of an upload in bytes. */
 const UPLOAD_BYTES = 1024 * 1024;
-const KINDS_OF_WRITES = 2;
-/** One upload in so many requests; each costs as much as hundreds of reads. */
-const UPLOAD_PERIOD = 20;
+const WRITE_KINDS = 2;
+/** One in this many requests is an upload, because an upload costs as much as hundreds of reads. */
+const REQUESTS_PER_UPLOAD = 20;
 
-/** Reads, posts with a key and posts without one, a third each. */
+/** Creates requests of which a third each are reads, POSTs with a key and POSTs without one. */
 export const createReadOrPost = (name: string, timeoutMs: Milliseconds) => (index: number): CallRequest => {
-    switch (index % (KINDS_OF_WRITES + 1)) {
+    switch (index % (WRITE_KINDS + 1)) {
         case 0:
             return createMeasuredRead(`${name}-read`, index, timeoutMs);
         case 1:
@@ -21,11 +21,11 @@
     }
 };
 
-/** Reads and posts with a key in equal parts, and an upload now and then. */
+/** Creates reads and POSTs with a key in equal parts, and occasional uploads. */
 export const createReadPostOrUpload = (name: string, timeoutMs: Milliseconds): (index: number) => CallRequest => {
     const body = Buffer.alloc(UPLOAD_BYTES, "deed ");
     return (index) => {
-        if (index % UPLOAD_PERIOD === 0) {
+        if (index % REQUESTS_PER_UPLOAD === 0) {
             return createMeasuredUpload(`${name}-upload`, index, timeoutMs, body);
         }
         return index % 2 === 0 ?
--- a/packages/oleandergap-measure/src/requests/overload.ts
+++ b/packages/oleandergap-measure/src/requests/overload.ts
@@ -1,26 +1,26 @@
-/** More requests than the targets can take: how much useful work is left, and how fast the rest is told. */
+/** Sends more requests than the targets can handle. Measures the goodput and how fast other requests are refused. */
 import type { Fleet } from "oleandergap-demo";
 import { createCaller, type Caller } from "oleandergap-standins";
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from "oleandergap-types";
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
 import { createNaiveCaller } from "../naive/naiveCaller.js";
 import { withFleet } from "../withFleet.js";
-import { describeMisses } from "./fleetLoad.js";
-import { readGateways, shareRefusedFast } from "./gatewayMeter.js";
+import { describeUnanswered } from "./fleetLoad.js";
+import { readGatewayCounters, computeFastRefusalShare } from "./gatewayMeter.js";
 import { runMeasuredLoad, type LoadOutcome } from "./measuredLoad.js";
-import { createMeasuredRead, createServicePlan, listMeasuredTargets, readCapacity } from "./serviceFleet.js";
+import { createMeasuredRead, createServicePlan, listMeasuredTargets, computeCapacity } from "./serviceFleet.js";
 
 const MEDIAN_MS: Milliseconds = 200;
 const TIMEOUT_MS: Milliseconds = 1000;
 const PHASE_MS: Milliseconds = 10_000;
 const PAUSE_MS: Milliseconds = 3000;
-const MULTIPLES = [1, 2, 4] as const;
+const LOAD_FACTORS = [1, 2, 4] as const;
 
 interface Phase {
-    readonly multiple: number;
+    readonly loadFactor: number;
     readonly outcome: LoadOutcome;
     readonly runs: number;
-    readonly refusedFastShare: number;
+    readonly fastRefusalShare: number;
 }
 
 const runPhase = async (
@@ -28,38 +28,38 @@
     context: ExperimentContext,
     caller: Caller,
     name: string,
-    multiple: number,
+    loadFactor: number,
 ): Promise<Phase> => {
     const runsBefore = (await fleet.targets.runs()).total;
-    const gatewaysBefore = await readGateways(fleet);
+    const gatewaysBefore = await readGatewayCounters(fleet);
     const outcome = await runMeasuredLoad(context, {
         caller,
-        ratePerSecond: readCapacity(fleet, MEDIAN_MS) * multiple,
+        ratePerSecond: computeCapacity(fleet, MEDIAN_MS) * loadFactor,
         durationMs: PHASE_MS,
         timeoutMs: TIMEOUT_MS,
         gateways: fleet.gateways,
-        createRequest: (index) => createMeasuredRead(`${name}-${multiple}`, index, TIMEOUT_MS),
+        createRequest: (index) => createMeasuredRead(`${name}-${loadFactor}`, index, TIMEOUT_MS),
     });
     const runs = (await fleet.targets.runs()).total - runsBefore;
-    const refusedFastShare = shareRefusedFast(gatewaysBefore, await readGateways(fleet));
-    context.report(`${name} at ${multiple}x: ${describeMisses(outcome.report)}`);
+    const fastRefusalShare = computeFastRefusalShare(gatewaysBefore, await readGatewayCounters(fleet));
+    context.report(`${name} at ${loadFactor}x: ${describeUnanswered(outcome.report)}`);
     await context.clock.sleep(PAUSE_MS, context.signal);
-    return { multiple, outcome, runs, refusedFastShare };
+    return { loadFactor, outcome, runs, fastRefusalShare };
 };
 
-/** Goodput counts only what came within the callers' timeout. */
-const describePhase = ({ multiple, outcome, runs }: Phase): Figures => {
+/** Returns the figures of a phase. Goodput counts only responses within the callers' timeout. */
+const describePhase = ({ loadFactor, outcome, runs }: Phase): Figures => {
     const { report, inTime, refusals, callerDelayP99Ms } = outcome;
     return {
-        [`goodput${multiple}xPerSecond`]: (inTime.count() * MILLISECONDS_PER_SECOND) / report.durationMs,
-        [`accepted${multiple}xP99Ms`]: inTime.percentile(99),
-        [`late${multiple}x`]: report.answered - inTime.count(),
-        [`refused${multiple}xP50Ms`]: refusals.percentile(50),
-        [`refused${multiple}xP99Ms`]: refusals.percentile(99),
-        [`callerDelay${multiple}xP99Ms`]: callerDelayP99Ms,
-        [`runsPerRequest${multiple}x`]: runs / Math.max(1, report.sent),
-        [`notSent${multiple}x`]: report.notSent,
-        [`wrong${multiple}x`]: report.wrong,
+        [`goodput${loadFactor}xPerSecond`]: (inTime.count() * MILLISECONDS_PER_SECOND) / report.durationMs,
+        [`accepted${loadFactor}xP99Ms`]: inTime.percentile(99),
+        [`late${loadFactor}x`]: report.answered - inTime.count(),
+        [`refused${loadFactor}xP50Ms`]: refusals.percentile(50),
+        [`refused${loadFactor}xP99Ms`]: refusals.percentile(99),
+        [`callerDelay${loadFactor}xP99Ms`]: callerDelayP99Ms,
+        [`runsPerRequest${loadFactor}x`]: runs / Math.max(1, report.sent),
+        [`notSent${loadFactor}x`]: report.notSent,
+        [`wrong${loadFactor}x`]: report.wrong,
     };
 };
 
@@ -71,8 +71,8 @@
 ): Promise<readonly Phase[]> => {
     const phases: Phase[] = [];
     try {
-        for (const multiple of MULTIPLES) {
-            phases.push(await runPhase(fleet, context, caller, name, multiple));
+        for (const loadFactor of LOAD_FACTORS) {
+            phases.push(await runPhase(fleet, context, caller, name, loadFactor));
         }
     }
     finally {
@@ -82,18 +82,18 @@
 };
 
 const mergeFigures = (figures: readonly Figures[]): Figures =>
-    figures.reduce<Figures>((merged, next) => ({ ...merged, ...next }), {});
+    figures.reduce<Figures>((merged, addition) => ({ ...merged, ...addition }), {});
 
 const describePhases = (phases: readonly Phase[]): Figures => {
     const all = mergeFigures(phases.map(describePhase));
-    const [atOne, atFour] = [all["goodput1xPerSecond"] ?? 0, all["goodput4xPerSecond"] ?? 0];
-    return { ...all, goodput4xOver1x: atFour / atOne };
+    const [goodputAt1x, goodputAt4x] = [all["goodput1xPerSecond"] ?? 0, all["goodput4xPerSecond"] ?? 0];
+    return { ...all, goodput4xOver1x: goodputAt4x / goodputAt1x };
 };
 
-/** By the gateways' own count; the naive caller has none. */
+/** Returns the shares of fast refusals as counted by the gateways, which the naive caller does not use. */
 const describeFastRefusals = (phases: readonly Phase[]): Figures =>
-    mergeFigures(phases.map(({ multiple, refusedFastShare }) => ({
-        [`refusedWithin5MsAtGateway${multiple}xShare`]: refusedFastShare,
+    mergeFigures(phases.map(({ loadFactor, fastRefusalShare }) => ({
+        [`refusedWithin5MsAtGateway${loadFactor}xShare`]: fastRefusalShare,
     })));
 
 /** Runs the `overload` experiment on a fleet of its own. */
--- a/packages/oleandergap-measure/src/requests/persistentCaller.ts
+++ b/packages/oleandergap-measure/src/requests/persistentCaller.ts
@@ -1,41 +1,44 @@
-/** A caller that repeats a request with the same idempotency key until it knows how it ended. */
+/** A caller that retries a request with the same idempotency key until its result is conclusive. */
 import type { Caller, CallRequest, CallResult, GatewayAddress } from "oleandergap-standins";
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { pickOne, type Random } from "oleandergap-utils";
 import { readVerdict } from "./verdictLedger.js";
 
-/** What a persistent caller works with. */
-export interface PersistentCallerOptions {
+/** Options of a retrying caller. */
+export interface RetryingCallerOptions {
     readonly caller: Caller;
-    /** Where repeats and crossed duplicates go. */
+    /** Returns the gateways from which those for retries and concurrent duplicates are chosen. */
     readonly gateways: () => readonly GatewayAddress[];
     readonly clock: Clock;
     readonly random: Random;
-    /** Share of the requests that are sent twice at once, through two gateways. */
-    readonly crossedShare: number;
+    /** Share of the requests that are sent twice concurrently, through two gateways chosen at random. */
+    readonly duplicateShare: number;
     readonly signal: AbortSignal;
 }
 
-/** Sends of one request at most, the first included; after them its last result stands. */
+/** Maximum number of attempts per request, including the first. The result of the last one is returned. */
 export const MAX_ATTEMPTS = 5;
-const MAX_WAIT_MS: Milliseconds = 1000;
-const DEFAULT_WAIT_MS: Milliseconds = 200;
+const MAX_RETRY_DELAY_MS: Milliseconds = 1000;
+const DEFAULT_RETRY_DELAY_MS: Milliseconds = 200;
 
-/** The whole answer, or the word that the request ran. */
-const isClear = (result: CallResult): boolean => result.kind !== "Failed" && readVerdict(result) === "ran";
+/** Returns whether the result is a complete response or the verdict that the request ran. */
+const isConclusive = (result: CallResult): boolean => result.kind !== "Failed" && readVerdict(result) === "ran";
 
-const readWait = (result: CallResult): Milliseconds =>
-    Math.min(MAX_WAIT_MS, (result.kind === "Refused" ? result.retryAfterMs : undefined) ?? DEFAULT_WAIT_MS);
+const getRetryDelay = (result: CallResult): Milliseconds =>
+    Math.min(
+        MAX_RETRY_DELAY_MS,
+        (result.kind === "Refused" ? result.retryAfterMs : undefined) ?? DEFAULT_RETRY_DELAY_MS,
+    );
 
-/** Latencies are from the first send to the last word. */
-export const createPersistentCaller = (options: PersistentCallerOptions): Caller => {
-    const { caller, gateways, clock, random, crossedShare, signal } = options;
+/** Creates a retrying caller. Latencies are measured from the first attempt to the last result. */
+export const createRetryingCaller = (options: RetryingCallerOptions): Caller => {
+    const { caller, gateways, clock, random, duplicateShare, signal } = options;
 
-    const persist = async (first: GatewayAddress, request: CallRequest): Promise<CallResult> => {
+    const callUntilConclusive = async (first: GatewayAddress, request: CallRequest): Promise<CallResult> => {
         const startedAt = clock.monotonic();
         let result = await caller.call(first, request);
-        for (let attempt = 2; attempt <= MAX_ATTEMPTS && !isClear(result) && !signal.aborted; attempt++) {
-            await clock.sleep(readWait(result), signal);
+        for (let attempt = 2; attempt <= MAX_ATTEMPTS && !isConclusive(result) && !signal.aborted; attempt++) {
+            await clock.sleep(getRetryDelay(result), signal);
             result = await caller.call(pickOne(random, gateways()) ?? first, request);
         }
         return { ...result, latencyMs: clock.monotonic() - startedAt };
@@ -43,12 +46,15 @@
 
     return {
         call: async (gateway, request) => {
-            if (random() >= crossedShare) {
-                return persist(gateway, request);
+            if (random() >= duplicateShare) {
+                return callUntilConclusive(gateway, request);
             }
-            const other = pickOne(random, gateways()) ?? gateway;
-            const both = await Promise.all([persist(gateway, request), persist(other, request)]);
-            return both.find(isClear) ?? both[0];
+            const otherGateway = pickOne(random, gateways()) ?? gateway;
+            const results = await Promise.all([
+                callUntilConclusive(gateway, request),
+                callUntilConclusive(otherGateway, request),
+            ]);
+            return results.find(isConclusive) ?? results[0];
         },
         close: caller.close,
     };
--- a/packages/oleandergap-measure/src/requests/rollingRestart.ts
+++ b/packages/oleandergap-measure/src/requests/rollingRestart.ts
@@ -1,6 +1,6 @@
 /**
- * Every node is stopped as planned and started again, one after the other, and then one target stops as planned, all
- * under load. For comparison, targets that close at once under the naive caller.
+ * Stops and restarts every node in turn by a planned stop, and then stops one target by a planned stop, all under load.
+ * For comparison, targets of the naive caller crash.
  */
 import type { Fleet } from "oleandergap-demo";
 import { createCaller, type Caller, type CallResult, type TargetReport } from "oleandergap-standins";
@@ -9,36 +9,44 @@
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
 import { createNaiveCaller } from "../naive/naiveCaller.js";
 import { withFleet } from "../withFleet.js";
-import { describeMisses, shareAnswered } from "./fleetLoad.js";
+import { describeUnanswered, computeAnsweredShare } from "./fleetLoad.js";
 import { runMeasuredLoad } from "./measuredLoad.js";
 import { createReadPostOrUpload } from "./mixedRequests.js";
-import { createSecondGatewayCaller } from "./secondGatewayCaller.js";
+import { createFailoverCaller } from "./secondGatewayCaller.js";
 import { createServicePlan, listMeasuredTargets } from "./serviceFleet.js";
-import { createAuditedCaller, createVerdictLedger, describeAudit, listSuspects, readVerdict } from "./verdictLedger.js";
+import {
+    createAuditedCaller,
+    createVerdictLedger,
+    describeAudit,
+    describeViolations,
+    readVerdict,
+} from "./verdictLedger.js";
 
 const MEDIAN_MS: Milliseconds = 50;
 const TIMEOUT_MS: Milliseconds = 5000;
 const RATE_PER_SECOND = 100;
-const LEAD_MS: Milliseconds = 2000;
-const BETWEEN_MS: Milliseconds = 1000;
+const LOAD_MARGIN_MS: Milliseconds = 2000;
+const PAUSE_BETWEEN_RESTARTS_MS: Milliseconds = 1000;
 const SETTLE_MS: Milliseconds = 2000;
-const NAIVE_CRASHES = 2;
-/** The load ends when the restarts have ended; this only bounds a run that got stuck. */
+const NAIVE_CRASH_COUNT = 2;
+/** The load ends after the restarts; this only limits a run that hangs. */
 const MAX_LOAD_MS: Milliseconds = 300_000;
 
-interface EndCounts {
-    cut: number;
+interface UnansweredCounts {
+    interrupted: number;
     refusedNotRun: number;
 }
 
-interface EndCounter {
-    readonly counts: Readonly<EndCounts>;
+interface UnansweredCounter {
+    readonly counts: Readonly<UnansweredCounts>;
     readonly record: (result: CallResult) => void;
 }
 
-/** A request is cut when it got neither its whole answer nor the word that it did not run. */
-const createEndCounter = (report: (line: string) => void): EndCounter => {
-    const counts: EndCounts = { cut: 0, refusedNotRun: 0 };
+/**
+ * Creates a counter. A request counts as interrupted if it got neither a complete response nor the verdict `notRun`.
+ */
+const createUnansweredCounter = (report: (line: string) => void): UnansweredCounter => {
+    const counts: UnansweredCounts = { interrupted: 0, refusedNotRun: 0 };
     const record = (result: CallResult): void => {
         if (result.kind === "Answered") {
             return;
@@ -47,13 +55,13 @@
             counts.refusedNotRun++;
             return;
         }
-        counts.cut++;
-        report(`Cut: ${JSON.stringify(result)}`);
+        counts.interrupted++;
+        report(`Interrupted: ${JSON.stringify(result)}`);
     };
     return { counts, record };
 };
 
-/** Runs the load for as long as `disturb` takes, with a lead before and after. */
+/** Runs the load while `disturb` runs, and for `LOAD_MARGIN_MS` before and after it. */
 const measure = async (
     fleet: Fleet,
     context: ExperimentContext,
@@ -63,9 +71,9 @@
 ): Promise<Figures> => {
     const { clock, signal } = context;
     const ledger = createVerdictLedger();
-    const end = new AbortController();
-    const counter = createEndCounter(context.report);
-    const load = runMeasuredLoad({ seed: context.seed, signal: AbortSignal.any([signal, end.signal]) }, {
+    const abortController = new AbortController();
+    const counter = createUnansweredCounter(context.report);
+    const load = runMeasuredLoad({ seed: context.seed, signal: AbortSignal.any([signal, abortController.signal]) }, {
         caller: createAuditedCaller(caller, ledger),
         gateways: fleet.gateways,
         ratePerSecond: RATE_PER_SECOND,
@@ -75,51 +83,53 @@
         onResult: counter.record,
     });
     try {
-        await clock.sleep(LEAD_MS, signal);
+        await clock.sleep(LOAD_MARGIN_MS, signal);
         await disturb();
-        await clock.sleep(LEAD_MS, signal);
+        await clock.sleep(LOAD_MARGIN_MS, signal);
     }
     finally {
-        end.abort();
+        abortController.abort();
     }
     const { report, inTime } = await load;
     await clock.sleep(SETTLE_MS, signal);
     const audit = ledger.audit(await fleet.targets.runs());
-    context.report(`${name}: ${describeMisses(report)} ${listSuspects(audit)}`);
+    context.report(`${name}: ${describeUnanswered(report)} ${describeViolations(audit)}`);
     return {
         requests: report.sent,
-        requestsCut: counter.counts.cut,
+        requestsCut: counter.counts.interrupted,
         refusedNotRun: counter.counts.refusedNotRun,
-        answeredShare: shareAnswered(report),
+        answeredShare: computeAnsweredShare(report),
         answeredP99Ms: inTime.percentile(99),
         wrong: report.wrong,
         ...describeAudit(audit),
     };
 };
 
-const restartAll = async (fleet: Fleet, { clock, signal, report }: ExperimentContext): Promise<void> => {
+const restartNodesInTurn = async (fleet: Fleet, { clock, signal, report }: ExperimentContext): Promise<void> => {
     for (const node of fleet.nodes) {
         const exit = await node.stop();
         report(`Stopped ${node.vm.id}: ${JSON.stringify(exit)}.`);
         await node.start();
         await node.waitUntilReady(signal);
-        await clock.sleep(BETWEEN_MS, signal);
+        await clock.sleep(PAUSE_BETWEEN_RESTARTS_MS, signal);
     }
 };
 
-const measureOurs = async (fleet: Fleet, context: ExperimentContext, leavingTarget: string): Promise<Figures> => {
+const measureOurs = async (fleet: Fleet, context: ExperimentContext, stoppedTargetId: string): Promise<Figures> => {
     const random = createSeededRandom(context.seed + 1);
-    const caller = createSecondGatewayCaller(createCaller(context.clock), fleet.gateways, random);
+    const caller = createFailoverCaller(createCaller(context.clock), fleet.gateways, random);
     try {
-        const restarts = await measure(fleet, context, caller, "ours-restart", () => restartAll(fleet, context));
-        const connectRefused = caller.connectRefused();
-        const leaving = await measure(fleet, context, caller, "ours-leave", () => fleet.targets.stop(leavingTarget));
+        const restartFigures = await measure(fleet, context, caller, "ours-restart", () =>
+            restartNodesInTurn(fleet, context));
+        const connectRefused = caller.countRefusedConnections();
+        const targetStopFigures = await measure(fleet, context, caller, "ours-leave", () =>
+            fleet.targets.stop(stoppedTargetId));
         return {
-            ...restarts,
+            ...restartFigures,
             connectRefused,
-            targetStopRequestsCut: leaving["requestsCut"] ?? 0,
-            targetStopRefusedNotRun: leaving["refusedNotRun"] ?? 0,
-            targetStopAnsweredShare: leaving["answeredShare"] ?? 0,
+            targetStopRequestsCut: targetStopFigures["requestsCut"] ?? 0,
+            targetStopRefusedNotRun: targetStopFigures["refusedNotRun"] ?? 0,
+            targetStopAnsweredShare: targetStopFigures["answeredShare"] ?? 0,
         };
     }
     finally {
@@ -127,7 +137,7 @@
     }
 };
 
-/** `remaining` are the targets that still run; the first ones of them crash. */
+/** Measures the naive caller. `remaining` are the targets that still run; the first of them are crashed. */
 const measureNaive = async (
     fleet: Fleet,
     context: ExperimentContext,
@@ -137,9 +147,9 @@
     const caller = createNaiveCaller({ clock, targets: remaining, signal });
     try {
         return await measure(fleet, context, caller, "naive", async () => {
-            for (const { id } of remaining.slice(0, NAIVE_CRASHES)) {
+            for (const { id } of remaining.slice(0, NAIVE_CRASH_COUNT)) {
                 await fleet.targets.crash(id);
-                await clock.sleep(LEAD_MS, signal);
+                await clock.sleep(LOAD_MARGIN_MS, signal);
             }
         });
     }
@@ -152,8 +162,8 @@
 export const runRollingRestart = (context: ExperimentContext): Promise<ExperimentResult> => {
     const plan = createServicePlan({ nodes: context.nodes, medianMs: MEDIAN_MS, shed: false });
     return withFleet(plan, context, async (fleet) => {
-        const [leaving, ...remaining] = await listMeasuredTargets(fleet);
-        const ours = await measureOurs(fleet, context, leaving?.id ?? "");
+        const [stoppedTarget, ...remaining] = await listMeasuredTargets(fleet);
+        const ours = await measureOurs(fleet, context, stoppedTarget?.id ?? "");
         const naive = await measureNaive(fleet, context, remaining);
         return { experiment: "rolling-restart", nodes: fleet.nodes.length, ours, naive };
     });
--- a/packages/oleandergap-measure/src/requests/secondGatewayCaller.ts
+++ b/packages/oleandergap-measure/src/requests/secondGatewayCaller.ts
@@ -1,33 +1,36 @@
-/** A caller that asks one other gateway when it finds a gateway's port closed, as clients with two addresses do. */
+/**
+ * A caller that fails over to another gateway once if a gateway refuses the connection, as clients with two addresses
+ * do.
+ */
 import type { Caller, CallResult, GatewayAddress } from "oleandergap-standins";
 import { pickOne, type Random } from "oleandergap-utils";
 
-/** A caller that counts the closed ports that it met. */
-export interface SecondGatewayCaller extends Caller {
-    /** Calls that found a port closed; nothing was sent on them. */
-    readonly connectRefused: () => number;
+/** A caller that counts refused connections. */
+export interface FailoverCaller extends Caller {
+    /** Returns the number of calls whose connection was refused. No request was sent for them. */
+    readonly countRefusedConnections: () => number;
 }
 
 const isConnectRefused = (result: CallResult): boolean => result.kind === "Failed" && result.verdict === "notRun";
 
-/** Wraps `caller`; the second gateway is drawn from `gateways` at random. */
-export const createSecondGatewayCaller = (
+/** Wraps `caller`. The second gateway is chosen from `gateways` at random. */
+export const createFailoverCaller = (
     caller: Caller,
     gateways: () => readonly GatewayAddress[],
     random: Random,
-): SecondGatewayCaller => {
-    let refused = 0;
+): FailoverCaller => {
+    let refusedConnections = 0;
     return {
         call: async (gateway, request) => {
             const result = await caller.call(gateway, request);
             if (!isConnectRefused(result)) {
                 return result;
             }
-            refused++;
-            const others = gateways().filter(({ address }) => address !== gateway.address);
-            return caller.call(pickOne(random, others) ?? gateway, request);
+            refusedConnections++;
+            const otherGateways = gateways().filter(({ address }) => address !== gateway.address);
+            return caller.call(pickOne(random, otherGateways) ?? gateway, request);
         },
         close: caller.close,
-        connectRefused: () => refused,
+        countRefusedConnections: () => refusedConnections,
     };
 };
--- a/packages/oleandergap-measure/src/requests/serviceFleet.ts
+++ b/packages/oleandergap-measure/src/requests/serviceFleet.ts
@@ -1,28 +1,29 @@
-/** The small fleet of the experiments with requests: four targets of one service for each partner. */
+/** The small fleet of the experiments on requests, with four targets of one service per partner. */
 import { createGeneratedPlan, type Fleet, type FleetPlan, type TargetBehaviour } from "oleandergap-demo";
 import type { CallRequest, TargetReport } from "oleandergap-standins";
 import { MILLISECONDS_PER_SECOND, type Milliseconds, type ServiceReference } from "oleandergap-types";
 
-/** Nodes of the fleet unless the command line names another number. */
-export const SERVICE_NODES = 8;
+/** Number of nodes unless the command line sets another one. */
+export const SERVICE_FLEET_DEFAULT_NODES = 8;
 const TARGETS_PER_SERVICE = 4;
-/** Apart from the demo's ports, so that both can run side by side. */
+/** Differs from the ports of the demo, so that both can run at the same time. */
 const PORT_BASE = 18_080;
 
-/** The service that the load goes to. */
+/** The service that receives the load. */
 export const measuredService: ServiceReference = { partner: "halloway", service: "service-1" };
 
-/** How many nodes there are, and how their targets behave. */
+/** Number of nodes and behaviour of their targets. */
 export interface ServicePlanOptions {
     readonly nodes: number;
+    /** Median service time. */
     readonly medianMs: Milliseconds;
-    /** Whether targets refuse what exceeds their slots, or take it and slow down. */
+    /** Whether targets refuse requests beyond their slots. Otherwise they accept them and slow down. */
     readonly shed: boolean;
-    /** Spread of the service times, see the target stand-in. */
+    /** Standard deviation of the logarithm of the service time. */
     readonly spread?: number;
 }
 
-/** A plan with four targets to a service, none of which starts cold. */
+/** Creates a plan with four targets per service, none of which is slower after its start. */
 export const createServicePlan = ({ nodes, medianMs, shed, spread = 0.3 }: ServicePlanOptions): FleetPlan => {
     const behaviour: TargetBehaviour = {
         serviceTime: { medianMs, spread },
@@ -32,15 +33,15 @@
     return createGeneratedPlan({ nodes, targetsPerService: TARGETS_PER_SERVICE, behaviour, portBase: PORT_BASE });
 };
 
-/** The targets of the measured service, as the target stand-ins report them. */
+/** Lists the targets of the measured service, as reported by the target stand-ins. */
 export const listMeasuredTargets = async (fleet: Fleet): Promise<readonly TargetReport[]> => {
     const targets = await fleet.targets.targets();
     return targets.filter(({ partner, service }) =>
         partner === measuredService.partner && service === measuredService.service);
 };
 
-/** Requests per second that all slots of the measured service can take at `medianMs` each. */
-export const readCapacity = (fleet: Fleet, medianMs: Milliseconds): number => {
+/** Returns the requests per second that all slots of the measured service can handle at `medianMs` per request. */
+export const computeCapacity = (fleet: Fleet, medianMs: Milliseconds): number => {
     const slots = fleet.plan.vms
         .flatMap(({ target }) => target === undefined ? [] : [target])
         .filter(({ partner, service }) =>
@@ -49,7 +50,7 @@
     return (slots * MILLISECONDS_PER_SECOND) / medianMs;
 };
 
-/** A read: idempotent, without a key. */
+/** Creates a read, which is idempotent and has no key. */
 export const createMeasuredRead = (name: string, index: number, timeoutMs: Milliseconds): CallRequest => ({
     service: measuredService,
     method: "GET",
@@ -58,7 +59,7 @@
     timeoutMs,
 });
 
-/** A lodgement: not idempotent, with the caller's key. */
+/** Creates a lodgement, which is not idempotent and has a key from the caller. */
 export const createMeasuredPost = (name: string, index: number, timeoutMs: Milliseconds): CallRequest => ({
     service: measuredService,
     method: "POST",
@@ -69,7 +70,7 @@
     timeoutMs,
 });
 
-/** Not idempotent and without a key, so that nobody may send it again once it may have run. */
+/** Creates a request that is not idempotent and has no key, so it must not be retried once it may have run. */
 export const createUnkeyedPost = (name: string, index: number, timeoutMs: Milliseconds): CallRequest => ({
     service: measuredService,
     method: "POST",
@@ -79,7 +80,7 @@
     timeoutMs,
 });
 
-/** A scan of `body`; idempotent, but too large to be kept for a second send. */
+/** Creates an upload of `body`, which is idempotent but too large to be buffered for a retry. */
 export const createMeasuredUpload = (
     name: string,
     index: number,
--- a/packages/oleandergap-measure/src/requests/verdictLedger.ts
+++ b/packages/oleandergap-measure/src/requests/verdictLedger.ts
@@ -1,33 +1,35 @@
-/** Compares what callers were told of their requests with what the targets ran. */
+/** Compares the verdicts that callers received with the runs of the targets. */
 import type { Caller, CallResult, RunsReport } from "oleandergap-standins";
 import type { Verdict } from "oleandergap-types";
 import type { Figures } from "../experiment.js";
 
-/** What callers were told of each run key. */
+/** Records the verdict that callers received for each run key. */
 export interface VerdictLedger {
     readonly record: (result: CallResult) => void;
-    /** Call it when nothing can run any more. */
+    /** Compares the verdicts with `runs`. Must be called when no recorded request can run any more. */
     readonly audit: (runs: RunsReport) => RunAudit;
 }
 
-/** Counted over the recorded keys only. */
+/** Result of an audit. Only recorded keys are counted. */
 export interface RunAudit {
     readonly keys: number;
     readonly runsPerKeyMax: number;
+    /** Number of keys with more than one run. */
     readonly keysRunTwice: number;
-    /** Keys of which every word was `notRun`; without any, nothing is known about the truth of that word. */
+    /** Number of keys with no verdict but `notRun`. If it is 0, the audit cannot show whether `notRun` is reliable. */
     readonly keysToldNotRun: number;
-    /** Those among them that ran. */
+    /** Keys with no verdict but `notRun` that a target ran. */
     readonly notRunButRan: readonly string[];
-    /** Keys with a whole answer that no target ran. */
+    /** Number of keys with a complete response that no target ran. */
     readonly answeredWithoutRun: number;
-    readonly doubledKeys: readonly string[];
+    /** Keys with more than one run. */
+    readonly duplicateRunKeys: readonly string[];
 }
 
-/** A later word never takes back an earlier one that admits more. */
+/** Rank of each verdict. A later verdict never replaces an earlier one of a higher rank. */
 const VERDICT_RANK: Readonly<Record<Verdict, number>> = { notRun: 0, mayHaveRun: 1, ran: 2 };
 
-/** A refusal without a verdict promises nothing. */
+/** Returns the verdict of a result. A refusal without a verdict guarantees nothing, so it counts as `mayHaveRun`. */
 export const readVerdict = (result: CallResult): Verdict => {
     switch (result.kind) {
         case "Answered":
@@ -43,38 +45,38 @@
 /** Creates an empty ledger. */
 export const createVerdictLedger = (): VerdictLedger => {
     const verdicts = new Map<string, Verdict>();
-    const answered = new Set<string>();
+    const answeredKeys = new Set<string>();
     return {
         record: (result) => {
-            const told = readVerdict(result);
-            const known = verdicts.get(result.runKey);
-            if (known === undefined || VERDICT_RANK[told] > VERDICT_RANK[known]) {
-                verdicts.set(result.runKey, told);
+            const verdict = readVerdict(result);
+            const previousVerdict = verdicts.get(result.runKey);
+            if (previousVerdict === undefined || VERDICT_RANK[verdict] > VERDICT_RANK[previousVerdict]) {
+                verdicts.set(result.runKey, verdict);
             }
             if (result.kind === "Answered") {
-                answered.add(result.runKey);
+                answeredKeys.add(result.runKey);
             }
         },
         audit: ({ keys }) => {
             const runsByKey = new Map(keys.map(({ key, runs }) => [key, runs]));
-            const runsOf = (key: string): number => runsByKey.get(key) ?? 0;
-            const known = [...verdicts.keys()];
-            const toldNotRun = known.filter((key) => verdicts.get(key) === "notRun");
-            const doubledKeys = known.filter((key) => runsOf(key) > 1);
+            const countRuns = (key: string): number => runsByKey.get(key) ?? 0;
+            const recordedKeys = [...verdicts.keys()];
+            const reportedNotRun = recordedKeys.filter((key) => verdicts.get(key) === "notRun");
+            const duplicateRunKeys = recordedKeys.filter((key) => countRuns(key) > 1);
             return {
-                keys: known.length,
-                runsPerKeyMax: known.reduce((most, key) => Math.max(most, runsOf(key)), 0),
-                keysRunTwice: doubledKeys.length,
-                keysToldNotRun: toldNotRun.length,
-                notRunButRan: toldNotRun.filter((key) => runsOf(key) > 0),
-                answeredWithoutRun: [...answered].filter((key) => runsOf(key) === 0).length,
-                doubledKeys,
+                keys: recordedKeys.length,
+                runsPerKeyMax: recordedKeys.reduce((highest, key) => Math.max(highest, countRuns(key)), 0),
+                keysRunTwice: duplicateRunKeys.length,
+                keysToldNotRun: reportedNotRun.length,
+                notRunButRan: reportedNotRun.filter((key) => countRuns(key) > 0),
+                answeredWithoutRun: [...answeredKeys].filter((key) => countRuns(key) === 0).length,
+                duplicateRunKeys,
             };
         },
     };
 };
 
-/** Records the results of what must not run twice: POSTs. */
+/** Wraps `caller` and records the results of POST requests, which must not run twice. */
 export const createAuditedCaller = (caller: Caller, ledger: VerdictLedger): Caller => ({
     call: async (gateway, request) => {
         const result = await caller.call(gateway, request);
@@ -86,7 +88,7 @@
     close: caller.close,
 });
 
-/** The audit as figures, with counts in place of its lists of keys. */
+/** Returns the audit as figures, with counts instead of lists of keys. */
 export const describeAudit = (audit: RunAudit): Figures => ({
     keys: audit.keys,
     runsPerKeyMax: audit.runsPerKeyMax,
@@ -98,7 +100,7 @@
 
 const MAX_EXAMPLES = 5;
 
-/** Keys to look for in the logs, for a person. */
-export const listSuspects = ({ doubledKeys, notRunButRan }: RunAudit): string =>
-    `Run twice: ${doubledKeys.slice(0, MAX_EXAMPLES).join(", ") || "none"}; ` +
-    `said not to have run, yet ran: ${notRunButRan.slice(0, MAX_EXAMPLES).join(", ") || "none"}.`;
+/** Describes violations with examples of keys, which can be searched for in the logs. */
+export const describeViolations = ({ duplicateRunKeys, notRunButRan }: RunAudit): string =>
+    `Run twice: ${duplicateRunKeys.slice(0, MAX_EXAMPLES).join(", ") || "none"}; ` +
+    `reported as not run, but run: ${notRunButRan.slice(0, MAX_EXAMPLES).join(", ") || "none"}.`;
--- a/packages/oleandergap-measure/src/withFleet.ts
+++ b/packages/oleandergap-measure/src/withFleet.ts
@@ -1,11 +1,14 @@
-/** Runs an experiment's steps on a fleet and stops the fleet whatever happens. */
+/** Runs the steps of an experiment on a fleet and always stops the fleet afterwards. */
 import { startFleet, type Fleet, type FleetPlan } from "oleandergap-demo";
 import type { ExperimentContext } from "./experiment.js";
 
-/** Time that membership and connections get to settle after the start, before anything is measured. */
+/** Delay between the start and the first measurement, in which membership and connections settle. */
 const SETTLE_MS = 4000;
 
-/** Runs `run` once all nodes are ready and the fleet has had time to settle; rejects as `run` does. */
+/**
+ * Calls `run` once all nodes are ready and the fleet has had time to settle. Rejects if the fleet does not start or
+ * `run` rejects.
+ */
 export const withFleet = async <Result>(
     plan: FleetPlan,
     { clock, signal, report }: ExperimentContext,
