--- a/packages/oleandergap-measure/src/__tests__/naivePolling.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/naivePolling.test.ts
@@ -36,7 +36,7 @@
             partners: ["halloway", "kushiro"],
             intervalMs: INTERVAL_MS,
             signal: abortController.signal,
-            onApplied: (reading) => appliedVersions.push(reading),
+            onApplied: (appliedVersion) => appliedVersions.push(appliedVersion),
         });
     });
 
--- a/packages/oleandergap-measure/src/__tests__/verdictLedger.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/verdictLedger.test.ts
@@ -3,10 +3,10 @@
 import type { Verdict } from "oleandergap-types";
 import { createVerdictLedger } from "../requests/verdictLedger.js";
 
-const createAnswered = (runKey: string): CallResult =>
+const createAnsweredResult = (runKey: string): CallResult =>
     ({ kind: "Answered", runKey, latencyMs: 1, target: "one", version: undefined });
 
-const createRefused = (runKey: string, verdict: Verdict | undefined): CallResult =>
+const createRefusedResult = (runKey: string, verdict: Verdict | undefined): CallResult =>
     ({ kind: "Refused", runKey, latencyMs: 1, status: 503, verdict, reason: "QueueFull", retryAfterMs: 5 });
 
 const createRunsReport = (runs: Readonly<Record<string, number>>): RunsReport => ({
@@ -17,7 +17,7 @@
 describe("createVerdictLedger", () => {
     it("finds duplicate runs, and runs of requests with the verdict notRun", () => {
         const ledger = createVerdictLedger();
-        [createAnswered("twice"), createRefused("lied", "notRun"), createRefused("refused", "notRun")]
+        [createAnsweredResult("twice"), createRefusedResult("lied", "notRun"), createRefusedResult("refused", "notRun")]
             .forEach(ledger.record);
 
         const audit = ledger.audit(createRunsReport({ twice: 2, lied: 1, stranger: 9 }));
@@ -30,14 +30,14 @@
 
     it("does not report a refusal as a violation after an attempt that may have run", () => {
         const ledger = createVerdictLedger();
-        [createRefused("open", undefined), createRefused("open", "notRun")].forEach(ledger.record);
+        [createRefusedResult("open", undefined), createRefusedResult("open", "notRun")].forEach(ledger.record);
 
         expect(ledger.audit(createRunsReport({ open: 1 })).notRunButRan).to.deep.equal([]);
     });
 
     it("finds responses of requests that no target ran", () => {
         const ledger = createVerdictLedger();
-        ledger.record(createAnswered("ghost"));
+        ledger.record(createAnsweredResult("ghost"));
 
         expect(ledger.audit(createRunsReport({})).answeredWithoutRun).to.equal(1);
     });
--- a/packages/oleandergap-measure/src/control/zoneCut.ts
+++ b/packages/oleandergap-measure/src/control/zoneCut.ts
@@ -1,9 +1,9 @@
 /**
- * Isolates one availability zone, and measures once from inside and once from outside of the zone. For the measurement
- * from inside, all other nodes and the platform stop responding: the node processes are stopped by a signal, so their
- * connections stay open without responses. For the measurement from outside, the nodes of the zone stop responding; a
- * change is accepted during the isolation, and the zone must catch up after it. The naive version polls the platform
- * through the platform entrance of the zone.
+ * Isolates one availability zone, and measures its effect once from inside and once from outside the zone. For the
+ * measurement from inside, all other nodes and the platform stop responding: the node processes are stopped by a
+ * signal, so their connections stay open without responses. For the measurement from outside, the nodes of the zone
+ * stop responding; a change is accepted during the isolation, and the zone must catch up after it. The naive version
+ * polls the platform through the platform entrance of the zone.
  */
 import type { Fleet, FleetNode } from "oleandergap-demo";
 import type { LoadReport } from "oleandergap-standins";
--- a/packages/oleandergap-measure/src/requests/crashingRequest.ts
+++ b/packages/oleandergap-measure/src/requests/crashingRequest.ts
@@ -142,7 +142,7 @@
 ): Promise<Figures> => {
     const { clock } = context;
     const results: { readonly at: Milliseconds; readonly result: CallResult }[] = [];
-    const before = await readTargetCounts(fleet);
+    const countsBefore = await readTargetCounts(fleet);
     const abortController = new AbortController();
     const pendingThirdCrash = waitForThirdCrash(fleet, context, phase.name, abortController.signal);
     const disturbance = runDisturbance(fleet, caller, context, phase, abortController.signal);
@@ -157,16 +157,16 @@
     });
     abortController.abort();
     await disturbance;
-    const after = await readTargetCounts(fleet);
+    const countsAfter = await readTargetCounts(fleet);
     const thirdCrash = await pendingThirdCrash;
     const settledFrom = (thirdCrash?.at ?? Number.POSITIVE_INFINITY) + RECOVERY_MS;
     const settled = results.filter(({ at }) => at >= settledFrom);
     const isServed = ({ result }: { readonly result: CallResult }): boolean => result.kind === "Answered";
     const countReason = (reason: string): number =>
         results.filter(({ result }) => result.kind === "Refused" && result.reason === reason).length;
-    const interruptedRuns = after.interruptedRuns - before.interruptedRuns;
+    const interruptedRuns = countsAfter.interruptedRuns - countsBefore.interruptedRuns;
     const figures: Figures = {
-        crashes: after.crashes - before.crashes,
+        crashes: countsAfter.crashes - countsBefore.crashes,
         sendsLater: thirdCrash === undefined ? 0 : await countRuns(fleet, phase.name) - thirdCrash.runsAtGraceEnd,
         served: computeShare(results.filter(isServed).length, results.length),
         servedSettled: computeShare(settled.filter(isServed).length, settled.length),
--- a/packages/oleandergap-measure/src/requests/faultWatch.ts
+++ b/packages/oleandergap-measure/src/requests/faultWatch.ts
@@ -3,7 +3,7 @@
 import type { Clock, Milliseconds } from "oleandergap-types";
 import type { Figures } from "../experiment.js";
 
-/** Records the results of a run and describes those of the requests that the fault affected. */
+/** Records the results of all requests of a run and summarizes those of the requests that the fault affected. */
 export interface FaultImpactRecorder {
     readonly record: (result: CallResult) => void;
     /** Sets the start of the fault to the present time. */
--- a/packages/oleandergap-measure/src/requests/overload.ts
+++ b/packages/oleandergap-measure/src/requests/overload.ts
@@ -1,4 +1,4 @@
-/** Sends more requests than the targets can handle. Measures the goodput and how fast other requests are refused. */
+/** Sends more requests than the targets can handle. Measures the goodput and how fast the rest is refused. */
 import type { Fleet } from "oleandergap-demo";
 import { createCaller, type Caller } from "oleandergap-standins";
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from "oleandergap-types";
--- a/packages/oleandergap-measure/src/requests/persistentCaller.ts
+++ b/packages/oleandergap-measure/src/requests/persistentCaller.ts
@@ -7,11 +7,11 @@
 /** Options of a retrying caller. */
 export interface RetryingCallerOptions {
     readonly caller: Caller;
-    /** Returns the gateways from which those for retries and concurrent duplicates are chosen. */
+    /** Returns the gateways for retries and concurrent duplicates; one is chosen at random for each. */
     readonly gateways: () => readonly GatewayAddress[];
     readonly clock: Clock;
     readonly random: Random;
-    /** Share of the requests that are sent twice concurrently, through two gateways chosen at random. */
+    /** Share of the requests that are sent twice concurrently, through two gateways. */
     readonly duplicateShare: number;
     readonly signal: AbortSignal;
 }
@@ -34,12 +34,12 @@
 export const createRetryingCaller = (options: RetryingCallerOptions): Caller => {
     const { caller, gateways, clock, random, duplicateShare, signal } = options;
 
-    const callUntilConclusive = async (first: GatewayAddress, request: CallRequest): Promise<CallResult> => {
+    const callUntilConclusive = async (firstGateway: GatewayAddress, request: CallRequest): Promise<CallResult> => {
         const startedAt = clock.monotonic();
-        let result = await caller.call(first, request);
+        let result = await caller.call(firstGateway, request);
         for (let attempt = 2; attempt <= MAX_ATTEMPTS && !isConclusive(result) && !signal.aborted; attempt++) {
             await clock.sleep(getRetryDelay(result), signal);
-            result = await caller.call(pickOne(random, gateways()) ?? first, request);
+            result = await caller.call(pickOne(random, gateways()) ?? firstGateway, request);
         }
         return { ...result, latencyMs: clock.monotonic() - startedAt };
     };
--- a/packages/oleandergap-measure/src/requests/secondGatewayCaller.ts
+++ b/packages/oleandergap-measure/src/requests/secondGatewayCaller.ts
@@ -11,7 +11,7 @@
     readonly countRefusedConnections: () => number;
 }
 
-const isConnectRefused = (result: CallResult): boolean => result.kind === "Failed" && result.verdict === "notRun";
+const isConnectionRefused = (result: CallResult): boolean => result.kind === "Failed" && result.verdict === "notRun";
 
 /** Wraps `caller`. The second gateway is chosen from `gateways` at random. */
 export const createFailoverCaller = (
@@ -23,7 +23,7 @@
     return {
         call: async (gateway, request) => {
             const result = await caller.call(gateway, request);
-            if (!isConnectRefused(result)) {
+            if (!isConnectionRefused(result)) {
                 return result;
             }
             refusedConnections++;
--- a/packages/oleandergap-measure/src/requests/silentConnections.ts
+++ b/packages/oleandergap-measure/src/requests/silentConnections.ts
@@ -69,8 +69,8 @@
 };
 
 /**
- * Lists the gateways of the other nodes. Callers of a frozen gateway can only wait; the impact on other callers is
- * measured.
+ * Lists the gateways of the other nodes. Callers of the frozen gateway can only wait, so the experiment measures the
+ * impact on the other callers.
  */
 const listOtherGateways = (fleet: Fleet, frozen: FleetNode) => (): readonly GatewayAddress[] =>
     fleet.gateways().filter(({ address }) => address !== frozen.vm.address);
