--- a/packages/oleandergap-configuration/src/change/changeBudget.ts
+++ b/packages/oleandergap-configuration/src/change/changeBudget.ts
@@ -3,7 +3,7 @@
  * partner do not affect the other partner.
  */
 import type { Clock, Milliseconds, PartnerName } from "oleandergap-types";
-import { createTokenSupply, type TokenSupply } from "oleandergap-utils";
+import { createBulkTokenBucket, type BulkTokenBucket } from "oleandergap-utils";
 import type { ChangeOptions } from "./options.js";
 
 /** Change budgets of all partners at one node. */
@@ -16,8 +16,8 @@
 }
 
 interface PartnerBudget {
-    readonly changes: TokenSupply;
-    readonly bytes: TokenSupply;
+    readonly changes: BulkTokenBucket;
+    readonly bytes: BulkTokenBucket;
 }
 
 /** Creates full budgets. A change that is larger than the burst of bytes requires the entire burst. */
@@ -29,12 +29,12 @@
             return existing;
         }
         const created = {
-            changes: createTokenSupply({
+            changes: createBulkTokenBucket({
                 clock,
                 ratePerSecond: () => options.changesPerSecond,
                 burst: options.changesBurst,
             }),
-            bytes: createTokenSupply({
+            bytes: createBulkTokenBucket({
                 clock,
                 ratePerSecond: () => options.bytesPerSecond,
                 burst: options.bytesBurst,
--- a/packages/oleandergap-distribution/src/callWithTimeout.ts
+++ b/packages/oleandergap-distribution/src/callWithTimeout.ts
@@ -3,7 +3,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
-import { afterReading } from "oleandergap-utils";
+import { startReadAwareTimer } from "oleandergap-utils";
 
 /** Reason why a call with a timeout returned no result of its own. */
 export type CallFailure =
@@ -40,7 +40,7 @@
             controller.abort();
             finish(either.left({ kind: "TimedOut" }));
         };
-        const cancelTimer = afterReading(clock, timeoutMs, abortCall);
+        const cancelTimer = startReadAwareTimer(clock, timeoutMs, abortCall);
         signal.addEventListener("abort", abortCall, { once: true });
         if (signal.aborted) {
             abortCall();
--- a/packages/oleandergap-distribution/src/peerTransport.ts
+++ b/packages/oleandergap-distribution/src/peerTransport.ts
@@ -8,7 +8,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
-import { linkSignal, watchSilence, type PassedLimit } from "oleandergap-utils";
+import { linkSignal, startInactivityTimeout, type ExceededLimit } from "oleandergap-utils";
 import type { PeerError } from "./peerError.js";
 import type { ProgressListener } from "./ports.js";
 
@@ -144,7 +144,7 @@
     return () => before;
 };
 
-const formatPassedLimit = (passedLimit: PassedLimit, { timeoutMs, longestMs }: PeerExchange): string =>
+const formatPassedLimit = (passedLimit: ExceededLimit, { timeoutMs, longestMs }: PeerExchange): string =>
     passedLimit === "silence" ? `no data for ${timeoutMs} ms` : `no complete response within ${longestMs} ms`;
 
 /**
@@ -160,13 +160,13 @@
     }
     const { timeoutMs, longestMs } = exchange;
     const link = linkSignal(exchange.signal);
-    let passedLimit: PassedLimit | undefined;
-    const watch = watchSilence({ clock, timeoutMs, longestMs }, (which) => {
+    let passedLimit: ExceededLimit | undefined;
+    const watch = startInactivityTimeout({ clock, timeoutMs, longestMs }, (which) => {
         passedLimit = which;
         link.abort();
     });
     const noteProgress = (): void => {
-        watch.noteProgress();
+        watch.recordProgress();
         exchange.onProgress?.();
     };
     const { request, result } = sendRequest(exchange, agent, link.signal, noteProgress);
--- a/packages/oleandergap-measure/src/naive/naivePolling.ts
+++ b/packages/oleandergap-measure/src/naive/naivePolling.ts
@@ -78,7 +78,7 @@
     sockets.reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0);
 
 /** Sends a request and returns the rows of the response. Throws if the platform refuses it or is unreachable. */
-const postRows = async (client: Client, path: string, body: ReadRequest | ScanRequest): Promise<RowsAnswer["rows"]> => {
+const postRows = async (client: Client, path: string, body: ReadRequest | ScanRequest): Promise<RowsResponse["rows"]> => {
     const response = await client.request({
         method: "POST",
         path,
--- a/packages/oleandergap-node/src/http/eventLoopLag.ts
+++ b/packages/oleandergap-node/src/http/eventLoopLag.ts
@@ -7,7 +7,7 @@
  * request.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
-import { waitTurns } from "oleandergap-utils";
+import { waitForPendingInput } from "oleandergap-utils";
 
 /** Interval between checks while requests arrive. */
 const CHECK_INTERVAL_MS: Milliseconds = 50;
@@ -87,7 +87,7 @@
         start: check,
         catchUp: () => {
             lastRequestAt = clock.monotonic();
-            return isLagging(lastRequestAt) ? waitTurns(nextTurn) : undefined;
+            return isLagging(lastRequestAt) ? waitForPendingInput(nextTurn) : undefined;
         },
     };
 };
--- a/packages/oleandergap-node/src/http/progressMonitor.ts
+++ b/packages/oleandergap-node/src/http/progressMonitor.ts
@@ -1,6 +1,6 @@
 /** Monitors the deadline and the inactivity timeout of an exchange with a single timer. */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
-import { afterReading } from "oleandergap-utils";
+import { startReadAwareTimer } from "oleandergap-utils";
 
 export interface ProgressMonitorOptions {
     readonly clock: Clock;
@@ -37,7 +37,7 @@
         silenceMs === undefined ? Number.POSITIVE_INFINITY : silentSince + silenceMs;
 
     const startTimer = (now: Milliseconds): void => {
-        cancel = afterReading(clock, Math.max(0, Math.min(deadline, computeSilenceDeadline()) - now), handleTimer);
+        cancel = startReadAwareTimer(clock, Math.max(0, Math.min(deadline, computeSilenceDeadline()) - now), handleTimer);
     };
 
     const handleTimer = (): void => {
--- a/packages/oleandergap-node/src/http/socketEnd.ts
+++ b/packages/oleandergap-node/src/http/socketEnd.ts
@@ -9,7 +9,7 @@
  */
 import { Socket } from "node:net";
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
-import { afterReading } from "oleandergap-utils";
+import { startReadAwareTimer } from "oleandergap-utils";
 import { buildConnector, errors } from "undici";
 
 /**
@@ -89,7 +89,7 @@
             callback(...result);
         });
         if (pending instanceof Socket) {
-            cancelTimer = afterReading(clock, timeoutMs, () => {
+            cancelTimer = startReadAwareTimer(clock, timeoutMs, () => {
                 pending.destroy(new errors.ConnectTimeoutError(`no connection within ${timeoutMs} ms`));
             });
         }
--- a/packages/oleandergap-node/src/stopNode.ts
+++ b/packages/oleandergap-node/src/stopNode.ts
@@ -101,7 +101,7 @@
     listeners.gateway.announceClose();
     // Some operations do not react to the signal, such as a call to a store that does not respond.
     await raceAbort(drainNode(dependencies, listeners, limit.signal), limit.signal, () => undefined);
-    if (limit.hasPassed()) {
+    if (limit.hasExpired()) {
         await abandonRemaining(dependencies, listeners);
     }
     limit.cancel();
--- a/packages/oleandergap-operator/src/client/operatorClient.ts
+++ b/packages/oleandergap-operator/src/client/operatorClient.ts
@@ -98,7 +98,7 @@
             return parseResponse(schema, await send(createNodeClient(node, credential), timeLimit.signal));
         }
         catch (error) {
-            return timeLimit.hasPassed() ? { kind: "AnswerLost", detail: "no answer in time" } : classifyFailure(error);
+            return timeLimit.hasExpired() ? { kind: "AnswerLost", detail: "no answer in time" } : classifyFailure(error);
         }
         finally {
             timeLimit.cancel();
--- a/packages/oleandergap-platform/src/exchange.ts
+++ b/packages/oleandergap-platform/src/exchange.ts
@@ -3,7 +3,7 @@
  * the request may have reached the platform; `classifyExchange` decides what that means for the caller.
  */
 import { setMaxListeners } from "node:events";
-import { watchSilence, type SilenceLimits } from "oleandergap-utils";
+import { startInactivityTimeout, type InactivityLimits } from "oleandergap-utils";
 import type { Dispatcher } from "undici";
 
 export type HttpMethod = "GET" | "POST" | "PUT";
@@ -36,7 +36,7 @@
     | { readonly kind: "Lost"; readonly detail: string; readonly hasTimedOut: boolean };
 
 /** Time and size limits of an exchange. */
-export interface ExchangeLimits extends SilenceLimits {
+export interface ExchangeLimits extends InactivityLimits {
     readonly maximumAnswerBytes: number;
 }
 
@@ -133,7 +133,7 @@
     const handleAbort = (): void => {
         abortExchange(exchange, "the call was cancelled");
     };
-    const silenceWatch = watchSilence(limits, (exceededLimit) => {
+    const silenceWatch = startInactivityTimeout(limits, (exceededLimit) => {
         if (exceededLimit === "silence") {
             abortExchange(exchange, `no response data within ${limits.timeoutMs} ms`, true);
             return;
@@ -143,7 +143,7 @@
     const exchange: RunningExchange = {
         controller: undefined,
         isEnded: false,
-        noteProgress: silenceWatch.noteProgress,
+        noteProgress: silenceWatch.recordProgress,
         end: (result) => {
             exchange.isEnded = true;
             silenceWatch.cancel();
--- a/packages/oleandergap-utils/src/__tests__/timeLimit.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/timeLimit.test.ts
@@ -22,10 +22,10 @@
         const outer = new AbortController();
         const expiredLimit = startTimeLimit(clock, 1000, outer.signal);
         await clock.advance(1000);
-        expect([expiredLimit.signal.aborted, expiredLimit.hasPassed()]).to.deep.equal([true, true]);
+        expect([expiredLimit.signal.aborted, expiredLimit.hasExpired()]).to.deep.equal([true, true]);
         const abortedLimit = startTimeLimit(clock, 1000, outer.signal);
         outer.abort();
-        expect([abortedLimit.signal.aborted, abortedLimit.hasPassed()]).to.deep.equal([true, false]);
+        expect([abortedLimit.signal.aborted, abortedLimit.hasExpired()]).to.deep.equal([true, false]);
     });
 
     it("is aborted from the start if the outer signal is already aborted", () => {
--- a/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { createManualClock, createTokenBucket, createTokenSupply } from "../index.js";
+import { createManualClock, createTokenBucket, createBulkTokenBucket } from "../index.js";
 
 describe("createTokenBucket", () => {
     it("allows a burst first and limits the rate afterwards", async () => {
@@ -21,7 +21,7 @@
 describe("createTokenSupply", () => {
     it("returns the time until several tokens are available, and allows a negative number of tokens", async () => {
         const clock = createManualClock();
-        const supply = createTokenSupply({ clock, ratePerSecond: () => 10, burst: 5 });
+        const supply = createBulkTokenBucket({ clock, ratePerSecond: () => 10, burst: 5 });
         expect(supply.timeUntil(5)).to.equal(0);
         supply.take(7);
         expect(supply.timeUntil(1)).to.equal(300);
--- a/packages/oleandergap-utils/src/lateTimer.ts
+++ b/packages/oleandergap-utils/src/lateTimer.ts
@@ -19,7 +19,7 @@
  * Resolves when all input that has arrived by the time of the call is read. `waitForTurn` resolves in the next turn of
  * the event loop.
  */
-export const waitTurns = async (waitForTurn: () => Promise<void> = waitForNextTurn): Promise<void> => {
+export const waitForPendingInput = async (waitForTurn: () => Promise<void> = waitForNextTurn): Promise<void> => {
     for (let count = 0; count < TURNS_UNTIL_READ; count++) {
         await waitForTurn();
     }
@@ -29,7 +29,7 @@
  * Calls `callback` after `delay`, unless the timer is cancelled before. If the timer fires late, all input that has
  * arrived by then is read first, and the timer can still be cancelled in the meantime.
  */
-export const afterReading = (clock: Clock, delay: Milliseconds, callback: () => void): CancelTimer => {
+export const startReadAwareTimer = (clock: Clock, delay: Milliseconds, callback: () => void): CancelTimer => {
     const dueAt = clock.monotonic() + delay;
     let isCancelled = false;
     const cancelTimer = clock.after(delay, () => {
@@ -37,7 +37,7 @@
             callback();
             return;
         }
-        void waitTurns().then(() => isCancelled || callback());
+        void waitForPendingInput().then(() => isCancelled || callback());
     });
     return () => {
         isCancelled = true;
--- a/packages/oleandergap-utils/src/silenceWatch.ts
+++ b/packages/oleandergap-utils/src/silenceWatch.ts
@@ -6,10 +6,10 @@
  * that never ends.
  */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
-import { afterReading } from "./lateTimer.js";
+import { startReadAwareTimer } from "./lateTimer.js";
 
 /** Time limits for one response. */
-export interface SilenceLimits {
+export interface InactivityLimits {
     readonly clock: Clock;
     /** Maximum time until the response starts, and between two parts of the response. */
     readonly timeoutMs: Milliseconds;
@@ -18,20 +18,20 @@
 }
 
 /** The time limit that was exceeded: the limit for inactivity or the limit for the total time. */
-export type PassedLimit = "silence" | "total";
+export type ExceededLimit = "silence" | "total";
 
 /** A running inactivity timeout. */
 export interface InactivityTimeout {
     /** Restarts the inactivity timer; call it when a part of the response has arrived. */
-    readonly noteProgress: () => void;
+    readonly recordProgress: () => void;
     /** Stops all timers; call it when the response has ended. */
     readonly cancel: () => void;
 }
 
 /** Starts the timers of a response. Calls `onExceeded` once, unless the timeout is cancelled before. */
-export const watchSilence = (
-    { clock, timeoutMs, longestMs }: SilenceLimits,
-    onExceeded: (limit: PassedLimit) => void,
+export const startInactivityTimeout = (
+    { clock, timeoutMs, longestMs }: InactivityLimits,
+    onExceeded: (limit: ExceededLimit) => void,
 ): InactivityTimeout => {
     let hasEnded = false;
     const end = (): void => {
@@ -39,15 +39,15 @@
         cancelInactivityTimer();
         cancelTotalTimer();
     };
-    const reportExceeded = (limit: PassedLimit): void => {
+    const reportExceeded = (limit: ExceededLimit): void => {
         end();
         onExceeded(limit);
     };
-    const startInactivityTimer = (): CancelTimer => afterReading(clock, timeoutMs, () => reportExceeded("silence"));
+    const startInactivityTimer = (): CancelTimer => startReadAwareTimer(clock, timeoutMs, () => reportExceeded("silence"));
     let cancelInactivityTimer = startInactivityTimer();
-    const cancelTotalTimer = afterReading(clock, longestMs, () => reportExceeded("total"));
+    const cancelTotalTimer = startReadAwareTimer(clock, longestMs, () => reportExceeded("total"));
     return {
-        noteProgress: () => {
+        recordProgress: () => {
             if (!hasEnded) {
                 cancelInactivityTimer();
                 cancelInactivityTimer = startInactivityTimer();
--- a/packages/oleandergap-utils/src/timeLimit.ts
+++ b/packages/oleandergap-utils/src/timeLimit.ts
@@ -49,7 +49,7 @@
     /** Aborts when the time limit expires or `outer` aborts. */
     readonly signal: AbortSignal;
     /** Returns true once the time limit has expired. */
-    readonly hasPassed: () => boolean;
+    readonly hasExpired: () => boolean;
     /** Stops the timer and removes the listener from `outer`; call it when the work has ended. */
     readonly cancel: () => void;
 }
@@ -64,7 +64,7 @@
     });
     return {
         signal,
-        hasPassed: () => hasExpired,
+        hasExpired: () => hasExpired,
         cancel: () => {
             cancelTimer();
             release();
--- a/packages/oleandergap-utils/src/tokenBucket.ts
+++ b/packages/oleandergap-utils/src/tokenBucket.ts
@@ -14,7 +14,7 @@
 }
 
 /** A token bucket for callers that take several tokens at once, or that check several buckets before taking tokens. */
-export interface TokenSupply {
+export interface BulkTokenBucket {
     /**
      * Returns the time until `amount` tokens are available: 0 if they are available now, infinite if no tokens are
      * added.
@@ -33,7 +33,7 @@
 }
 
 /** Creates a full token bucket with separate functions for checking and for taking tokens. */
-export const createTokenSupply = ({ clock, ratePerSecond, burst }: TokenBucketOptions): TokenSupply => {
+export const createBulkTokenBucket = ({ clock, ratePerSecond, burst }: TokenBucketOptions): BulkTokenBucket => {
     let tokens = burst;
     let refilledAt = clock.monotonic();
 
@@ -58,7 +58,7 @@
 
 /** Creates a full token bucket. */
 export const createTokenBucket = (options: TokenBucketOptions): TokenBucket => {
-    const supply = createTokenSupply(options);
+    const supply = createBulkTokenBucket(options);
     const timeToNext = (): Milliseconds => supply.timeUntil(1);
     return {
         tryTake: () => {
