--- a/packages/oleandergap-measure/src/__tests__/experiment.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/experiment.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { formatResult } from "../experiment.js";
-import { createDurationRecorder } from "../recordDurations.js";
+import { createDurationRecorder } from "../durationRecorder.js";
 
 describe("formatResult", () => {
     it("writes one line of JSON with rounded figures", () => {
--- a/packages/oleandergap-measure/src/__tests__/persistentCaller.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/retryingCaller.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import type { Caller, CallRequest, CallResult } from "oleandergap-standins";
 import { createManualClock, createSeededRandom } from "oleandergap-utils";
-import { createRetryingCaller, MAX_ATTEMPTS } from "../requests/persistentCaller.js";
+import { createRetryingCaller, MAX_ATTEMPTS } from "../requests/retryingCaller.js";
 import { createMeasuredPost } from "../requests/serviceFleet.js";
 
 const gateway = { address: "127.0.0.1", port: 1 };
--- a/packages/oleandergap-measure/src/control/convergence.ts
+++ b/packages/oleandergap-measure/src/control/convergence.ts
@@ -6,7 +6,7 @@
 import { MILLISECONDS_PER_SECOND, type PartnerName } from "oleandergap-types";
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
 import { createExperimentPlan } from "../fleetPlans.js";
-import { createDurationRecorder, type DurationRecorder } from "../recordDurations.js";
+import { createDurationRecorder, type DurationRecorder } from "../durationRecorder.js";
 import { withFleet } from "../withFleet.js";
 import { submitChange, waitUntilApplied, type AcceptedChange } from "./changeTable.js";
 import { NAIVE_POLL_INTERVAL_MS, startNaivePhase } from "./naivePhase.js";
--- a/packages/oleandergap-measure/src/control/platformOutage.ts
+++ b/packages/oleandergap-measure/src/control/platformOutage.ts
@@ -13,7 +13,7 @@
 import { NAIVE_POLL_INTERVAL_MS, startNaivePhase } from "./naivePhase.js";
 import { readAppliedVersions } from "./nodeReadings.js";
 import { killAndRestart } from "./restartNode.js";
-import { monitorPlatformReads } from "./watchReads.js";
+import { monitorPlatformReads } from "./monitorPlatformReads.js";
 
 const LOAD_PER_SECOND = 100;
 const OUTAGE_MS: Milliseconds = 20_000;
--- a/packages/oleandergap-measure/src/control/restartStorm.ts
+++ b/packages/oleandergap-measure/src/control/restartStorm.ts
@@ -6,12 +6,12 @@
 import type { Milliseconds } from "oleandergap-types";
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
 import { createExperimentPlan } from "../fleetPlans.js";
-import { createDurationRecorder } from "../recordDurations.js";
+import { createDurationRecorder } from "../durationRecorder.js";
 import { describeUnanswered, runFleetLoad, computeAnsweredShare } from "../requests/fleetLoad.js";
 import { withFleet } from "../withFleet.js";
 import { submitChange, waitUntilApplied } from "./changeTable.js";
 import { startNaivePhase } from "./naivePhase.js";
-import { monitorPlatformReads } from "./watchReads.js";
+import { monitorPlatformReads } from "./monitorPlatformReads.js";
 
 const LOAD_PER_SECOND = 100;
 const LOAD_MS: Milliseconds = 20_000;
--- a/packages/oleandergap-measure/src/requests/atMostOnce.ts
+++ b/packages/oleandergap-measure/src/requests/atMostOnce.ts
@@ -14,7 +14,7 @@
 import { startFaults, stopFaults, killNodesInTurn } from "./faultSchedule.js";
 import { describeUnanswered, computeAnsweredShare } from "./fleetLoad.js";
 import { runMeasuredLoad } from "./measuredLoad.js";
-import { createRetryingCaller } from "./persistentCaller.js";
+import { createRetryingCaller } from "./retryingCaller.js";
 import { createMeasuredPost, createServicePlan, listMeasuredTargets } from "./serviceFleet.js";
 import {
     createAuditedCaller,
--- a/packages/oleandergap-measure/src/requests/measuredLoad.ts
+++ b/packages/oleandergap-measure/src/requests/measuredLoad.ts
@@ -11,7 +11,7 @@
 import type { Milliseconds } from "oleandergap-types";
 import { createSeededRandom } from "oleandergap-utils";
 import type { ExperimentContext } from "../experiment.js";
-import { createDurationRecorder, type DurationRecorder } from "../recordDurations.js";
+import { createDurationRecorder, type DurationRecorder } from "../durationRecorder.js";
 
 /** Requests, rate and duration of a phase of load. */
 export interface LoadPhase {
--- a/packages/oleandergap-measure/src/requests/overhead.ts
+++ b/packages/oleandergap-measure/src/requests/overhead.ts
@@ -3,7 +3,7 @@
 import { createCaller, type Caller, type GatewayAddress } from "oleandergap-standins";
 import type { Milliseconds } from "oleandergap-types";
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
-import { createDurationRecorder, type DurationRecorder } from "../recordDurations.js";
+import { createDurationRecorder, type DurationRecorder } from "../durationRecorder.js";
 import { withFleet } from "../withFleet.js";
 import { runMeasuredLoad } from "./measuredLoad.js";
 import { createMeasuredRead, createServicePlan, listMeasuredTargets } from "./serviceFleet.js";
--- a/packages/oleandergap-measure/src/requests/overload.ts
+++ b/packages/oleandergap-measure/src/requests/overload.ts
@@ -6,7 +6,7 @@
 import { createNaiveCaller } from "../naive/naiveCaller.js";
 import { withFleet } from "../withFleet.js";
 import { describeUnanswered } from "./fleetLoad.js";
-import { readGatewayCounters, computeFastRefusalShare } from "./gatewayMeter.js";
+import { readGatewayCounters, computeFastRefusalShare } from "./gatewayCounters.js";
 import { runMeasuredLoad, type LoadOutcome } from "./measuredLoad.js";
 import { createMeasuredRead, createServicePlan, listMeasuredTargets, computeCapacity } from "./serviceFleet.js";
 
--- a/packages/oleandergap-measure/src/requests/rollingRestart.ts
+++ b/packages/oleandergap-measure/src/requests/rollingRestart.ts
@@ -12,7 +12,7 @@
 import { describeUnanswered, computeAnsweredShare } from "./fleetLoad.js";
 import { runMeasuredLoad } from "./measuredLoad.js";
 import { createReadPostOrUpload } from "./mixedRequests.js";
-import { createFailoverCaller } from "./secondGatewayCaller.js";
+import { createFailoverCaller } from "./failoverCaller.js";
 import { createServicePlan, listMeasuredTargets } from "./serviceFleet.js";
 import {
     createAuditedCaller,
--- a/packages/oleandergap-measure/src/requests/silentConnections.ts
+++ b/packages/oleandergap-measure/src/requests/silentConnections.ts
@@ -9,7 +9,7 @@
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
 import { createNaiveCaller } from "../naive/naiveCaller.js";
 import { withFleet } from "../withFleet.js";
-import { createFaultImpactRecorder } from "./faultWatch.js";
+import { createFaultImpactRecorder } from "./faultImpactRecorder.js";
 import { describeUnanswered } from "./fleetLoad.js";
 import { runMeasuredLoad } from "./measuredLoad.js";
 import { createReadOrPost } from "./mixedRequests.js";
--- a/packages/oleandergap-measure/src/requests/slowTarget.ts
+++ b/packages/oleandergap-measure/src/requests/slowTarget.ts
@@ -4,7 +4,7 @@
 import type { Milliseconds } from "oleandergap-types";
 import type { ExperimentContext, ExperimentResult, Figures } from "../experiment.js";
 import { createNaiveCaller } from "../naive/naiveCaller.js";
-import { createDurationRecorder } from "../recordDurations.js";
+import { createDurationRecorder } from "../durationRecorder.js";
 import { withFleet } from "../withFleet.js";
 import { describeUnanswered } from "./fleetLoad.js";
 import { runMeasuredLoad, computeInTimeShare } from "./measuredLoad.js";
--- a/packages/oleandergap-node/src/http/progressMonitor.ts
+++ b/packages/oleandergap-node/src/http/progressMonitor.ts
@@ -37,10 +37,10 @@
         silenceMs === undefined ? Number.POSITIVE_INFINITY : silentSince + silenceMs;
 
     const startTimer = (now: Milliseconds): void => {
-        cancel = startReadAwareTimer(clock, Math.max(0, Math.min(deadline, computeSilenceDeadline()) - now), handleTimer);
+        cancel = startReadAwareTimer(clock, Math.max(0, Math.min(deadline, computeSilenceDeadline()) - now), onTimer);
     };
 
-    const handleTimer = (): void => {
+    const onTimer = (): void => {
         const now = clock.monotonic();
         if (now >= deadline) {
             onDeadline();
--- a/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
@@ -18,7 +18,7 @@
     });
 });
 
-describe("createTokenSupply", () => {
+describe("createBulkTokenBucket", () => {
     it("returns the time until several tokens are available, and allows a negative number of tokens", async () => {
         const clock = createManualClock();
         const supply = createBulkTokenBucket({ clock, ratePerSecond: () => 10, burst: 5 });
--- a/packages/oleandergap-utils/src/silenceWatch.ts
+++ b/packages/oleandergap-utils/src/inactivityTimeout.ts
@@ -6,7 +6,7 @@
  * that never ends.
  */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
-import { startReadAwareTimer } from "./lateTimer.js";
+import { startReadAwareTimer } from "./readAwareTimer.js";
 
 /** Time limits for one response. */
 export interface InactivityLimits {
