--- a/packages/oleandergap-distribution/src/__tests__/fleetAssertions.ts
+++ b/packages/oleandergap-distribution/src/__tests__/fleetAssertions.ts
@@ -1,4 +1,4 @@
-/** What must hold of a test fleet at any time, and once it had time to converge. */
+/** Assertions that hold for a test fleet at any time, and assertions that hold after it has converged. */
 import { expect } from "chai";
 import type { PartnerName } from "oleandergap-types";
 import { PARTNERS, type FleetNode, type InMemoryFleet } from "./inMemoryFleet.js";
@@ -14,7 +14,7 @@
 
 export const expectInForceEverywhere = (fleet: InMemoryFleet, partner: PartnerName): void => {
     const running = fleet.nodes.filter((node) => node.isUp && !node.isFrozen);
-    const behind = running.filter((node) => !fleet.informed(partner).includes(node));
-    expect(behind.map((node) => node.address.id)).to.deep.equal([]);
+    const outdatedNodes = running.filter((node) => !fleet.listInformed(partner).includes(node));
+    expect(outdatedNodes.map((node) => node.address.id)).to.deep.equal([]);
     expectNeverLower(fleet.nodes);
 };
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
@@ -1,4 +1,6 @@
-/** A fleet of nodes in one process, on a manual clock: real distribution code over the small fakes beside this file. */
+/**
+ * A fleet of nodes in one process on a manual clock. It runs the real distribution code with the fakes of this folder.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
@@ -9,7 +11,7 @@
 import { defaultDistributionOptions, type DistributionOptions } from "../options.js";
 import type { PeerError } from "../peerError.js";
 import { peerRouter } from "../peerRouter.js";
-import type { FleetPort, PeerAddress, PeerPort, SpreadOutlet } from "../ports.js";
+import type { FleetPort, PeerAddress, PeerPort, SpreadSender } from "../ports.js";
 import { createSpread, type Spread } from "../spread.js";
 import type { SpreadMessage } from "../spreadMessage.js";
 import { groupByZone } from "../zones.js";
@@ -25,23 +27,25 @@
 export interface FleetPlan {
     readonly zones: number;
     readonly nodesPerZone: number;
-    /** Nodes in all, when the zones are not of one size. */
+    /** Total number of nodes, if the zones differ in size. */
     readonly nodes?: number;
     readonly seed: number;
     readonly options?: DistributionOptions;
-    /** Whether probes show heads once a second, as the membership's datagrams do; on by default. */
+    /**
+     * Whether nodes exchange heads in probes about once per second, as in datagrams of the membership; true by default.
+     */
     readonly probes?: boolean;
-    /** Time until the members of a zone drop one that died. */
+    /** Time until the members of a zone remove a dead member. */
     readonly detectionMs?: number;
-    /** Width of each node's link; by default none is known. */
-    readonly linkClassOf?: (index: number) => LinkClass;
-    /** Whether calls for versions are answered at the moment; those for heads always are. By default they are. */
-    readonly deliversVersions?: () => boolean;
-    /** Time for which an answer to a call for a version travels; undefined when the holder stays silent. */
-    readonly answerTimeOf?: (asker: NodeId, holder: NodeId, bytes: number) => Milliseconds | undefined;
+    /** Returns the link class of a node; by default, no link class is known. */
+    readonly getLinkClass?: (index: number) => LinkClass;
+    /** Returns whether calls for versions currently succeed; true by default. Calls for heads always succeed. */
+    readonly canServeVersions?: () => boolean;
+    /** Returns the transfer time of a response to a call for a version; undefined if the holder does not respond. */
+    readonly getResponseDelay?: (requester: NodeId, holder: NodeId, bytes: number) => Milliseconds | undefined;
 }
 
-/** What a restart replaces. */
+/** State of a node that a restart replaces. */
 interface NodeProcess {
     store: RecordingStore;
     spread: Spread;
@@ -52,11 +56,11 @@
     readonly address: PeerAddress;
     isUp: boolean;
     isFrozen: boolean;
-    /** Timers that fell due while the node was frozen. */
-    readonly overdue: (() => void)[];
-    diedAt: number;
+    /** Timers that became due while the node was frozen. */
+    readonly overdueTimers: (() => void)[];
+    killedAt: number;
     /** Whether the node can reach the platform. */
-    seesPlatform: boolean;
+    canReachPlatform: boolean;
 }
 
 export interface SentMessage {
@@ -70,19 +74,19 @@
     readonly platform: InMemoryPlatform;
     readonly network: InMemoryNetwork;
     readonly nodes: readonly FleetNode[];
-    /** Every message of the spread that was sent. */
+    /** All messages of the distribution that were sent. */
     readonly sent: readonly SentMessage[];
     readonly node: (index: number) => FleetNode;
     readonly zone: (index: number) => readonly FleetNode[];
-    /** Accepts a change at a node, and does there what the daemon does after an acceptance. */
+    /** Accepts a change at a node and announces it there, as the daemon does. */
     readonly acceptAt: (node: FleetNode, partner: PartnerName, changes: CellValues) => Head;
     readonly kill: (node: FleetNode) => void;
-    /** Starts the node's process anew, with nothing but its settings. */
+    /** Restarts the node's process without any stored state. */
     readonly restart: (node: FleetNode) => void;
     readonly freeze: (node: FleetNode) => void;
-    readonly thaw: (node: FleetNode) => void;
-    /** Nodes that hold the platform's head of a partner. */
-    readonly informed: (partner: PartnerName) => readonly FleetNode[];
+    readonly unfreeze: (node: FleetNode) => void;
+    /** Returns the running nodes that hold the platform's head of a partner. */
+    readonly listInformed: (partner: PartnerName) => readonly FleetNode[];
     /** Starts all nodes and waits until they have recovered. */
     readonly startAll: () => Promise<void>;
     readonly stop: () => void;
@@ -90,9 +94,9 @@
 
 const PROBE_INTERVAL_MS = 1_000;
 const CONTACTS_PER_ZONE = 3;
-/** Two heads in a datagram of the membership, as its codec writes them. */
+/** Size of two heads in a datagram of the membership, in the encoding of its codec. */
 const HEADS_DATAGRAM_BYTES = 133;
-/** The sender's name and zone, as `createSpreadTransport` adds them. */
+/** Size of the sender's id and zone, which `createSpreadTransport` adds. */
 const DATAGRAM_SENDER_BYTES = 50;
 
 export const createInMemoryFleet = (plan: FleetPlan): InMemoryFleet => {
@@ -103,17 +107,17 @@
         ...defaultDistributionOptions.budget,
         zones: plan.zones,
     } };
-    const byId = new Map<NodeId, FleetNode>();
+    const nodesById = new Map<NodeId, FleetNode>();
     const sent: SentMessage[] = [];
     const network = createInMemoryNetwork({
         clock,
         random,
-        isUp: (id) => byId.get(id)?.isUp ?? false,
-        isFrozen: (id) => byId.get(id)?.isFrozen ?? false,
+        isUp: (id) => nodesById.get(id)?.isUp ?? false,
+        isFrozen: (id) => nodesById.get(id)?.isFrozen ?? false,
     });
 
     const isListed = (member: FleetNode): boolean =>
-        member.isUp || clock.monotonic() - member.diedAt < (plan.detectionMs ?? 5_000);
+        member.isUp || clock.monotonic() - member.killedAt < (plan.detectionMs ?? 5_000);
 
     const createFleetPort = (self: PeerAddress): FleetPort => {
         const others = (): readonly PeerAddress[] =>
@@ -128,17 +132,17 @@
         };
     };
 
-    const nodeAt = (address: PeerAddress): FleetNode => {
-        const node = byId.get(address.id);
+    const findNode = (address: PeerAddress): FleetNode => {
+        const node = nodesById.get(address.id);
         if (node === undefined) {
             throw new Error(`unknown node ${address.id}`);
         }
         return node;
     };
 
-    /** The real router of a node, without HTTP. */
+    /** Creates a caller of a node's real router, without HTTP. */
     const createCaller = (to: PeerAddress): ReturnType<typeof peerRouter.createCaller> => {
-        const { store, spread } = nodeAt(to);
+        const { store, spread } = findNode(to);
         return peerRouter.createCaller({
             store,
             fleet: createFleetPort(to),
@@ -149,49 +153,49 @@
         });
     };
 
-    const measureAnswer = (answer: unknown): number => packText(JSON.stringify(answer)).length;
+    const measureResponse = (response: unknown): number => packText(JSON.stringify(response)).length;
 
-    const carry = async <Answer>(
-        call: TaskEither<PeerError, Answer>,
-        asker: PeerAddress,
+    const delayResponse = async <Result>(
+        call: TaskEither<PeerError, Result>,
+        requester: PeerAddress,
         holder: PeerAddress,
-    ): Promise<Either<PeerError, Answer>> => {
-        const answer = await call();
-        const { answerTimeOf = () => 0 } = plan;
-        const time = answerTimeOf(asker.id, holder.id, measureAnswer(answer));
-        if (time !== 0) {
+    ): Promise<Either<PeerError, Result>> => {
+        const result = await call();
+        const { getResponseDelay = () => 0 } = plan;
+        const delay = getResponseDelay(requester.id, holder.id, measureResponse(result));
+        if (delay !== 0) {
             await new Promise<void>((resolve) => {
-                clock.after(time ?? options.peer.timeoutMs, resolve);
+                clock.after(delay ?? options.peer.timeoutMs, resolve);
             });
         }
-        return time === undefined ? either.left({ kind: "Unreachable", detail: "silent" }) : answer;
+        return delay === undefined ? either.left({ kind: "Unreachable", detail: "silent" }) : result;
     };
 
-    const deliver = <Answer>(
-        call: TaskEither<PeerError, Answer>,
-        asker: PeerAddress,
+    const serveVersion = <Result>(
+        call: TaskEither<PeerError, Result>,
+        requester: PeerAddress,
         holder: PeerAddress,
-    ): TaskEither<PeerError, Answer> =>
-        plan.deliversVersions?.() === false ?
+    ): TaskEither<PeerError, Result> =>
+        plan.canServeVersions?.() === false ?
             async () => either.left({ kind: "Unreachable", detail: "overloaded" }) :
-            () => carry(call, asker, holder);
+            () => delayResponse(call, requester, holder);
 
     const createPeers = (self: PeerAddress): PeerPort => ({
         ping: (to) => network.call(self, to, undefined, () => createCaller(to).ping()),
         heads: (to) => network.call(self, to, undefined, () => createCaller(to).heads()),
         deltasSince: (to, query) =>
-            deliver(network.call(self, to, query, () => createCaller(to).deltasSince(query)), self, to),
+            serveVersion(network.call(self, to, query, () => createCaller(to).deltasSince(query)), self, to),
         document: (to, query) =>
-            deliver(network.call(self, to, query, () => createCaller(to).document(query)), self, to),
+            serveVersion(network.call(self, to, query, () => createCaller(to).document(query)), self, to),
     });
 
-    const createOutlet = (self: PeerAddress): SpreadOutlet => ({
+    const createSender = (self: PeerAddress): SpreadSender => ({
         sendHeads: (to, heads) => network.sendDatagram(self, to, HEADS_DATAGRAM_BYTES, () =>
-            nodeAt(to).spread.receiveHeads(self, heads)),
+            findNode(to).spread.receiveHeads(self, heads)),
         send: (to, message) => {
             sent.push({ from: self.id, to: to.id, message });
             const bytes = packText(JSON.stringify(message)).length + DATAGRAM_SENDER_BYTES;
-            network.sendDatagram(self, to, bytes, () => nodeAt(to).spread.receive(self, message));
+            network.sendDatagram(self, to, bytes, () => findNode(to).spread.receive(self, message));
         },
     });
 
@@ -202,10 +206,10 @@
             partners: PARTNERS,
             store,
             fleet: createFleetPort(address),
-            outlet: createOutlet(address),
+            sender: createSender(address),
             peers: createPeers(address),
-            source: platform.createSource(() => nodeAt(address).seesPlatform),
-            clock: createNodeClock(clock, () => nodeAt(address)),
+            source: platform.createSource(() => findNode(address).canReachPlatform),
+            clock: createNodeClock(clock, () => findNode(address)),
             random,
             logger: createLogger("spread"),
             options,
@@ -220,12 +224,12 @@
         node.spread.start();
         void node.spread.recover();
         if (plan.probes ?? true) {
-            planProbe(node, node.abort.signal);
+            scheduleProbe(node, node.abort.signal);
         }
     };
 
-    /** A probe and its answer show both nodes' heads when they differ, as the membership's do. */
-    const planProbe = (node: FleetNode, signal: AbortSignal): void => {
+    /** Schedules a probe. The probe and its reply carry the heads of both nodes, as in the membership. */
+    const scheduleProbe = (node: FleetNode, signal: AbortSignal): void => {
         clock.after(PROBE_INTERVAL_MS * (0.5 + random()), () => {
             if (signal.aborted) {
                 return;
@@ -239,22 +243,22 @@
                         node.spread.receiveHeads(peer.address, peer.store.heads()));
                 });
             }
-            planProbe(node, signal);
+            scheduleProbe(node, signal);
         });
     };
 
     const createNode = (index: number): FleetNode => {
         const zone = `zone-${index % plan.zones}`;
-        const link = plan.linkClassOf === undefined ? {} : { linkClass: plan.linkClassOf(index) };
+        const link = plan.getLinkClass === undefined ? {} : { linkClass: plan.getLinkClass(index) };
         const address = { id: `node-${index}`, zone, address: "127.0.0.1", controlPort: 1_024 + index, ...link };
-        const state = { isUp: false, isFrozen: false, overdue: [], diedAt: -Infinity, seesPlatform: true };
+        const state = { isUp: false, isFrozen: false, overdueTimers: [], killedAt: -Infinity, canReachPlatform: true };
         return { address, ...createProcess(address), ...state };
     };
 
     const nodes = Array.from({ length: plan.nodes ?? plan.zones * plan.nodesPerZone }, (_, index) => createNode(index));
-    nodes.forEach((node) => byId.set(node.address.id, node));
+    nodes.forEach((node) => nodesById.set(node.address.id, node));
 
-    const nodeOf = (index: number): FleetNode => {
+    const getNode = (index: number): FleetNode => {
         const node = nodes[index];
         if (node === undefined) {
             throw new Error(`no node ${index}`);
@@ -268,12 +272,12 @@
         network,
         nodes,
         sent,
-        node: nodeOf,
+        node: getNode,
         zone: (index) => nodes.filter((node) => node.address.zone === `zone-${index}`),
         acceptAt: (node, partner, changes) => {
             const delta = platform.accept(partner, changes);
             const head = platform.head(partner);
-            // Does nothing when the node is behind; the announcement then makes it pull what is missing.
+            // Has no effect if the node is behind. The announcement then makes the node pull the missing versions.
             node.store.offerDeltas(partner, [delta]);
             node.spread.announce(head);
             return head;
@@ -281,17 +285,17 @@
         kill: (node) => {
             node.abort.abort();
             node.isUp = false;
-            node.diedAt = clock.monotonic();
+            node.killedAt = clock.monotonic();
         },
         restart: startProcess,
         freeze: (node) => {
             node.isFrozen = true;
         },
-        thaw: (node) => {
+        unfreeze: (node) => {
             node.isFrozen = false;
-            node.overdue.splice(0).forEach((fire) => fire());
+            node.overdueTimers.splice(0).forEach((fire) => fire());
         },
-        informed: (partner) => nodes.filter((node) =>
+        listInformed: (partner) => nodes.filter((node) =>
             node.isUp && node.store.document(partner).digest === platform.head(partner).digest),
         startAll: async () => {
             nodes.forEach(startProcess);
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryNetwork.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryNetwork.ts
@@ -1,5 +1,6 @@
 /**
- * A network for tests that carries datagrams and calls between nodes, with loss, duplicates, cuts and counted bytes.
+ * A network for tests that transfers datagrams and calls between nodes. It simulates loss, duplicates and partitions,
+ * and counts bytes.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { TaskEither } from "fp-ts/lib/TaskEither.js";
@@ -11,45 +12,46 @@
 export interface NetworkFaults {
     readonly lossShare: number;
     readonly duplicateShare: number;
-    /** One-way delay in milliseconds: the least, and what is added at random, which reorders datagrams. */
+    /** Minimum one-way delay in milliseconds. */
     readonly delayMs: number;
+    /** Maximum random addition to the delay in milliseconds, which reorders datagrams. */
     readonly jitterMs: number;
 }
 
 export const healthyNetwork: NetworkFaults = { lossShare: 0, duplicateShare: 0, delayMs: 0.5, jitterMs: 0.5 };
 
-/** Headers of IP and UDP. */
+/** Size of the IP and UDP headers. */
 const DATAGRAM_OVERHEAD_BYTES = 28;
-/** HTTP headers of both ways of a call, as the peer client counts them over loopback. */
+/** Size of the HTTP headers of the request and response of a call, as the peer client counts them over loopback. */
 const CALL_HEADER_BYTES = 223;
-/** Four segments carry a call on an open connection; opening and closing one takes eight more. */
+/** A call on an open connection takes four segments; opening and closing a connection takes eight more. */
 const SEGMENT_BYTES = 40;
 const SEGMENTS_PER_CALL = 4;
 const SEGMENTS_PER_CONNECTION = 8;
-/** The client gives up a peer that is silent for this time. */
-const SILENCE_LIMIT_MS = 1_000;
-/** A connection is kept open for this time after a call. */
+/** Time after which a call to a frozen peer fails. */
+const FROZEN_PEER_TIMEOUT_MS = 1_000;
+/** Time for which a connection stays open after a call. */
 const IDLE_CONNECTION_MS = 4_000;
 
 export interface InMemoryNetwork {
-    /** Without a size the bytes are another part's and are not counted. */
+    /** Sends a datagram. Pass no size for bytes of another component, which are not counted. */
     readonly sendDatagram: (
         from: PeerAddress,
         to: PeerAddress,
         bytes: number | undefined,
         deliver: () => void,
     ) => void;
-    /** Runs `answer` at the peer, or fails: at once when there is no way to it, after a silence if it is frozen. */
-    readonly call: <Answer>(
+    /** Runs `respond` at the peer. Fails immediately if the peer is unreachable, or after a timeout if it is frozen. */
+    readonly call: <Result>(
         from: PeerAddress,
         to: PeerAddress,
-        question: unknown,
-        answer: () => Promise<Answer>,
-    ) => TaskEither<PeerError, Answer>;
+        request: unknown,
+        respond: () => Promise<Result>,
+    ) => TaskEither<PeerError, Result>;
     readonly setFaults: (faults: NetworkFaults) => void;
-    /** Decides which pairs of nodes can reach each other. */
+    /** Sets the predicate of the pairs of nodes that cannot reach each other. */
     readonly setCut: (isCut: (from: PeerAddress, to: PeerAddress) => boolean) => void;
-    /** Bytes sent by each node. */
+    /** Number of bytes sent by each node. */
     readonly bytes: ReadonlyMap<NodeId, number>;
 }
 
@@ -60,7 +62,7 @@
     readonly isFrozen: (node: NodeId) => boolean;
 }
 
-const measure = (value: unknown): number => value === undefined ? 0 : Buffer.byteLength(JSON.stringify(value));
+const measureJson = (value: unknown): number => value === undefined ? 0 : Buffer.byteLength(JSON.stringify(value));
 
 export const createInMemoryNetwork = (
     { clock, random, isUp, isFrozen }: InMemoryNetworkDependencies,
@@ -72,15 +74,15 @@
     const wait = (delay: number): Promise<void> => new Promise((resolve) => {
         clock.after(delay, resolve);
     });
-    const drawDelay = (): number => faults.delayMs + random() * faults.jitterMs;
-    const count = (node: PeerAddress, amount: number): void => {
+    const drawOneWayDelay = (): number => faults.delayMs + random() * faults.jitterMs;
+    const countBytes = (node: PeerAddress, amount: number): void => {
         bytes.set(node.id, (bytes.get(node.id) ?? 0) + amount);
     };
     const isReachable = (from: PeerAddress, to: PeerAddress): boolean =>
         isUp(from.id) && isUp(to.id) && !isCut(from, to);
 
     const openUntil = new Map<string, number>();
-    /** Half of what a call costs beside its content; each end sends about as much. */
+    /** Returns half of the overhead bytes of a call, because each side sends about half of them. */
     const measureCall = (from: PeerAddress, to: PeerAddress): number => {
         const key = `${from.id}/${to.id}`;
         const isOpen = (openUntil.get(key) ?? 0) > clock.monotonic();
@@ -98,29 +100,29 @@
             isCut = next;
         },
         sendDatagram: (from, to, size, deliver) => {
-            count(from, size === undefined ? 0 : size + DATAGRAM_OVERHEAD_BYTES);
-            const copies = random() < faults.duplicateShare ? 2 : 1;
-            for (let copy = 0; copy < copies; copy++) {
+            countBytes(from, size === undefined ? 0 : size + DATAGRAM_OVERHEAD_BYTES);
+            const copyCount = random() < faults.duplicateShare ? 2 : 1;
+            for (let copy = 0; copy < copyCount; copy++) {
                 if (random() >= faults.lossShare) {
-                    clock.after(drawDelay(), () => isReachable(from, to) && !isFrozen(to.id) && deliver());
+                    clock.after(drawOneWayDelay(), () => isReachable(from, to) && !isFrozen(to.id) && deliver());
                 }
             }
         },
-        call: (from, to, question, answer) => async () => {
+        call: (from, to, request, respond) => async () => {
             const overhead = measureCall(from, to);
-            count(from, measure(question) + overhead);
-            // Opening the connection costs a round trip before the question travels.
-            await wait(3 * drawDelay());
+            countBytes(from, measureJson(request) + overhead);
+            // Opening the connection takes one round trip before the request is sent.
+            await wait(3 * drawOneWayDelay());
             if (!isReachable(from, to)) {
                 return either.left({ kind: "Unreachable", detail: "cut" });
             }
             if (isFrozen(to.id)) {
-                await wait(SILENCE_LIMIT_MS);
+                await wait(FROZEN_PEER_TIMEOUT_MS);
                 return either.left({ kind: "Unreachable", detail: "silent" });
             }
-            const result = await answer();
-            count(to, measure(result) + overhead);
-            await wait(drawDelay());
+            const result = await respond();
+            countBytes(to, measureJson(result) + overhead);
+            await wait(drawOneWayDelay());
             return isReachable(from, to) ?
                 either.right(result) :
                 either.left({ kind: "Unreachable", detail: "cut" });
--- a/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { rankReaders } from "../readerDuty.js";
+import { rankReaders } from "../readerRole.js";
 import { createInMemoryFleet, type FleetNode, type InMemoryFleet } from "./inMemoryFleet.js";
 import { WEIGHT_CELL } from "./recordingStore.js";
 
@@ -23,7 +23,7 @@
 };
 
 describe("createPlatformReader", () => {
-    it("lets two nodes read for a zone of any size", async () => {
+    it("uses two readers for a zone of any size", async () => {
         for (const size of [3, 12, 48]) {
             const fleet = await startZone(size, size);
             expect(fleet.nodes.filter((node) => node.spread.stats().reading)).to.have.lengthOf(2);
@@ -32,25 +32,23 @@
         }
     });
 
-    it("lets the next rank step in when the readers die or lose the platform, one at a time", async () => {
-        // Symptom: a zone hears nothing of the platform although most of its nodes could read it.
-        // Sequence: one reader dies unnoticed and the other is cut off from the platform; a change is accepted
-        // elsewhere.
-        // Cause: a duty that ends only with the death of its holder, or that everybody takes up at once.
+    it("lets one standby at a time take over if the readers die or lose the platform", async () => {
+        // Guards against a zone without a working reader, and against all standbys taking over at once. One reader dies
+        // undetected, the other one loses the platform, and then a change is accepted elsewhere.
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 24, seed: 3, detectionMs: 600_000 });
         await fleet.startAll();
         await fleet.clock.advance(5_000);
         const [first, second, third, fourth, ...others] = listByRank(fleet);
         fleet.kill(first as FleetNode);
-        (second as FleetNode).seesPlatform = false;
+        (second as FleetNode).canReachPlatform = false;
         const standbys = [third, fourth, ...others];
-        let mostReading = 0;
+        let maxReadingStandbys = 0;
         for (let step = 0; step < 40; step++) {
             await fleet.clock.advance(200);
             const reading = standbys.filter((node) => node?.spread.stats().reading);
-            mostReading = Math.max(mostReading, reading.length);
+            maxReadingStandbys = Math.max(maxReadingStandbys, reading.length);
         }
-        expect(mostReading).to.be.within(1, 2);
+        expect(maxReadingStandbys).to.be.within(1, 2);
         for (let step = 0; step < 20; step++) {
             await fleet.clock.advance(200);
             expect(third?.spread.stats().reading).to.equal(true);
@@ -58,27 +56,27 @@
         }
         fleet.platform.accept("kushiro", { [WEIGHT_CELL]: 2 });
         await fleet.clock.advance(1_700);
-        expect(fleet.informed("kushiro")).to.have.lengthOf(23);
+        expect(fleet.listInformed("kushiro")).to.have.lengthOf(23);
         fleet.stop();
     });
 
-    it("gives the duty back when the readers hear from the platform again", async () => {
+    it("stops polling on a standby when the readers reach the platform again", async () => {
         const fleet = await startZone(12, 5);
         const [first, second, third] = listByRank(fleet);
         [first, second].forEach((node) => {
-            (node as FleetNode).seesPlatform = false;
+            (node as FleetNode).canReachPlatform = false;
         });
         await fleet.clock.advance(8_000);
         expect(third?.spread.stats().reading).to.equal(true);
         [first, second].forEach((node) => {
-            (node as FleetNode).seesPlatform = true;
+            (node as FleetNode).canReachPlatform = true;
         });
         await fleet.clock.advance(12_000);
         expect(third?.spread.stats().reading).to.equal(false);
         fleet.stop();
     });
 
-    it("lets the standbys step in one after another while the platform is out", async () => {
+    it("lets the standbys take over one after another during a platform outage", async () => {
         const fleet = await startZone(24, 7);
         const standbys = listByRank(fleet).slice(2, 6);
         const countReading = (): number => standbys.filter((node) => node.spread.stats().reading).length;
@@ -91,10 +89,9 @@
         fleet.stop();
     });
 
-    it("returns to a platform that was out without a storm", async () => {
-        // Symptom: the platform falls over again in the second in which it comes back.
-        // Sequence: the platform is out for two minutes and returns.
-        // Cause: all nodes retrying at a fixed distance, or all at once when it answers.
+    it("resumes reads after a platform outage without a burst", async () => {
+        // Guards against a platform that is overloaded again in the first second after an outage of two minutes,
+        // because all nodes retry at a fixed interval or all at once.
         const fleet = createInMemoryFleet({ zones: 4, nodesPerZone: 10, seed: 6 });
         await fleet.startAll();
         fleet.platform.setOutage(true);
@@ -103,7 +100,7 @@
         fleet.platform.setOutage(false);
         const returnedAt = fleet.clock.monotonic();
         await fleet.clock.advance(6_000);
-        expect(fleet.informed("kushiro")).to.have.lengthOf(40);
+        expect(fleet.listInformed("kushiro")).to.have.lengthOf(40);
         const inFirstSecond = fleet.platform.readTimes.filter((time) =>
             time >= returnedAt && time < returnedAt + 1_000);
         expect(inFirstSecond.length).to.be.lessThan(40);
--- a/packages/oleandergap-distribution/src/headReceiver.ts
+++ b/packages/oleandergap-distribution/src/headReceiver.ts
@@ -1,102 +1,103 @@
-/** What a node does with the heads and versions that reach it in datagrams. */
+/** Handles the heads and versions that a node receives in datagrams. */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Head, NodeId, PartnerName } from "oleandergap-types";
 import { createTokenBucket } from "oleandergap-utils";
-import type { Arrivals } from "./arrivals.js";
-import type { Claim } from "./claimBook.js";
+import type { ArrivalLog } from "./arrivalLog.js";
+import type { Claim } from "./claimRegistry.js";
 import { expandDelta, type CompactDelta } from "./compactDelta.js";
 import type { SpreadOptions } from "./options.js";
 import type { PeerHeads } from "./peerHeads.js";
-import type { ConfigurationStorePort, PeerAddress, SpreadOutlet } from "./ports.js";
+import type { ConfigurationStorePort, PeerAddress, SpreadSender } from "./ports.js";
 import { readHead, type HandoverMessage, type SpreadMessage } from "./spreadMessage.js";
 import type { SpreadCounters } from "./statistics.js";
 import type { VersionPusher } from "./versionPusher.js";
 
-/** What a head receiver works with. */
+/** Dependencies of a head receiver. */
 export interface HeadReceiverDependencies {
     readonly partners: readonly PartnerName[];
     readonly store: Pick<ConfigurationStorePort, "heads" | "document" | "offerDeltas">;
-    readonly outlet: Pick<SpreadOutlet, "sendHeads">;
+    readonly sender: Pick<SpreadSender, "sendHeads">;
     readonly peerHeads: PeerHeads;
     readonly pusher: Pick<VersionPusher, "accept" | "acknowledge">;
-    readonly tell: (claim: Claim) => void;
-    readonly arrivals: Pick<Arrivals, "offerFrom">;
+    readonly reportClaim: (claim: Claim) => void;
+    readonly arrivalLog: Pick<ArrivalLog, "offerFrom">;
     readonly clock: Clock;
     readonly options: Pick<SpreadOptions, "repliesPerSecond" | "replySpacingMs">;
     readonly counters: SpreadCounters;
 }
 
-/** The entry points for all that arrives in datagrams. */
+/** Entry points for the messages of the distribution that arrive in datagrams. */
 export interface HeadReceiver {
-    /** Takes heads that rode on a datagram of the membership, or that a peer showed. */
+    /** Handles heads that were piggybacked on a datagram of the membership or sent by a peer. */
     readonly receiveHeads: (from: PeerAddress, heads: readonly Head[]) => void;
-    /** Takes a message that a node sent by `SpreadOutlet.send`. */
+    /** Handles a message that a node sent with `SpreadOutlet.send`. */
     readonly receive: (from: PeerAddress, message: SpreadMessage) => void;
 }
 
-/** Peers whose last answer is remembered; beyond it the oldest are forgotten. */
-const MAX_REMEMBERED_REPLIES = 256;
+/** Maximum number of peers whose last reply time is stored. If there are more, the oldest entries are removed. */
+const MAX_REPLY_TIMES = 256;
 
 /**
- * Limits the answers to peers that are behind. Without a limit, a peer that cannot take the newer version, or that
- * sends in a burst, would be answered datagram by datagram; one would see two nodes fill the link between them.
+ * Creates the rate limiter of replies to peers that are behind. Without a limit, a peer that cannot apply the newer
+ * version, or that sends a burst of datagrams, would receive a reply to each datagram. The two nodes would then
+ * saturate the link between them.
  */
 const createReplyLimiter = (
     clock: Clock,
     { repliesPerSecond, replySpacingMs }: HeadReceiverDependencies["options"],
 ): ((peer: NodeId) => boolean) => {
     const bucket = createTokenBucket({ clock, ratePerSecond: () => repliesPerSecond, burst: repliesPerSecond });
-    const repliedAt = new Map<NodeId, number>();
+    const lastRepliedAt = new Map<NodeId, number>();
 
     return (peer) => {
-        const last = repliedAt.get(peer);
+        const last = lastRepliedAt.get(peer);
         const isTooSoon = last !== undefined && clock.monotonic() - last < replySpacingMs;
         if (isTooSoon || !bucket.tryTake()) {
             return false;
         }
-        repliedAt.delete(peer);
-        repliedAt.set(peer, clock.monotonic());
-        for (const oldest of [...repliedAt.keys()].slice(0, -MAX_REMEMBERED_REPLIES)) {
-            repliedAt.delete(oldest);
+        lastRepliedAt.delete(peer);
+        lastRepliedAt.set(peer, clock.monotonic());
+        for (const oldest of [...lastRepliedAt.keys()].slice(0, -MAX_REPLY_TIMES)) {
+            lastRepliedAt.delete(oldest);
         }
         return true;
     };
 };
 
-/** Creates the receiver of one node. What it receives is never trusted: the store checks every version. */
+/** Creates the receiver of one node. Received data is never trusted: the store validates every version. */
 export const createHeadReceiver = ({
     partners,
     store,
-    outlet,
+    sender,
     peerHeads,
     pusher,
-    tell,
-    arrivals,
+    reportClaim,
+    arrivalLog,
     clock,
     options,
     counters,
 }: HeadReceiverDependencies): HeadReceiver => {
-    const mayReply = createReplyLimiter(clock, options);
+    const tryTakeReply = createReplyLimiter(clock, options);
 
-    /** Whether we hold something that the sender's heads do not show. */
-    const isBehindUs = (heads: readonly Head[]): boolean =>
-        store.heads().some((own) => {
-            const theirs = heads.find((head) => head.partner === own.partner);
-            return own.sequence > (theirs?.sequence ?? 0);
+    /** Returns whether this node holds a version that is newer than the sender's head of the same partner. */
+    const isPeerBehind = (heads: readonly Head[]): boolean =>
+        store.heads().some((localHead) => {
+            const peerHead = heads.find((head) => head.partner === localHead.partner);
+            return localHead.sequence > (peerHead?.sequence ?? 0);
         });
 
-    const noteClaim = (from: PeerAddress, head: Head): void => {
+    const recordPeerHead = (from: PeerAddress, head: Head): void => {
         peerHeads.note(from.id, head);
-        tell({ head, source: { kind: "Peer", peer: from } });
+        reportClaim({ head, source: { kind: "Peer", peer: from } });
     };
 
-    /** Puts the step in force if it extends what is in force here. */
-    const applyStep = (from: PeerAddress, compact: CompactDelta): void => {
+    /** Applies the delta if it extends the version in force at this node. */
+    const applyDelta = (from: PeerAddress, compact: CompactDelta): void => {
         const delta = expandDelta(compact, store.document(compact.partner));
         if (delta === undefined) {
             return;
         }
-        const offered = arrivals.offerFrom({ way: "datagram", peer: from.id }, () =>
+        const offered = arrivalLog.offerFrom({ way: "datagram", peer: from.id }, () =>
             store.offerDeltas(compact.partner, [delta]));
         const isApplied = either.isRight(offered);
         counters.inlineApplied += isApplied ? 1 : 0;
@@ -108,33 +109,36 @@
         peerHeads.note(from.id, head);
         pusher.accept({ from, head, range: message.range });
         if (message.kind === "Step") {
-            applyStep(from, message.delta);
+            applyDelta(from, message.delta);
         }
         if (message.kind === "Offer" && message.holder !== undefined) {
-            tell({ head, source: { kind: "Peer", peer: message.holder } });
+            reportClaim({ head, source: { kind: "Peer", peer: message.holder } });
         }
-        // Does nothing once the step is in force. A step that does not fit, or that was damaged on its way, is
-        // refused by
-        // the store, and its sender is then asked by a pull.
-        tell({ head, source: { kind: "Peer", peer: from } });
+        // Has no effect if the delta was applied. The store rejects a delta that does not extend the version in force
+        // or that was corrupted in transit. The claim then starts a pull from the sender.
+        reportClaim({ head, source: { kind: "Peer", peer: from } });
     };
 
-    const receiveHolding = (from: PeerAddress, { partner, sequence }: Pick<Head, "partner" | "sequence">): void => {
+    const receiveAcknowledgement = (
+        from: PeerAddress,
+        { partner, sequence }: Pick<Head, "partner" | "sequence">,
+    ): void => {
         pusher.acknowledge(from, { partner, sequence });
-        // The peer is ahead. An acknowledgement names no digest; shown our heads, the peer answers with its own.
+        // The peer is ahead, but an acknowledgement contains no digest. The peer replies to the heads of this node with
+        // its own heads.
         if (sequence > store.document(partner).sequence) {
-            outlet.sendHeads(from, store.heads());
+            sender.sendHeads(from, store.heads());
         }
     };
 
     return {
         receiveHeads: (from, heads) => {
             for (const head of heads.filter((candidate) => partners.includes(candidate.partner))) {
-                noteClaim(from, head);
+                recordPeerHead(from, head);
             }
-            if (isBehindUs(heads) && mayReply(from.id)) {
+            if (isPeerBehind(heads) && tryTakeReply(from.id)) {
                 counters.repliesSent += 1;
-                outlet.sendHeads(from, store.heads());
+                sender.sendHeads(from, store.heads());
             }
         },
         receive: (from, message) => {
@@ -143,7 +147,7 @@
                 return;
             }
             if (message.kind === "Holding") {
-                receiveHolding(from, message);
+                receiveAcknowledgement(from, message);
                 return;
             }
             receiveHandover(from, message);
--- a/packages/oleandergap-distribution/src/peerHeads.ts
+++ b/packages/oleandergap-distribution/src/peerHeads.ts
@@ -1,31 +1,31 @@
-/** Remembers which versions the peers have shown, so that nobody is sent what it already holds. */
+/** Tracks which versions the peers hold, so that no peer is sent a version that it already holds. */
 import type { Head, NodeId, PartnerName, Sequence } from "oleandergap-types";
 
-/** The highest version of each partner that each peer has shown. */
+/** The highest version of each partner that each peer is known to hold. */
 export interface PeerHeads {
-    /** Notes that a peer showed a head. */
+    /** Records that a peer holds a version. */
     readonly note: (peer: NodeId, head: Pick<Head, "partner" | "sequence">) => void;
-    /** Whether a peer has shown this version or a higher one. */
+    /** Returns whether a peer is known to hold this version or a higher one. */
     readonly holds: (peer: NodeId, head: Pick<Head, "partner" | "sequence">) => boolean;
-    /** Forgets all peers but these. */
+    /** Removes all peers except these. */
     readonly retain: (peers: ReadonlySet<NodeId>) => void;
 }
 
 /** Creates an empty record. */
 export const createPeerHeads = (): PeerHeads => {
     const sequences = new Map<NodeId, Map<PartnerName, Sequence>>();
-    const known = (peer: NodeId, partner: PartnerName): Sequence => sequences.get(peer)?.get(partner) ?? -1;
+    const getSequence = (peer: NodeId, partner: PartnerName): Sequence => sequences.get(peer)?.get(partner) ?? -1;
 
     return {
         note: (peer, { partner, sequence }) => {
-            if (sequence <= known(peer, partner)) {
+            if (sequence <= getSequence(peer, partner)) {
                 return;
             }
-            const ofPeer = sequences.get(peer) ?? new Map<PartnerName, Sequence>();
-            ofPeer.set(partner, sequence);
-            sequences.set(peer, ofPeer);
+            const peerSequences = sequences.get(peer) ?? new Map<PartnerName, Sequence>();
+            peerSequences.set(partner, sequence);
+            sequences.set(peer, peerSequences);
         },
-        holds: (peer, { partner, sequence }) => known(peer, partner) >= sequence,
+        holds: (peer, { partner, sequence }) => getSequence(peer, partner) >= sequence,
         retain: (peers) => {
             for (const peer of sequences.keys()) {
                 if (!peers.has(peer)) {
--- a/packages/oleandergap-distribution/src/peerRouter.ts
+++ b/packages/oleandergap-distribution/src/peerRouter.ts
@@ -1,9 +1,11 @@
-/** What a node answers to its peers. All procedures are queries: a peer can read this node's state, never change it. */
+/**
+ * RPC procedures that a node offers to its peers. All are queries: a peer can read this node's state but not change it.
+ */
 import { initTRPC, TRPCError } from "@trpc/server";
 import {
     zoneTargetsRequestSchema,
     type TargetDirectory,
-    type ZoneTargetsAnswer,
+    type ZoneTargetsResponse,
 } from "oleandergap-membership";
 import type { PartnerDocument, PartnerName } from "oleandergap-types";
 import { pickSeveral, type Random } from "oleandergap-utils";
@@ -11,28 +13,28 @@
     deltasQuerySchema,
     documentQuerySchema,
     MAX_CONTACTS,
-    MAX_DELTAS_PER_ANSWER,
-    type ContactsAnswer,
-    type HeadsAnswer,
-    type PingAnswer,
-    type VersionAnswer,
+    MAX_DELTAS_PER_RESPONSE,
+    type ContactsResponse,
+    type HeadsResponse,
+    type PingResponse,
+    type VersionResponse,
 } from "./peerSchemas.js";
 import type { ConfigurationStorePort, FleetPort, PeerAddress } from "./ports.js";
 
-/** What the router reads of its node. */
+/** The state of the node that the router reads. */
 export interface PeerRouterDependencies {
     readonly store: Pick<ConfigurationStorePort, "heads" | "document" | "deltasSince">;
     readonly fleet: FleetPort;
     readonly directory: Pick<TargetDirectory, "answerZoneTargets">;
     readonly random: Random;
-    /** Whether this node has recovered. */
+    /** Returns whether this node has recovered. */
     readonly isReady: () => boolean;
-    /** Time in milliseconds since the platform was last heard from; undefined when never. */
+    /** Returns the time in milliseconds since the last known response of the platform; undefined if there was none. */
     readonly platformAge: () => number | undefined;
 }
 
-/** Members of the own availability zone named in an answer to `contacts`. */
-const OWN_ZONE_CONTACTS = 16;
+/** Number of members of the local availability zone in a response of `contacts`. */
+const LOCAL_ZONE_CONTACTS = 16;
 
 const toContact = ({ id, zone, address, controlPort }: PeerAddress): PeerAddress => ({
     id,
@@ -41,23 +43,23 @@
     controlPort,
 });
 
-const answerContacts = ({ fleet, random }: PeerRouterDependencies): ContactsAnswer => {
-    const ownZone = pickSeveral(random, fleet.members(), OWN_ZONE_CONTACTS);
-    const otherZones = pickSeveral(random, fleet.contacts(), MAX_CONTACTS - ownZone.length);
-    return { contacts: [...ownZone, ...otherZones].map(toContact) };
+const createContactsResponse = ({ fleet, random }: PeerRouterDependencies): ContactsResponse => {
+    const localZone = pickSeveral(random, fleet.members(), LOCAL_ZONE_CONTACTS);
+    const otherZones = pickSeveral(random, fleet.contacts(), MAX_CONTACTS - localZone.length);
+    return { contacts: [...localZone, ...otherZones].map(toContact) };
 };
 
-const answerDeltas = (
+const createVersionResponse = (
     store: PeerRouterDependencies["store"],
     partner: PartnerName,
     sequence: number,
-): VersionAnswer => {
+): VersionResponse => {
     const deltas = store.deltasSince(partner, sequence);
-    const isBehind = store.document(partner).sequence <= sequence;
-    if (isBehind) {
+    const hasNothingNewer = store.document(partner).sequence <= sequence;
+    if (hasNothingNewer) {
         return { kind: "Deltas", deltas: [] };
     }
-    return deltas === undefined || deltas.length === 0 || deltas.length > MAX_DELTAS_PER_ANSWER ?
+    return deltas === undefined || deltas.length === 0 || deltas.length > MAX_DELTAS_PER_RESPONSE ?
         { kind: "Document", document: store.document(partner) } :
         { kind: "Deltas", deltas: [...deltas] };
 };
@@ -69,7 +71,7 @@
 };
 
 const builder = initTRPC.context<PeerRouterDependencies>().create({
-    // The library's own shape carries a stack trace, which would go to any peer that asks badly.
+    // The default error shape of the library contains a stack trace, which must not be sent to peers.
     errorFormatter: ({ shape }) => ({
         code: shape.code,
         message: shape.message,
@@ -77,28 +79,28 @@
     }),
 });
 
-/** The procedures; the node that answers is the context, see `createPeerRequestHandler`. */
+/** The procedures. The context is the state of the responding node; see `createPeerRequestHandler`. */
 export const peerRouter = builder.router({
-    ping: builder.procedure.query(({ ctx }): PingAnswer => {
+    ping: builder.procedure.query(({ ctx }): PingResponse => {
         const age = ctx.platformAge();
         return { id: ctx.fleet.self().id, ready: ctx.isReady(), ...(age === undefined ? {} : { platformAgeMs: age }) };
     }),
-    heads: builder.procedure.query(({ ctx }): HeadsAnswer => ({
+    heads: builder.procedure.query(({ ctx }): HeadsResponse => ({
         ready: ctx.isReady(),
         heads: [...ctx.store.heads()],
     })),
-    deltasSince: builder.procedure.input(deltasQuerySchema).query(({ ctx, input }): VersionAnswer => {
+    deltasSince: builder.procedure.input(deltasQuerySchema).query(({ ctx, input }): VersionResponse => {
         requirePartner(ctx.store, input.partner);
-        return answerDeltas(ctx.store, input.partner, input.sequence);
+        return createVersionResponse(ctx.store, input.partner, input.sequence);
     }),
     document: builder.procedure.input(documentQuerySchema).query(({ ctx, input }): PartnerDocument => {
         requirePartner(ctx.store, input.partner);
         return ctx.store.document(input.partner);
     }),
-    zoneTargets: builder.procedure.input(zoneTargetsRequestSchema).query(({ ctx, input }): ZoneTargetsAnswer =>
+    zoneTargets: builder.procedure.input(zoneTargetsRequestSchema).query(({ ctx, input }): ZoneTargetsResponse =>
         ctx.directory.answerZoneTargets(input)),
-    contacts: builder.procedure.query(({ ctx }): ContactsAnswer => answerContacts(ctx)),
+    contacts: builder.procedure.query(({ ctx }): ContactsResponse => createContactsResponse(ctx)),
 });
 
-/** The type that the client is checked against. */
+/** Type of the router, against which calls of the client are type-checked. */
 export type PeerRouter = typeof peerRouter;
--- a/packages/oleandergap-distribution/src/platformReader.ts
+++ b/packages/oleandergap-distribution/src/platformReader.ts
@@ -1,28 +1,28 @@
 /**
- * Reads the platform's heads on behalf of an availability zone, while this node is on duty, and waits longer and longer
- * while the platform does not answer.
+ * Reads the platform's heads for an availability zone while this node is a reader. Uses exponential backoff while the
+ * platform does not respond.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
 import type { Clock, Head, Milliseconds, PartnerName } from "oleandergap-types";
 import { drawBackoff, type Random } from "oleandergap-utils";
-import { callWithin } from "./boundedCall.js";
-import type { Claim } from "./claimBook.js";
+import { callWithTimeout } from "./callWithTimeout.js";
+import type { Claim } from "./claimRegistry.js";
 import type { PullOptions, ReaderOptions } from "./options.js";
 import { drawJitter, runPeriodically } from "./periodic.js";
 import type { ConfigurationSourcePort, FleetPort, PeerPort } from "./ports.js";
 import type { ReadBudget } from "./readBudget.js";
-import { createReaderDuty } from "./readerDuty.js";
+import { createReaderRole } from "./readerRole.js";
 import type { SpreadCounters } from "./statistics.js";
 
-/** What a platform reader works with. */
+/** Dependencies of a platform reader. */
 export interface PlatformReaderDependencies {
     readonly partners: readonly PartnerName[];
     readonly fleet: Pick<FleetPort, "self" | "members">;
     readonly peers: Pick<PeerPort, "ping">;
     readonly source: Pick<ConfigurationSourcePort, "readHeads">;
     readonly budget: ReadBudget;
-    readonly tell: (claim: Claim) => void;
+    readonly reportClaim: (claim: Claim) => void;
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
@@ -31,38 +31,41 @@
     readonly counters: SpreadCounters;
 }
 
-/** One node's part in reading the platform for its availability zone. */
+/** Reads the platform on one node, for its availability zone. */
 export interface PlatformReader {
-    /** Polls or stands by until the signal aborts. */
+    /** Polls the platform, or acts as a standby, until the signal aborts. */
     readonly start: (signal: AbortSignal) => void;
-    /** Reads the heads once, if the budget allows; undefined when nothing was learnt. */
+    /** Reads the heads once. Returns undefined if the budget is exhausted or the read failed. */
     readonly readHeads: (signal: AbortSignal) => Promise<readonly Head[] | undefined>;
-    /** Time since the platform was last heard from by this node or by one that it asked; undefined when never. */
+    /** Returns the time since the last platform response at this node or at a queried peer; undefined if none. */
     readonly platformAge: () => Milliseconds | undefined;
+    /** Returns this node's rank among the candidate readers of its zone; infinite if it has none. */
     readonly rank: () => number;
-    /** Whether its rank makes this node poll. */
+    /** Returns whether the rank alone makes this node poll. */
     readonly isReader: () => boolean;
-    /** Whether this node polls now. */
+    /** Returns whether this node polls now. */
     readonly isReading: () => boolean;
-    /** Whether it polls, and the platform answered the last time. */
-    readonly isFollowing: () => boolean;
+    /** Returns whether this node polls and its last read of the platform succeeded. */
+    readonly isFollowingPlatform: () => boolean;
 }
 
-/** Wait before the first poll, so that a node that starts with many others has met them and knows its rank. */
-const SETTLE_MS = 500;
-/** Longest mean wait between two looks at the ranks, which change when a reader dies. */
-const LONGEST_DUTY_DELAY_MS = 1_500;
-/** Most doublings of the wait while the platform does not answer. */
+/**
+ * Wait before the first poll. It lets a node that starts together with many others discover them and compute its rank.
+ */
+const STARTUP_DELAY_MS = 500;
+/** Maximum mean interval between updates of the reader role. The ranks change when a reader dies. */
+const MAX_ROLE_UPDATE_DELAY_MS = 1_500;
+/** Maximum number of doublings of the backoff while the platform does not respond. */
 const MAX_BACKOFF_EXPONENT = 10;
 
-/** Creates the reader of one node; it does nothing before `start` or `readHeads`. */
+/** Creates the reader of one node. It is idle until `start` or `readHeads` is called. */
 export const createPlatformReader = ({
     partners,
     fleet,
     peers,
     source,
     budget,
-    tell,
+    reportClaim,
     clock,
     random,
     logger,
@@ -71,37 +74,39 @@
     counters,
 }: PlatformReaderDependencies): PlatformReader => {
     const startedAt = clock.monotonic();
-    /** When the platform was last heard from, by this node or another. */
-    let heardAt: Milliseconds | undefined;
-    let failuresInARow = 0;
-    let lostAt = startedAt;
+    /** Time of the latest platform response at this node or at a queried peer. */
+    let lastContactAt: Milliseconds | undefined;
+    let consecutiveFailures = 0;
+    let outageStartedAt = startedAt;
 
     const noteHeard = (at: Milliseconds): void => {
-        heardAt = Math.max(heardAt ?? at, at);
+        lastContactAt = Math.max(lastContactAt ?? at, at);
     };
-    const duty = createReaderDuty({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, noteHeard });
+    const role = createReaderRole({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, noteHeard });
 
-    /** One line when the platform is lost and one when it is back, whatever the number of reads between. */
-    const noteFailedRead = (failure: { readonly kind: string }, startedReadAt: Milliseconds): void => {
-        if (failuresInARow === 0) {
-            lostAt = startedReadAt;
-            logger.warn("The platform does not answer.", {
+    /**
+     * Logs one line when the platform stops responding. `recordSuccessfulRead` logs one line when it responds again.
+     */
+    const recordFailedRead = (failure: { readonly kind: string }, readStartedAt: Milliseconds): void => {
+        if (consecutiveFailures === 0) {
+            outageStartedAt = readStartedAt;
+            logger.warn("The platform does not respond.", {
                 reason: failure.kind,
                 detail: "detail" in failure ? String(failure.detail) : undefined,
-                durationMs: Math.round(clock.monotonic() - startedReadAt),
+                durationMs: Math.round(clock.monotonic() - readStartedAt),
             });
         }
-        failuresInARow += 1;
+        consecutiveFailures += 1;
     };
 
-    const noteAnsweredRead = (): void => {
-        if (failuresInARow > 0) {
-            logger.info("The platform answers again.", {
-                failedReads: failuresInARow,
-                lostMs: Math.round(clock.monotonic() - lostAt),
+    const recordSuccessfulRead = (): void => {
+        if (consecutiveFailures > 0) {
+            logger.info("The platform responds again.", {
+                failedReads: consecutiveFailures,
+                lostMs: Math.round(clock.monotonic() - outageStartedAt),
             });
         }
-        failuresInARow = 0;
+        consecutiveFailures = 0;
     };
 
     const readHeads: PlatformReader["readHeads"] = async (signal) => {
@@ -110,37 +115,37 @@
             return undefined;
         }
         counters.platformReads += 1;
-        const startedReadAt = clock.monotonic();
-        const bound = { clock, timeoutMs: pull.platformTimeoutMs, signal };
-        const outcome = await callWithin((inner) => source.readHeads(partners, inner), bound);
+        const readStartedAt = clock.monotonic();
+        const limits = { clock, timeoutMs: pull.platformTimeoutMs, signal };
+        const outcome = await callWithTimeout((inner) => source.readHeads(partners, inner), limits);
         if (either.isLeft(outcome)) {
             counters.platformFailures += 1;
-            noteFailedRead(outcome.left, startedReadAt);
+            recordFailedRead(outcome.left, readStartedAt);
             return undefined;
         }
-        noteAnsweredRead();
-        noteHeard(startedReadAt);
+        recordSuccessfulRead();
+        noteHeard(readStartedAt);
         for (const head of outcome.right) {
-            tell({ head, source: { kind: "Platform" } });
+            reportClaim({ head, source: { kind: "Platform" } });
         }
         return outcome.right;
     };
 
-    const nextDutyDelay = (): Milliseconds =>
-        clock.monotonic() - startedAt < SETTLE_MS ?
-            SETTLE_MS * (1 + random()) :
-            drawJitter(random, Math.min(options.stepMs, LONGEST_DUTY_DELAY_MS));
+    const drawRoleUpdateDelay = (): Milliseconds =>
+        clock.monotonic() - startedAt < STARTUP_DELAY_MS ?
+            STARTUP_DELAY_MS * (1 + random()) :
+            drawJitter(random, Math.min(options.stepMs, MAX_ROLE_UPDATE_DELAY_MS));
 
-    const nextReadDelay = (): Milliseconds => {
-        const exponent = Math.min(failuresInARow, MAX_BACKOFF_EXPONENT);
-        const backoff = failuresInARow === 0 ?
+    const drawReadDelay = (): Milliseconds => {
+        const exponent = Math.min(consecutiveFailures, MAX_BACKOFF_EXPONENT);
+        const backoff = consecutiveFailures === 0 ?
             0 :
             drawBackoff(random, exponent, options.intervalMs, options.backoffMaximumMs);
         return Math.max(drawJitter(random, options.intervalMs), backoff);
     };
 
-    const readIfOnDuty = async (signal: AbortSignal): Promise<void> => {
-        if (duty.isReading()) {
+    const readIfPolling = async (signal: AbortSignal): Promise<void> => {
+        if (role.isReading()) {
             await readHeads(signal);
         }
     };
@@ -148,14 +153,14 @@
     return {
         start: (signal) => {
             const loop = { clock, logger, signal };
-            void runPeriodically({ ...loop, delay: nextDutyDelay, run: () => duty.update(signal) });
-            void runPeriodically({ ...loop, delay: nextReadDelay, run: () => readIfOnDuty(signal) });
+            void runPeriodically({ ...loop, delay: drawRoleUpdateDelay, run: () => role.update(signal) });
+            void runPeriodically({ ...loop, delay: drawReadDelay, run: () => readIfPolling(signal) });
         },
         readHeads,
-        platformAge: () => heardAt === undefined ? undefined : Math.max(0, clock.monotonic() - heardAt),
-        rank: duty.rank,
-        isReader: duty.isReader,
-        isReading: duty.isReading,
-        isFollowing: () => duty.isReading() && heardAt !== undefined && failuresInARow === 0,
+        platformAge: () => lastContactAt === undefined ? undefined : Math.max(0, clock.monotonic() - lastContactAt),
+        rank: role.rank,
+        isReader: role.isReader,
+        isReading: role.isReading,
+        isFollowingPlatform: () => role.isReading() && lastContactAt !== undefined && consecutiveFailures === 0,
     };
 };
--- a/packages/oleandergap-idempotency/src/index.ts
+++ b/packages/oleandergap-idempotency/src/index.ts
@@ -1,5 +1,5 @@
-/** Claims that keep a non-idempotent request from running twice. */
-export type { AnswerSummary, ReplayedAnswer } from "./claim/answer.js";
+/** Claims that prevent a non-idempotent request from running twice. */
+export type { TargetResponse, ReplayedResponse } from "./claim/targetResponse.js";
 export type { KnownOutcome } from "./claim/acquireClaim.js";
 export {
     MAX_KEY_LENGTH,
@@ -11,23 +11,23 @@
 } from "./claim/claimKey.js";
 export { claimRowSchema, type ClaimRow } from "./claim/claimRow.js";
 export {
-    createClaimKeeper,
+    createClaimManager,
     type ClaimGrant,
-    type ClaimKeeper,
-    type ClaimKeeperDependencies,
+    type ClaimManager,
+    type ClaimManagerDependencies,
     type ClaimRequest,
     type ClaimResult,
     type ClaimStats,
-} from "./claim/claimKeeper.js";
+} from "./claim/claimManager.js";
 export type { Claim } from "./claim/localClaims.js";
 export { createClaimSweeper, type ClaimSweeper, type ClaimSweeperDependencies } from "./claim/claimSweeper.js";
 export { computeFingerprint, type FingerprintedRequest } from "./claim/fingerprint.js";
 export { claimOptionsSchema, ownershipOptionsSchema, type ClaimOptions, type OwnershipOptions } from "./options.js";
-export { createOwnedClaimKeeper, type OwnedClaimKeeperDependencies } from "./ownership/ownedClaimKeeper.js";
+export { createOwnedClaimManager, type OwnedClaimManagerDependencies } from "./ownership/ownedClaimManager.js";
 export {
     createPartitionOwnership,
     type PartitionOwnership,
     type PartitionOwnershipDependencies,
 } from "./ownership/partitionOwnership.js";
 export type { AcceptKey, KeyDecision } from "./ownership/keyAcceptance.js";
-export { ownerOf, partitionOf, rankOwners } from "./ownership/partitions.js";
+export { findOwner, getPartition, rankOwners } from "./ownership/partitions.js";
--- a/packages/oleandergap-measure/src/__tests__/experiment.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/experiment.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { formatResult } from "../experiment.js";
-import { createDurationRecorder } from "../recordDurations.js";
+import { createDurationRecorder } from "../durationRecorder.js";
 
 describe("formatResult", () => {
     it("writes one line of JSON with rounded figures", () => {
@@ -14,7 +14,7 @@
 });
 
 describe("createDurationRecorder", () => {
-    it("keeps percentiles to three significant digits and bounds what is out of range", () => {
+    it("keeps percentiles to three significant digits and clamps values out of range", () => {
         const recorder = createDurationRecorder();
         for (let duration = 1; duration <= 100; duration++) {
             recorder.record(duration);
--- a/packages/oleandergap-node/src/__tests__/readiness.test.ts
+++ b/packages/oleandergap-node/src/__tests__/readiness.test.ts
@@ -2,13 +2,14 @@
 import { createSeededRandom } from "oleandergap-utils";
 import { createReadinessState, findAdmissionRefusal } from "../admin/readiness.js";
 
-describe("findClosure", () => {
+describe("findAdmissionRefusal", () => {
     // Guards against a retry peak after all nodes have restarted together. Each node refuses callers for 0.4 s. With
     // the same retry delay, all of them return one second later, and half of the requests are late or refused again.
     it("spreads the retry delays of callers at a node that is recovering", () => {
         const random = createSeededRandom(4);
         const state = createReadinessState();
-        const times = Array.from({ length: 700 }, () => findAdmissionRefusal(state, false, 200, random)?.retryAfterMs ?? 0);
+        const times = Array.from({ length: 700 }, () =>
+            findAdmissionRefusal(state, false, 200, random)?.retryAfterMs ?? 0);
         expect(Math.min(...times)).to.be.within(300, 350);
         expect(Math.max(...times)).to.be.within(950, 1000);
         const busiest = Math.max(...Array.from({ length: 10 }, (_, slice) =>
--- a/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
-import { createManualClock, createTokenBucket, createTokenSupply } from "../index.js";
+import { createManualClock, createTokenBucket, createBulkTokenBucket } from "../index.js";
 
 describe("createTokenBucket", () => {
-    it("allows the burst, then the rate", async () => {
+    it("allows a burst first and limits the rate afterwards", async () => {
         const clock = createManualClock();
         const bucket = createTokenBucket({ clock, ratePerSecond: () => 10, burst: 2 });
         expect([bucket.tryTake(), bucket.tryTake(), bucket.tryTake()]).to.deep.equal([true, true, false]);
@@ -11,17 +11,17 @@
         expect([bucket.tryTake(), bucket.tryTake()]).to.deep.equal([true, false]);
     });
 
-    it("reports an endless wait when nothing flows in", () => {
+    it("reports an infinite wait if no tokens are added", () => {
         const bucket = createTokenBucket({ clock: createManualClock(), ratePerSecond: () => 0, burst: 1 });
         bucket.tryTake();
         expect(bucket.timeToNext()).to.equal(Number.POSITIVE_INFINITY);
     });
 });
 
-describe("createTokenSupply", () => {
-    it("tells the time until several tokens are there and may go into debt", async () => {
+describe("createBulkTokenBucket", () => {
+    it("returns the time until several tokens are available, and allows a negative number of tokens", async () => {
         const clock = createManualClock();
-        const supply = createTokenSupply({ clock, ratePerSecond: () => 10, burst: 5 });
+        const supply = createBulkTokenBucket({ clock, ratePerSecond: () => 10, burst: 5 });
         expect(supply.timeUntil(5)).to.equal(0);
         supply.take(7);
         expect(supply.timeUntil(1)).to.equal(300);
--- a/packages/oleandergap-utils/src/index.ts
+++ b/packages/oleandergap-utils/src/index.ts
@@ -1,13 +1,13 @@
-/** Clock, hashing, budgets and other small helpers. */
+/** Clocks, time limits, token buckets, hashing, random numbers and other small helpers. */
 export * from "./backgroundClock.js";
 export * from "./canonicalJson.js";
 export * from "./clock.js";
 export * from "./describeError.js";
-export * from "./lateTimer.js";
+export * from "./readAwareTimer.js";
 export * from "./manualClock.js";
 export * from "./random.js";
 export * from "./rendezvousHash.js";
-export * from "./silenceWatch.js";
+export * from "./inactivityTimeout.js";
 export * from "./sleep.js";
 export * from "./timeLimit.js";
 export * from "./tokenBucket.js";
