--- a/packages/oleandergap-demo/src/__tests__/plans.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/plans.test.ts
@@ -2,14 +2,14 @@
 import fc from "fast-check";
 import { MAX_CELLS_PER_CHANGE } from "oleandergap-types";
 import { readMetricSamples, sumMetric } from "../fleet/readMetric.js";
-import { createTodaysPlan } from "../plan/deployments.js";
+import { createFullPlan } from "../plan/deployments.js";
 import { listZones } from "../plan/fleetPlan.js";
 import { createGeneratedPlan } from "../plan/generatedPlan.js";
 import { listSeedChanges } from "../plan/seedEdits.js";
 
 describe("createTodaysPlan", () => {
     it("contains the targets, slots and zones of both deployments", () => {
-        const { vms, partners } = createTodaysPlan();
+        const { vms, partners } = createFullPlan();
         const count = (service: string): number => vms.filter(({ target }) => target?.service === service).length;
 
         expect(vms).to.have.length(22);
--- a/packages/oleandergap-demo/src/main.ts
+++ b/packages/oleandergap-demo/src/main.ts
@@ -4,7 +4,7 @@
 import { MILLISECONDS_PER_SECOND } from "oleandergap-types";
 import { runCheck } from "./check/runCheck.js";
 import { startFleet } from "./fleet/startFleet.js";
-import { createSmallPlan, createTodaysPlan } from "./plan/deployments.js";
+import { createSmallPlan, createFullPlan } from "./plan/deployments.js";
 import { DEFAULT_PORT_BASE, type FleetPlan } from "./plan/fleetPlan.js";
 import { watchStopSignals } from "./process/stopSignals.js";
 import { describeFleet } from "./report/describeFleet.js";
@@ -61,7 +61,7 @@
     });
 
 const choosePlan = ({ small, portBase }: CommandOptions): FleetPlan =>
-    small ? createSmallPlan(portBase) : createTodaysPlan(portBase);
+    small ? createSmallPlan(portBase) : createFullPlan(portBase);
 
 const check = async (commandOptions: CommandOptions, stopSignal: AbortSignal): Promise<void> => {
     const { timeLimit, keepFiles } = commandOptions;
--- a/packages/oleandergap-demo/src/plan/deployments.ts
+++ b/packages/oleandergap-demo/src/plan/deployments.ts
@@ -91,7 +91,7 @@
 };
 
 /** Creates a plan of both deployments at their full sizes: 22 VMs in seven availability zones. */
-export const createTodaysPlan = (portBase?: number): FleetPlan =>
+export const createFullPlan = (portBase?: number): FleetPlan =>
     createDeploymentPlan([halloway, kushiro], portBase);
 
 /**
--- a/packages/oleandergap-measure/src/__tests__/naiveCaller.test.ts
+++ b/packages/oleandergap-measure/src/__tests__/naiveCaller.test.ts
@@ -45,7 +45,7 @@
         const result = await caller.call(gateway, createUnkeyedPost("again", 0, TIMEOUT_MS));
 
         expect(result).to.include({ kind: "Failed", verdict: "mayHaveRun" });
-        const runs = targets.reduce((sum, target) => sum + target.runLog.runsOf("again-0"), 0);
+        const runs = targets.reduce((sum, target) => sum + target.runLog.countRuns("again-0"), 0);
         expect(runs).to.equal(1 + MAX_RETRIES);
     });
 });
--- a/packages/oleandergap-measure/src/fleetPlans.ts
+++ b/packages/oleandergap-measure/src/fleetPlans.ts
@@ -1,5 +1,5 @@
 /** Creates the fleet plan of an experiment. */
-import { createGeneratedPlan, createTodaysPlan, type FleetPlan, type TargetBehaviour } from "oleandergap-demo";
+import { createGeneratedPlan, createFullPlan, type FleetPlan, type TargetBehaviour } from "oleandergap-demo";
 
 /** Number of nodes in the current two deployments. */
 export const CURRENT_DEPLOYMENT_NODES = 22;
@@ -18,7 +18,7 @@
  */
 export const createExperimentPlan = ({ nodes, behaviour, servicesPerPartner }: PlanOptions): FleetPlan => {
     if (nodes === CURRENT_DEPLOYMENT_NODES && behaviour === undefined && servicesPerPartner === undefined) {
-        return createTodaysPlan();
+        return createFullPlan();
     }
     return createGeneratedPlan({
         nodes,
--- a/packages/oleandergap-standins/src/target/runLog.ts
+++ b/packages/oleandergap-standins/src/target/runLog.ts
@@ -16,7 +16,7 @@
     readonly record: (key: string | undefined, requestId: string | undefined) => void;
     /** Number of all runs, with and without a key. */
     readonly total: () => number;
-    readonly runsOf: (key: string) => number;
+    readonly countRuns: (key: string) => number;
     readonly entries: () => readonly KeyRuns[];
 }
 
@@ -56,7 +56,7 @@
     return {
         record,
         total: () => total,
-        runsOf: (key) => byKey.get(key)?.runs ?? 0,
+        countRuns: (key) => byKey.get(key)?.runs ?? 0,
         entries: () => [...byKey.values()].map((entry) => ({ ...entry, requestIds: [...entry.requestIds] })),
     };
 };
