--- a/packages/oleandergap-demo/src/check/followChange.ts
+++ b/packages/oleandergap-demo/src/check/checkChanges.ts
@@ -4,7 +4,7 @@
 import { runCommand } from "../fleet/commandLine.js";
 import { waitForValue } from "../fleet/waitFor.js";
 import { listServedServices, type CheckContext, type ServedService } from "./checkContext.js";
-import { sendRequests, describeRetries } from "./serveServices.js";
+import { sendRequests, describeRetries } from "./checkServices.js";
 
 const ACTIVATION_TIMEOUT: Milliseconds = 30_000;
 const REQUESTS_AFTER_CHANGE = 20;
--- a/packages/oleandergap-demo/src/check/drainTarget.ts
+++ b/packages/oleandergap-demo/src/check/checkDrain.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from "oleandergap-types";
 import { runCommand } from "../fleet/commandLine.js";
 import { listServedServices, type CheckContext, type ServedService } from "./checkContext.js";
-import { sendRequests, describeRetries } from "./serveServices.js";
+import { sendRequests, describeRetries } from "./checkServices.js";
 
 /** Time within which all nodes must have received the information that a target is leaving. */
 const PROPAGATION_TIME: Milliseconds = 3000;
--- a/packages/oleandergap-demo/src/check/restorePlatform.ts
+++ b/packages/oleandergap-demo/src/check/checkPlatformRestore.ts
@@ -4,8 +4,8 @@
  */
 import type { CheckContext } from "./checkContext.js";
 import { listServedServices } from "./checkContext.js";
-import { checkChanges } from "./followChange.js";
-import { sendRequests, type RequestSummary } from "./serveServices.js";
+import { checkChanges } from "./checkChanges.js";
+import { sendRequests, type RequestSummary } from "./checkServices.js";
 
 /** Large enough that requests are in flight during the whole step. */
 const REQUESTS_PER_SERVICE = 30;
--- a/packages/oleandergap-demo/src/check/runCheck.ts
+++ b/packages/oleandergap-demo/src/check/runCheck.ts
@@ -7,11 +7,11 @@
 import { startFleet } from "../fleet/startFleet.js";
 import type { FleetPlan } from "../plan/fleetPlan.js";
 import type { CheckContext } from "./checkContext.js";
-import { checkContainment } from "./containRequest.js";
-import { checkDrain } from "./drainTarget.js";
-import { checkChanges } from "./followChange.js";
-import { checkPlatformRestore } from "./restorePlatform.js";
-import { checkEveryService } from "./serveServices.js";
+import { checkContainment } from "./checkContainment.js";
+import { checkDrain } from "./checkDrain.js";
+import { checkChanges } from "./checkChanges.js";
+import { checkPlatformRestore } from "./checkPlatformRestore.js";
+import { checkEveryService } from "./checkServices.js";
 
 /** Options of the self-check. */
 export interface CheckOptions {
--- a/packages/oleandergap-demo/src/fleet/startFleet.ts
+++ b/packages/oleandergap-demo/src/fleet/startFleet.ts
@@ -12,7 +12,7 @@
 import { mapWithLimit } from "../process/mapWithLimit.js";
 import { createProcessGroup, type ProcessGroup } from "../process/processGroup.js";
 import { readProcessUsage } from "../process/processUsage.js";
-import { installSignalHandlers } from "../process/signalGuard.js";
+import { installSignalHandlers } from "../process/signalHandlers.js";
 import type { OperatorAccess } from "./credentials.js";
 import type { Fleet } from "./fleet.js";
 import { createFleetFiles, type FleetFiles } from "./fleetFiles.js";
--- a/packages/oleandergap-node/src/control/fleetClient.ts
+++ b/packages/oleandergap-node/src/control/fleetClient.ts
@@ -66,7 +66,7 @@
             const response = schema.safeParse(await sendQuery(createCallClient(node), limit.signal));
             return response.success ?
                 either.right(response.data) :
-                either.left({ kind: "NodeUnreachable", detail: "the response is invalid" });
+                either.left({ kind: "NodeUnreachable", detail: "the answer is not understood" });
         }
         catch (error) {
             return either.left({ kind: "NodeUnreachable", detail: describeError(error) });
--- a/packages/oleandergap-platform/src/channel.ts
+++ b/packages/oleandergap-platform/src/channel.ts
@@ -80,7 +80,7 @@
         // Repeated headers are joined into a text that is not a valid era.
         const era = eras.watch.note(typeof headerValue === "object" ? headerValue.join(", ") : headerValue);
         return either.mapLeft(({ kind: reason }: EraError) =>
-            toUnusableResponseError(kind, `the response has an invalid or outdated era: ${reason}`))(era);
+            toUnusableResponseError(kind, `answer out of its era: ${reason}`))(era);
     };
 
     const classifyResponse = (kind: CallKind, result: ExchangeResult): Either<PlatformError, ResponseWithEra> => {
--- a/packages/oleandergap-platform/src/classifyExchange.ts
+++ b/packages/oleandergap-platform/src/classifyExchange.ts
@@ -63,7 +63,7 @@
     if (SUCCESS_STATUSES.has(result.status)) {
         return either.right({ status: result.status, body: result.body });
     }
-    const detail = `the platform responded with status ${result.status}`;
+    const detail = `the platform answered with status ${result.status}`;
     return either.left(isRejection(result.status) ?
         { kind: "Unavailable", detail } :
         toUnusableResponseError(kind, detail));
--- a/packages/oleandergap-platform/src/exchange.ts
+++ b/packages/oleandergap-platform/src/exchange.ts
@@ -94,7 +94,7 @@
     return {
         onRequestStart: (controller) => {
             if (exchange.isEnded) {
-                controller.abort(new Error("the call was aborted before the request was sent"));
+                controller.abort(new Error("the call was given up before it was sent"));
                 return;
             }
             exchange.controller = controller;
@@ -104,14 +104,14 @@
             status = statusCode;
             headers = receivedHeaders;
             if (status === STATUS_OK && !hasDelimitedBody(receivedHeaders)) {
-                abortExchange(exchange, "the response does not declare where its body ends");
+                abortExchange(exchange, "the answer does not say where it ends");
             }
         },
         onResponseData: (_controller, chunk) => {
             exchange.noteProgress();
             receivedBytes += chunk.length;
             if (receivedBytes > maximumAnswerBytes) {
-                abortExchange(exchange, `the response is larger than ${maximumAnswerBytes} bytes`);
+                abortExchange(exchange, `the answer is longer than ${maximumAnswerBytes} bytes`);
                 return;
             }
             chunks.push(chunk);
@@ -135,10 +135,10 @@
     };
     const silenceWatch = startInactivityTimeout(limits, (exceededLimit) => {
         if (exceededLimit === "silence") {
-            abortExchange(exchange, `no response data within ${limits.timeoutMs} ms`, true);
+            abortExchange(exchange, `no answer within ${limits.timeoutMs} ms`, true);
             return;
         }
-        abortExchange(exchange, `the response was not complete within ${limits.longestMs} ms`);
+        abortExchange(exchange, `the answer did not end within ${limits.longestMs} ms`);
     });
     const exchange: RunningExchange = {
         controller: undefined,
--- a/packages/oleandergap-platform/src/memoryPlatform.ts
+++ b/packages/oleandergap-platform/src/memoryPlatform.ts
@@ -61,8 +61,8 @@
 
 const toLostResponseError = (call: PlatformCall): PlatformError =>
     isWrite(call.operation) ?
-        { kind: "OutcomeUnknown", detail: "the response was lost" } :
-        { kind: "Unavailable", detail: "the response was lost" };
+        { kind: "OutcomeUnknown", detail: "the answer was lost" } :
+        { kind: "Unavailable", detail: "the answer was lost" };
 
 const createCallRunner = ({
     decideFault = () => noFault,
--- a/packages/oleandergap-platform/src/objectStoreClient.ts
+++ b/packages/oleandergap-platform/src/objectStoreClient.ts
@@ -56,7 +56,7 @@
             undefined;
         return parsedList?.parsed.keys.every((key) => key.startsWith(prefix)) === true ?
             either.right(parsedList.parsed.keys) :
-            either.left(channel.rejectResponse("Read", "the list of objects is unreadable or has unexpected keys"));
+            either.left(channel.rejectResponse("Read", "unreadable list of objects"));
     };
 
     return { get, put, list, counters: channel.counters, ...eras === undefined ? {} : { era: eras.newest } };
--- a/packages/oleandergap-platform/src/tableServiceClient.ts
+++ b/packages/oleandergap-platform/src/tableServiceClient.ts
@@ -50,7 +50,7 @@
         }
         const parsedBody = parseJson(schema, response.right.body);
         return parsedBody === undefined ?
-            either.left(channel.rejectResponse(kind, `unreadable response to ${path}`)) :
+            either.left(channel.rejectResponse(kind, `unreadable answer to ${path}`)) :
             either.right(parsedBody.parsed);
     };
 
@@ -72,7 +72,7 @@
         const { rows } = response.right;
         return matchesRequest(rows) ?
             either.right(rows) :
-            either.left(channel.rejectResponse("Read", `the response to ${path} contains rows that were not requested`));
+            either.left(channel.rejectResponse("Read", `the answer to ${path} holds rows that were not asked for`));
     };
 
     return {
--- a/packages/oleandergap-standins/src/caller/caller.ts
+++ b/packages/oleandergap-standins/src/caller/caller.ts
@@ -15,9 +15,9 @@
     type Verdict,
 } from "oleandergap-types";
 import { createSystemClock } from "oleandergap-utils";
-import { ANSWER_PADDING_HEADER, RUN_KEY_HEADER } from "../target/requestFacts.js";
+import { ANSWER_PADDING_HEADER, RUN_KEY_HEADER } from "../target/requestHeaders.js";
 import type { CallRequest, CallResult, GatewayAddress } from "./callResult.js";
-import { checkResponse } from "./checkAnswer.js";
+import { checkResponse } from "./checkResponse.js";
 
 /** Client of the gateways that reuses its connections for many requests. */
 export interface Caller {
--- a/packages/oleandergap-standins/src/platform/platformStandIn.ts
+++ b/packages/oleandergap-standins/src/platform/platformStandIn.ts
@@ -104,7 +104,7 @@
 
 const restoreLastCopy = (platform: Platform, response: ServerResponse): void => {
     if (platform.copy === undefined) {
-        sendJson(response, { error: "no copy was taken" }, CONFLICT);
+        sendJson(response, { error: "no copy was kept" }, CONFLICT);
         return;
     }
     restore(platform, platform.copy);
--- a/packages/oleandergap-standins/src/target/exchange.ts
+++ b/packages/oleandergap-standins/src/target/handleRequest.ts
@@ -16,7 +16,7 @@
 import { readPath, sendJson } from "../http/jsonHttp.js";
 import { sendEcho, summariseBody } from "./echo.js";
 import type { TargetFaults, TargetOptions } from "./options.js";
-import { readRequestHeaders, type RequestHeaders } from "./requestFacts.js";
+import { readRequestHeaders, type RequestHeaders } from "./requestHeaders.js";
 import type { RunLog } from "./runLog.js";
 import { drawServiceTime } from "./serviceTime.js";
 
--- a/packages/oleandergap-standins/src/target/targetControl.ts
+++ b/packages/oleandergap-standins/src/target/targetControl.ts
@@ -10,7 +10,7 @@
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { describeInputError } from "../http/describeInputError.js";
 import { closeAbruptly, listen, readJson, readPath, sendJson } from "../http/jsonHttp.js";
-import type { TargetCounters } from "./exchange.js";
+import type { TargetCounters } from "./handleRequest.js";
 import { targetFaultsSchema } from "./options.js";
 import { mergeRuns, type KeyRuns } from "./runLog.js";
 import type { TargetStandIn } from "./targetStandIn.js";
@@ -96,7 +96,7 @@
     const [, id, action] = TARGET_PATH.exec(path) ?? [];
     const target = targets.find((candidate) => candidate.options.id === id);
     if (target === undefined || action === undefined) {
-        sendJson(response, { error: `no such control: ${path}` }, NOT_FOUND);
+        sendJson(response, { error: `nothing at ${path}` }, NOT_FOUND);
         return;
     }
     sendJson(response, await runAction(target, action, request));
--- a/packages/oleandergap-standins/src/target/targetStandIn.ts
+++ b/packages/oleandergap-standins/src/target/targetStandIn.ts
@@ -8,7 +8,7 @@
 import { createSeededRandom, createSystemClock, type Random } from "oleandergap-utils";
 import { closeAbruptly, closeGracefully, listen, readPath, sendJson } from "../http/jsonHttp.js";
 import { createAnnouncer, type Announcer } from "./announcer.js";
-import { handleRequest, type RequestContext, type TargetCounters } from "./exchange.js";
+import { handleRequest, type RequestContext, type TargetCounters } from "./handleRequest.js";
 import { createLaggingLoad } from "./laggingLoad.js";
 import {
     noTargetFaults,
