--- a/packages/oleandergap-idempotency/src/__tests__/support/claimHarness.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/claimHarness.ts
@@ -45,7 +45,7 @@
         const writeOutcomes: CallOutcome[] = [];
         const chooseOutcome = (call: "read" | "write"): CallOutcome =>
             call === "write" ? writeOutcomes.shift() ?? HEALTHY : HEALTHY;
-        const keeper = createClaimManager({
+        const claimManager = createClaimManager({
             tableService: table.connect(nodeClock, chooseOutcome),
             clock: nodeClock,
             random: createSeededRandom(1),
@@ -56,9 +56,9 @@
             signal: controller.signal,
         });
         const start = (key: string, fingerprint: string, signal: AbortSignal): Promise<ClaimResult> =>
-            keeper.claim({ ...SIMULATED_SERVICE, key, fingerprint, deadline: clock.monotonic() + TIMEOUT }, signal);
+            claimManager.claim({ ...SIMULATED_SERVICE, key, fingerprint, deadline: clock.monotonic() + TIMEOUT }, signal);
         return {
-            claimManager: keeper,
+            claimManager: claimManager,
             clock: nodeClock,
             writeOutcomes,
             startClaim: (key, signal = controller.signal) => start(key, "same", signal),
--- a/packages/oleandergap-idempotency/src/measure/claimCost.ts
+++ b/packages/oleandergap-idempotency/src/measure/claimCost.ts
@@ -33,9 +33,9 @@
     return user + system;
 };
 
-const claimAndComplete = async (keeper: ClaimManager, key: string, signal: AbortSignal): Promise<void> => {
+const claimAndComplete = async (claimManager: ClaimManager, key: string, signal: AbortSignal): Promise<void> => {
     const deadline = Number.POSITIVE_INFINITY;
-    const result = await keeper.claim({ ...SIMULATED_SERVICE, key, fingerprint: "same", deadline }, signal);
+    const result = await claimManager.claim({ ...SIMULATED_SERVICE, key, fingerprint: "same", deadline }, signal);
     if (result._tag === "Right" && result.right.kind === "Granted") {
         result.right.claim.complete(RESPONSE);
     }
--- a/packages/oleandergap-idempotency/src/measure/ownedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/ownedNode.ts
@@ -29,7 +29,7 @@
     const ownerships: PartitionOwnership[] = [];
     const node = createClaimingNode(dependencies, (clock) => {
         const shared = { ...dependencies, clock, tableService: connect(clock) };
-        const keeper = createClaimManager({ ...shared, options: claimOptions });
+        const claimManager = createClaimManager({ ...shared, options: claimOptions });
         const ownership = createPartitionOwnership({
             ...shared,
             options: ownershipOptions,
@@ -39,7 +39,7 @@
         });
         ownerships.push(ownership);
         void ownership.start(signal);
-        return createOwnedClaimManager({ claimManager: keeper, ownership, clock, claimOptions });
+        return createOwnedClaimManager({ claimManager: claimManager, ownership, clock, claimOptions });
     });
     const [ownership] = ownerships;
     if (ownership === undefined) {
--- a/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
@@ -45,11 +45,11 @@
 /** Creates a node that runs a request only with a claim. `createKeeper` creates the source of its claims. */
 export const createClaimingNode = (
     dependencies: SimulatedNodeDependencies,
-    createKeeper: (clock: Clock) => ClaimManager,
+    createClaimManager: (clock: Clock) => ClaimManager,
 ): SimulatedNode => {
     const { random, target, signal } = dependencies;
     const clock = createFreezableClock(dependencies.clock, dependencies.wallClockOffset);
-    const keeper = createKeeper(clock);
+    const claimManager = createClaimManager(clock);
     const pauseBetweenSteps = (): Promise<void> => clock.sleep(random() * MAX_STEP_DELAY, signal);
 
     const run = async (key: string, claim: Claim): Promise<CallerResult> => {
@@ -78,7 +78,7 @@
     const handle = async (key: string, timeout: Milliseconds): Promise<CallerResult> => {
         const deadline = clock.monotonic() + timeout;
         const request = { ...SIMULATED_SERVICE, key, fingerprint: "same", deadline };
-        const result = await keeper.claim(request, signal);
+        const result = await claimManager.claim(request, signal);
         return either.isRight(result) && result.right.kind === "Granted" ?
             run(key, result.right.claim) :
             createCallerResult(key, result);
--- a/packages/oleandergap-membership/src/contactSources.ts
+++ b/packages/oleandergap-membership/src/contactSources.ts
@@ -10,7 +10,7 @@
 import { pickOne, rankByRendezvous, type Random } from "oleandergap-utils";
 import type { MemberTable } from "./memberTable.js";
 import type { Contact, FetchContacts } from "./membershipTypes.js";
-import type { RosterKeeper } from "./roster.js";
+import type { RosterManager } from "./roster.js";
 
 /**
  * Number of members per zone that read the rosters of remote zones. With two of them, one may be dead or disconnected.
@@ -56,7 +56,7 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly table: MemberTable;
-    readonly roster: RosterKeeper | undefined;
+    readonly roster: RosterManager | undefined;
     readonly fetchContacts: FetchContacts | undefined;
 }
 
--- a/packages/oleandergap-membership/src/membershipParts.ts
+++ b/packages/oleandergap-membership/src/membershipParts.ts
@@ -14,7 +14,7 @@
 import { createMessenger, type Messenger } from "./messenger.js";
 import { createProber, type Prober } from "./prober.js";
 import { createRejoiner, type Rejoiner } from "./rejoiner.js";
-import { createRosterKeeper, type RosterKeeper } from "./roster.js";
+import { createRosterManager, type RosterManager } from "./roster.js";
 import { createStatistics, type Statistics } from "./statistics.js";
 import { SUSPECT_CHECKS, createSuspicions, type Suspicions } from "./suspicions.js";
 import { createSynchronizer, type Synchronizer } from "./synchronizer.js";
@@ -51,7 +51,7 @@
     readonly synchronizer: Synchronizer;
     readonly gossiper: Gossiper;
     readonly contacts: ContactBook;
-    readonly roster: RosterKeeper | undefined;
+    readonly roster: RosterManager | undefined;
     readonly rejoiner: Rejoiner;
     readonly handleDatagram: HandleDatagram;
 }
@@ -120,12 +120,12 @@
     };
 };
 
-const createRoster = (dependencies: MembershipDependencies, shared: SharedState): RosterKeeper | undefined => {
+const createRoster = (dependencies: MembershipDependencies, shared: SharedState): RosterManager | undefined => {
     const { self, clock, random, options, objectStore } = dependencies;
     const { table, statistics } = shared;
     return objectStore === undefined ?
         undefined :
-        createRosterKeeper({
+        createRosterManager({
             selfId: self.id,
             zone: self.zone,
             clock,
--- a/packages/oleandergap-membership/src/rejoiner.ts
+++ b/packages/oleandergap-membership/src/rejoiner.ts
@@ -5,7 +5,7 @@
 import type { MemberTable } from "./memberTable.js";
 import type { MembershipOptions } from "./options.js";
 import { getControlEndpoint, type Prober } from "./prober.js";
-import type { RosterKeeper } from "./roster.js";
+import type { RosterManager } from "./roster.js";
 import type { Synchronizer } from "./synchronizer.js";
 import { listNeighbours } from "./neighbours.js";
 import { formatEndpoint, type Endpoint } from "./transport.js";
@@ -40,7 +40,7 @@
     readonly table: MemberTable;
     readonly prober: Prober;
     readonly synchronizer: Synchronizer;
-    readonly roster: RosterKeeper | undefined;
+    readonly roster: RosterManager | undefined;
 }
 
 /** Creates a rejoiner whose initial candidates are the seeds of the local zone. */
--- a/packages/oleandergap-membership/src/roster.ts
+++ b/packages/oleandergap-membership/src/roster.ts
@@ -59,7 +59,7 @@
     readonly nextAt: Milliseconds;
 }
 
-export interface RosterKeeper {
+export interface RosterManager {
     /**
      * Writes the roster of the local zone if the roster has changed and this node is one of its writers, or if this
      * node has detected that the store was restored from a backup. `receive` is called with the previous entries,
@@ -119,7 +119,7 @@
  * Creates the roster keeper. Calls to the object store run in the background; failed calls are counted and retried
  * later.
  */
-export const createRosterKeeper = (dependencies: RosterDependencies): RosterKeeper => {
+export const createRosterManager = (dependencies: RosterDependencies): RosterManager => {
     const { selfId, zone, clock, random, objectStore, table, periodMs, statistics } = dependencies;
     const reads = new Map<ZoneName, RosterReads>();
     let isDirty = true;
@@ -196,7 +196,7 @@
         restoreCheck.markComplete(era);
     };
 
-    const poll: RosterKeeper["poll"] = (receive, signal) => {
+    const poll: RosterManager["poll"] = (receive, signal) => {
         const now = clock.monotonic();
         isDirty ||= now >= nextRecheckAt;
         const isRestored = restoreCheck.isDue(now);
@@ -223,7 +223,7 @@
             });
     };
 
-    const read: RosterKeeper["read"] = (rosterZone, receive, signal) => {
+    const read: RosterManager["read"] = (rosterZone, receive, signal) => {
         const now = clock.monotonic();
         const { count, nextAt } = reads.get(rosterZone) ?? { count: 0, nextAt: now };
         if (now < nextAt) {
