--- a/packages/oleandergap-idempotency/src/__tests__/claimManager.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimManager.test.ts
@@ -51,8 +51,9 @@
         });
     });
 
-    // Guards against the same failure for a key that was released before: the claim that replaces the released row
-    // misses its deadline and takes effect late. Its release must overwrite the row released by the other attempt.
+    // Guards against a key that was released before and then fails with "may have run" for days: the claim that
+    // replaces the released row misses its deadline and takes effect late. Its release must overwrite the row that the
+    // earlier attempt released.
     it("does not let a late claim replace an earlier release", async () => {
         expectGranted(await first.claim(KEY)).release();
         await harness.clock.advance(TIMEOUT);
--- a/packages/oleandergap-idempotency/src/__tests__/claimModel.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/claimModel.test.ts
@@ -2,7 +2,7 @@
 import * as fc from "fast-check";
 import { claimOptionsSchema, createClaimManager } from "../index.js";
 import { createOutcomeChooser } from "../measure/platformMode.js";
-import { createClaimingNode, createNaiveNode } from "../measure/simulatedNode.js";
+import { createClaimingNode, createNodeWithoutClaims } from "../measure/simulatedNode.js";
 import { NODES, runArbitrary, send, simulate, type StartNode, type Simulation } from "./support/simulation.js";
 import { silentLogger } from "./support/silentLogger.js";
 
@@ -21,7 +21,7 @@
     signal: simulation.signal,
 }));
 
-const startNaive: StartNode = (simulation) => createNaiveNode(simulation);
+const startWithoutClaims: StartNode = (simulation) => createNodeWithoutClaims(simulation);
 
 /** Checks that a key that certainly did not run can be run, and that a completed key returns its first response. */
 const expectKeyUsable = async (simulation: Simulation, key: string): Promise<void> => {
@@ -61,9 +61,9 @@
             { numRuns: 400 },
         ));
 
-    it("are necessary: the naive version runs keys twice in the same simulation", async () => {
+    it("are necessary: a node without claims runs keys twice in the same simulation", async () => {
         const result = await fc.check(
-            fc.asyncProperty(runArbitrary, (run) => simulate(run, startNaive, async (simulation) => {
+            fc.asyncProperty(runArbitrary, (run) => simulate(run, startWithoutClaims, async (simulation) => {
                 expect(simulation.target.maxRuns()).to.be.at.most(1);
             })),
             { numRuns: 50 },
--- a/packages/oleandergap-idempotency/src/__tests__/hangingPlatform.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/hangingPlatform.test.ts
@@ -38,9 +38,9 @@
         return expectFailure(await pending);
     };
 
-    // Guards against requests that wait until their deadline during an outage, and of which many fail with "may have
-    // run" although nothing ran: the platform accepts the write and never responds, and gate and gateway reach the
-    // deadline together. A missing response must count as an outage, not only a refusal.
+    // Guards against requests that wait until their deadline during an outage. Many of them fail with "may have run"
+    // although nothing ran: the platform accepts the write and never responds, and gate and gateway reach the deadline
+    // together. A missing response must count as an outage, not only a refusal.
     it("refuses the first claim long before its deadline and the next ones immediately without a call", async () => {
         node.writeOutcomes.push(...createHangingCalls());
         expect(await claimDuringHang()).to.include(UNAVAILABLE);
@@ -115,9 +115,9 @@
         expect(expectFailure(await node.startClaim(formatKey(0)))).to.include(UNAVAILABLE);
     });
 
-    // Guards against a platform that responds in 300 ms but counts as down: claims that wait in the queue behind others
-    // or need two writes take more than 500 ms in total. The timeout must apply to the time without any response, not
-    // to the whole claim.
+    // Guards against a platform that responds in 300 ms but counts as down: claims that wait in the queue for earlier
+    // claims or need two writes take more than 500 ms in total. The timeout must apply to the time without any
+    // response, not to the whole claim.
     it("continues to use a platform that is slow but responds", async () => {
         expectGranted(await node.claim(formatKey(0))).release();
         await harness.clock.advance(TIMEOUT);
--- a/packages/oleandergap-idempotency/src/__tests__/ownershipModel.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/ownershipModel.test.ts
@@ -42,8 +42,8 @@
 });
 
 /**
- * Maximum number of new keys to try. The lease here is shorter than the largest clock error, so the timestamps of some
- * keys are outside of it.
+ * Maximum number of new keys that are sent. The lease here is shorter than the largest clock error, so the timestamps
+ * of some keys are outside of it.
  */
 const MAX_FRESH_KEYS = 60;
 
--- a/packages/oleandergap-idempotency/src/__tests__/partitionOwnership.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/partitionOwnership.test.ts
@@ -37,7 +37,7 @@
     });
 
     // Guards against requests that are not accepted during an outage because each claim waits for the platform, and
-    // against outcomes that are lost because recording them is tried only once.
+    // against outcomes that are lost because only one attempt is made to record them.
     it("accepts keys during an outage until its lease ends, and records their outcomes afterwards", async () => {
         first.defaultOutcome = DOWN;
         const early = harness.generateKey();
--- a/packages/oleandergap-idempotency/src/__tests__/support/claimHarness.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/support/claimHarness.ts
@@ -1,4 +1,4 @@
-/** Test harness for the claim keepers of several nodes that share one table, with a manual clock. */
+/** Test harness for the claim managers of several nodes that share one table, with a manual clock. */
 import { setMaxListeners } from "node:events";
 import * as either from "fp-ts/lib/Either.js";
 import type { RequestFailure } from "oleandergap-types";
@@ -56,9 +56,12 @@
             signal: controller.signal,
         });
         const start = (key: string, fingerprint: string, signal: AbortSignal): Promise<ClaimResult> =>
-            claimManager.claim({ ...SIMULATED_SERVICE, key, fingerprint, deadline: clock.monotonic() + TIMEOUT }, signal);
+            claimManager.claim(
+                { ...SIMULATED_SERVICE, key, fingerprint, deadline: clock.monotonic() + TIMEOUT },
+                signal,
+            );
         return {
-            claimManager: claimManager,
+            claimManager,
             clock: nodeClock,
             writeOutcomes,
             startClaim: (key, signal = controller.signal) => start(key, "same", signal),
--- a/packages/oleandergap-idempotency/src/__tests__/takeover.test.ts
+++ b/packages/oleandergap-idempotency/src/__tests__/takeover.test.ts
@@ -18,16 +18,16 @@
         const writer = createBatchWriter({ tableService, clock, signal, options });
         const former = { nodeId: "node-1", bootId: "0.0" };
         const leaseKey = formatLeaseKey(former);
-        const lease = (ceiling: number): LeaseRow => ({ state: "active", ceiling });
+        const createLease = (ceiling: number): LeaseRow => ({ state: "active", ceiling });
         const partition: PartitionRow = { holder: former, unknownUpTo: 0, recordedUpTo: 0 };
-        const renewed = [lease(100), lease(200)].map((value) =>
+        const renewed = [createLease(100), createLease(200)].map((value) =>
             writer.submit({ key: leaseKey, condition: { kind: "Any" }, value }));
         await clock.advance(1);
         await Promise.all(renewed);
         const takeover = createTakeover({
             reader: {
                 read: async (key) => either.right(key === leaseKey ?
-                    { key, version: { era: 0, version: 1 }, value: lease(100) } :
+                    { key, version: { era: 0, version: 1 }, value: createLease(100) } :
                     { key, version: { era: 0, version: 1 }, value: partition }),
                 calls: () => 0,
             },
@@ -40,6 +40,6 @@
         const step = takeover.inspect("owners/halloway/grant-filer/0", { nodeId: "node-2", bootId: "0.0" });
         await clock.advance(1);
         expect(await step).to.deep.equal({ kind: "Wait" });
-        expect(table.get(leaseKey)?.value).to.deep.equal(lease(200));
+        expect(table.get(leaseKey)?.value).to.deep.equal(createLease(200));
     });
 });
--- a/packages/oleandergap-idempotency/src/claim/acquireClaim.ts
+++ b/packages/oleandergap-idempotency/src/claim/acquireClaim.ts
@@ -53,7 +53,7 @@
     lastResponseAt: Milliseconds;
     /** True when a write with an unknown outcome was sent: the row may exist now or appear later. */
     mayRowExist: boolean;
-    /** True when no caller waits for the result; the attempt stops at its next step. */
+    /** True when no caller waits for the result any more; the attempt then ends before its next call. */
     abandoned: boolean;
 }
 
@@ -92,7 +92,7 @@
     );
 };
 
-const evaluateRow = (found: TableRow | undefined, own: ClaimedRow, retryAfterMs: Milliseconds): RowDecision => {
+const evaluateRow = (found: TableRow | undefined, claimedRow: ClaimedRow, retryAfterMs: Milliseconds): RowDecision => {
     if (found === undefined) {
         return { kind: "Insert", condition: { kind: "Absent" } };
     }
@@ -101,9 +101,9 @@
         // A newer release may have written the row. The row proves that the key was claimed, so it must not run again.
         return createFinalDecision(createFailedResult(createDuplicateFailure(retryAfterMs)));
     }
-    return parsed.data.attemptId === own.attemptId ?
+    return parsed.data.attemptId === claimedRow.attemptId ?
         createFinalDecision({ kind: "Held" }) :
-        evaluateOtherClaim(parsed.data, found.version, own.fingerprint, retryAfterMs);
+        evaluateOtherClaim(parsed.data, found.version, claimedRow.fingerprint, retryAfterMs);
 };
 
 const getRetryAfter = (error: PlatformError, circuitBreaker: PlatformCircuitBreaker): Milliseconds =>
@@ -127,6 +127,7 @@
         either.left(createDuplicateFailure(retryAfterMs));
 };
 
+/** Claims the key of `attempt`, with retries until the outcome is certain or the attempt is aborted. */
 export const acquireClaim = async (
     attempt: ClaimAttempt,
     dependencies: AcquireDependencies,
--- a/packages/oleandergap-idempotency/src/claim/claimManager.ts
+++ b/packages/oleandergap-idempotency/src/claim/claimManager.ts
@@ -45,7 +45,7 @@
     readonly key: string;
     /** See `computeFingerprint`. */
     readonly fingerprint: string;
-    /** Monotonic time at which the caller gives up. */
+    /** Monotonic time at which the caller stops waiting for a response. */
     readonly deadline: Milliseconds;
 }
 
@@ -131,7 +131,7 @@
 
     /**
      * The response deadline counts from the platform's last response to any claim, because a claim that waits in the
-     * queue behind others is no sign of an outage.
+     * queue for earlier claims does not indicate an outage.
      */
     const createWait = (
         { deadline }: ClaimRequest,
--- a/packages/oleandergap-idempotency/src/claim/claimSweeper.ts
+++ b/packages/oleandergap-idempotency/src/claim/claimSweeper.ts
@@ -3,8 +3,8 @@
  * transaction is wasted, because each row is deleted only at the version that was read.
  *
  * A row with a known outcome can safely be deleted when callers must no longer repeat its request. A row that is still
- * `claimed` may belong to a frozen holder, so it is kept for days, far longer than the deadline of a request; the
- * holder calls `mayStart` before it sends the request.
+ * `claimed` may belong to a frozen holder, so it is kept for days, far longer than the deadline of a request. Before
+ * the holder sends the request, it checks with `mayStart` that this deadline has not passed.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, ServiceReference, TableOperation, TableRow, TableService } from "oleandergap-types";
--- a/packages/oleandergap-idempotency/src/claim/settler.ts
+++ b/packages/oleandergap-idempotency/src/claim/settler.ts
@@ -26,7 +26,7 @@
 }
 
 export interface Settler {
-    /** Resolves to true when the outcome is recorded, or to false when the process stops before. Never rejects. */
+    /** Resolves to true when the outcome is recorded, or to false when the process stops earlier. Never rejects. */
     readonly settle: (settlement: Settlement) => Promise<boolean>;
 }
 
@@ -61,11 +61,11 @@
     if (!parsed.success || parsed.data.state === "finished") {
         return { kind: "Done" };
     }
-    const isOwn = parsed.data.attemptId === row.attemptId;
+    const isSameAttempt = parsed.data.attemptId === row.attemptId;
     if (parsed.data.state === "released") {
-        return isOwn ? { kind: "Done" } : createReplaceStep(found.version);
+        return isSameAttempt ? { kind: "Done" } : createReplaceStep(found.version);
     }
-    return isOwn && row.state !== "claimed" ? createReplaceStep(found.version) : { kind: "Done" };
+    return isSameAttempt && row.state !== "claimed" ? createReplaceStep(found.version) : { kind: "Done" };
 };
 
 const toStep = (settlement: Settlement, outcome: ReadOutcome): NextStep =>
@@ -79,7 +79,7 @@
             { kind: "Write", condition: { kind: "Absent" } } :
             toStep(settlement, await reader.read(settlement.rowKey));
 
-    const tryOnce = async (settlement: Settlement, attempt: number): Promise<boolean> => {
+    const attemptSettlement = async (settlement: Settlement, attempt: number): Promise<boolean> => {
         const step = await findStep(settlement, attempt);
         if (step.kind !== "Write") {
             return step.kind === "Done";
@@ -91,7 +91,7 @@
 
     const settle = async (settlement: Settlement): Promise<boolean> => {
         for (let attempt = 0; !signal.aborted; attempt++) {
-            if (await tryOnce(settlement, attempt)) {
+            if (await attemptSettlement(settlement, attempt)) {
                 return true;
             }
             const backoff = drawBackoff(random, attempt, options.retryPauseMs, options.maxRetryPauseMs);
--- a/packages/oleandergap-idempotency/src/claim/waitForResponse.ts
+++ b/packages/oleandergap-idempotency/src/claim/waitForResponse.ts
@@ -7,7 +7,7 @@
 import { waitUntil, type WaitResult } from "./waitUntil.js";
 
 export interface ResponseWait {
-    /** Monotonic time at which the caller gives up. */
+    /** Monotonic time at which the caller stops waiting for a response. */
     readonly deadline: Milliseconds;
     /**
      * Returns the monotonic time at which a response of the platform is overdue. It is read again each time it is
--- a/packages/oleandergap-idempotency/src/claim/waitUntil.ts
+++ b/packages/oleandergap-idempotency/src/claim/waitUntil.ts
@@ -1,10 +1,10 @@
-/** Waits for a promise until a deadline or until the caller disconnects. The work behind the promise continues. */
+/** Waits for a promise until a deadline or until the caller disconnects. The underlying work continues. */
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import { createCancelledFailure, createDeadlineFailure } from "./failures.js";
 
 export type WaitResult<Value> =
     | { readonly kind: "Finished"; readonly value: Value }
-    | { readonly kind: "GaveUp"; readonly failure: RequestFailure };
+    | { readonly kind: "Stopped"; readonly failure: RequestFailure };
 
 /**
  * Retry-after time for a request whose deadline passed while it waited for the platform, in milliseconds. The platform
@@ -14,7 +14,10 @@
 /** Longest delay that a timer supports, in milliseconds. */
 const MAX_TIMER_DELAY = 2 ** 31 - 1;
 
-/** `deadline` is a monotonic time; `signal` aborts when the caller disconnects. Rejects only if `work` rejects. */
+/**
+ * Waits for `work`. `deadline` is a monotonic time, and `signal` aborts when the caller disconnects. Rejects only if
+ * `work` rejects.
+ */
 export const waitUntil = <Value>(
     work: Promise<Value>,
     deadline: Milliseconds,
@@ -22,7 +25,7 @@
     signal: AbortSignal,
 ): Promise<WaitResult<Value>> => new Promise((resolve, reject) => {
     if (signal.aborted) {
-        resolve({ kind: "GaveUp", failure: createCancelledFailure() });
+        resolve({ kind: "Stopped", failure: createCancelledFailure() });
         return;
     }
     const cleanUp = (): void => {
@@ -31,12 +34,12 @@
     };
     const cancel = (): void => {
         cleanUp();
-        resolve({ kind: "GaveUp", failure: createCancelledFailure() });
+        resolve({ kind: "Stopped", failure: createCancelledFailure() });
     };
     const delay = Math.min(MAX_TIMER_DELAY, Math.max(0, deadline - clock.monotonic()));
     const cancelTimer = clock.after(delay, () => {
         cleanUp();
-        resolve({ kind: "GaveUp", failure: createDeadlineFailure(RETRY_AFTER_SLOW_PLATFORM) });
+        resolve({ kind: "Stopped", failure: createDeadlineFailure(RETRY_AFTER_SLOW_PLATFORM) });
     });
     signal.addEventListener("abort", cancel, { once: true });
     work.then(
--- a/packages/oleandergap-idempotency/src/measure/atMostOnce.ts
+++ b/packages/oleandergap-idempotency/src/measure/atMostOnce.ts
@@ -1,7 +1,7 @@
 /**
- * Measures at-most-once execution under failures, for the claims of this package and for a naive version, with a table
- * in memory and a manual clock: the number of runs per key while processes are killed and responses are lost, and the
- * share of requests that are accepted while the platform is down.
+ * Measures at-most-once execution under failures, for the claims of this package and for a version without
+ * claims, with a table in memory and a manual clock: the number of runs per key while processes are killed and
+ * responses are lost, and the share of requests that are accepted while the platform is down.
  */
 import { setMaxListeners } from "node:events";
 import type { Logger } from "oleandergap-logger";
@@ -12,8 +12,8 @@
 import { createMemoryTable, type MemoryTable } from "./memoryTable.js";
 import { generateKey } from "./generateKey.js";
 import { createOwnedNode } from "./ownedNode.js";
-import { createClaimingNode, createNaiveNode, type SimulatedNode } from "./simulatedNode.js";
-import { createSimulatedTarget, type FailureShares, type SimulatedTarget, type CallerResult } from "./simulatedTarget.js";
+import { createClaimingNode, createNodeWithoutClaims, type SimulatedNode } from "./simulatedNode.js";
+import { createSimulatedTarget, type FailureProbabilities, type SimulatedTarget, type CallerResult } from "./simulatedTarget.js";
 
 export const claimVersions = ["naive", "durable", "owned"] as const;
 export type ClaimVersion = (typeof claimVersions)[number];
@@ -43,11 +43,11 @@
 /** Longest time between two sends, in milliseconds. */
 const MAX_PAUSE = 200;
 /** Probability that a node is killed after a send. */
-const KILL_SHARE = 0.02;
+const KILL_PROBABILITY = 0.02;
 /** Time for the nodes to take their partitions before the first key, and to finish after the last, in milliseconds. */
 const SETTLE_TIME = 120_000;
-const FAILURES: FailureShares = { answerLost: 0.1, connectFailed: 0.1 };
-const NO_FAILURES: FailureShares = { answerLost: 0, connectFailed: 0 };
+const FAILURES: FailureProbabilities = { answerLost: 0.1, connectFailed: 0.1 };
+const NO_FAILURES: FailureProbabilities = { answerLost: 0, connectFailed: 0 };
 const SECOND = 1000;
 
 const doNothing = (): void => undefined;
@@ -68,13 +68,18 @@
     readonly stop: () => void;
 }
 
-const createFleet = (version: ClaimVersion, seed: number, failureShares: FailureShares, leaseMs: number): Fleet => {
+const createFleet = (
+    version: ClaimVersion,
+    seed: number,
+    failureProbabilities: FailureProbabilities,
+    leaseMs: number,
+): Fleet => {
     const clock = createManualClock();
     const random = createSeededRandom(seed);
     const controller = new AbortController();
     setMaxListeners(0, controller.signal);
     const table = createMemoryTable(clock);
-    const target = createSimulatedTarget(random, failureShares);
+    const target = createSimulatedTarget(random, failureProbabilities);
     const members = Array.from({ length: NODES }, (_, index) => `node-${index}`);
     const claimOptions = claimOptionsSchema.parse({});
     const ownershipOptions = ownershipOptionsSchema.parse({ enabled: true, partitions: 8, leaseMs });
@@ -94,7 +99,7 @@
             table.connect(nodeClock, createOutcomeChooser(random, () => fleet.platformMode));
         switch (version) {
             case "naive":
-                return createNaiveNode(shared);
+                return createNodeWithoutClaims(shared);
             case "durable":
                 return createClaimingNode(shared, (nodeClock) => createClaimManager(
                     { ...shared, clock: nodeClock, tableService: connect(nodeClock), options: claimOptions },
@@ -151,7 +156,7 @@
             keys.push(key);
         }
         void fleet.send(pickIndex(random, NODES), key);
-        if (random() < KILL_SHARE) {
+        if (random() < KILL_PROBABILITY) {
             fleet.restart(pickIndex(random, NODES));
         }
         await clock.advance(random() * MAX_PAUSE);
--- a/packages/oleandergap-idempotency/src/measure/claimCost.ts
+++ b/packages/oleandergap-idempotency/src/measure/claimCost.ts
@@ -1,4 +1,4 @@
-/** Measures the cost of a claim: transactions, row writes and reads on the platform, and processor time of the node. */
+/** Measures the cost of a claim: transactions, row writes and reads on the platform, and CPU time of the node. */
 import { setMaxListeners } from "node:events";
 import type { Logger } from "oleandergap-logger";
 import type { Clock } from "oleandergap-types";
@@ -27,8 +27,8 @@
 const doNothing = (): void => undefined;
 const silentLogger: Logger = { debug: doNothing, info: doNothing, warn: doNothing, error: doNothing };
 
-/** Returns the processor time that this process has used, in microseconds. */
-const getProcessorTime = (): number => {
+/** Returns the CPU time that this process has used, in microseconds. */
+const getCpuTime = (): number => {
     const { user, system } = process.cpuUsage();
     return user + system;
 };
@@ -67,30 +67,30 @@
 
 /**
  * Measures claims in the platform's table in real time: `concurrent` requests arrive together, `rounds` times. The
- * processor time includes that of the table in memory.
+ * CPU time includes that of the table in memory.
  */
 export const measureDurableCost = async (concurrent: number, rounds: number): Promise<CostFigures> => {
     const { controller, random, table, dependencies } = createMeasurementSetup(createSystemClock());
     const options = claimOptionsSchema.parse({ batchWindowMs: 1 });
-    const keeper = createClaimManager({ ...dependencies, options });
+    const claimManager = createClaimManager({ ...dependencies, options });
     // The timers of the clock do not keep the process alive.
     const keepAlive = setInterval(doNothing, KEEP_ALIVE_PERIOD);
-    const before = getProcessorTime();
+    const before = getCpuTime();
     for (let round = 0; round < rounds; round++) {
         const keys = Array.from({ length: concurrent }, () => generateKey(Date.now(), random));
-        await Promise.all(keys.map((key) => claimAndComplete(keeper, key, controller.signal)));
+        await Promise.all(keys.map((key) => claimAndComplete(claimManager, key, controller.signal)));
     }
-    await keeper.drain(controller.signal);
-    const processorTime = getProcessorTime() - before;
+    await claimManager.drain(controller.signal);
+    const cpuTime = getCpuTime() - before;
     clearInterval(keepAlive);
     controller.abort();
     const claims = concurrent * rounds;
     return {
         claims,
-        transactionsPerClaim: keeper.stats().transactions / claims,
+        transactionsPerClaim: claimManager.stats().transactions / claims,
         rowWritesPerClaim: table.rowWrites() / claims,
         readsPerClaim: table.reads() / claims,
-        microsecondsOfProcessorPerClaim: processorTime / claims,
+        microsecondsOfProcessorPerClaim: cpuTime / claims,
     };
 };
 
@@ -112,10 +112,10 @@
     void ownership.start(controller.signal);
     await clock.advance(SETTLE_TIME);
     const start = { transactions: ownership.stats().transactions, rowWrites: table.rowWrites(), reads: table.reads() };
-    let processorTime = 0;
+    let cpuTime = 0;
     for (let round = 0; round < rounds; round++) {
         const keys = Array.from({ length: concurrent }, () => generateKey(clock.now(), random));
-        const before = getProcessorTime();
+        const before = getCpuTime();
         for (const key of keys) {
             const request = { ...SIMULATED_SERVICE, key, fingerprint: "same", deadline: Number.POSITIVE_INFINITY };
             const decision = ownership.acceptKey(request, clock.now());
@@ -123,7 +123,7 @@
                 decision.claim.complete(RESPONSE);
             }
         }
-        processorTime += getProcessorTime() - before;
+        cpuTime += getCpuTime() - before;
         await clock.advance(roundMs);
     }
     controller.abort();
@@ -133,6 +133,6 @@
         transactionsPerClaim: (ownership.stats().transactions - start.transactions) / claims,
         rowWritesPerClaim: (table.rowWrites() - start.rowWrites) / claims,
         readsPerClaim: (table.reads() - start.reads) / claims,
-        microsecondsOfProcessorPerClaim: processorTime / claims,
+        microsecondsOfProcessorPerClaim: cpuTime / claims,
     };
 };
--- a/packages/oleandergap-idempotency/src/measure/memoryTable.ts
+++ b/packages/oleandergap-idempotency/src/measure/memoryTable.ts
@@ -1,7 +1,7 @@
 /**
- * Table service in memory for measurements and tests. Calls on its connections can be made to fail, to be slow or to
- * lose their response. Row versions restart at 1 when a deleted key is written again, which is the worst case that the
- * `TableService` interface allows.
+ * Table service in memory for measurements and tests. Calls on its connections can fail, be slow or lose their
+ * response, as the caller of `connect` chooses. Row versions restart at 1 when a deleted key is written again, which is
+ * the worst case that the `TableService` interface allows.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Either } from "fp-ts/lib/Either.js";
--- a/packages/oleandergap-idempotency/src/measure/ownedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/ownedNode.ts
@@ -39,7 +39,7 @@
         });
         ownerships.push(ownership);
         void ownership.start(signal);
-        return createOwnedClaimManager({ claimManager: claimManager, ownership, clock, claimOptions });
+        return createOwnedClaimManager({ claimManager, ownership, clock, claimOptions });
     });
     const [ownership] = ownerships;
     if (ownership === undefined) {
--- a/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
+++ b/packages/oleandergap-idempotency/src/measure/simulatedNode.ts
@@ -1,6 +1,6 @@
 /**
- * Simulated process that runs requests with an idempotency key, either with claims or in a naive way, with a clock that
- * can be frozen. A process is killed by freezing its clock and never resuming it: none of its pending steps then runs.
+ * Simulated process that runs requests with an idempotency key, with or without claims, and with a clock that can be
+ * frozen. A process is killed by freezing its clock and never resuming it: none of its pending steps then runs.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds } from "oleandergap-types";
@@ -15,12 +15,12 @@
 
 /** Longest time between two steps of a request, in milliseconds. */
 const MAX_STEP_DELAY = 20;
-/** Number of attempts of the naive version. */
-const NAIVE_ATTEMPTS = 3;
+/** Number of attempts of a node without claims. */
+const ATTEMPTS_WITHOUT_CLAIMS = 3;
 
 export interface SimulatedNode {
     readonly clock: FreezableClock;
-    /** Resolves to the result for the caller; never resolves when the process is killed before. */
+    /** Resolves to the result for the caller; never resolves when the process is killed earlier. */
     readonly handle: (key: string, timeout: Milliseconds) => Promise<CallerResult>;
 }
 
@@ -42,7 +42,7 @@
     return { key, verdict: "ran", body, sent: false };
 };
 
-/** Creates a node that runs a request only with a claim. `createKeeper` creates the source of its claims. */
+/** Creates a node that runs a request only with a claim. `createClaimManager` creates its claim manager. */
 export const createClaimingNode = (
     dependencies: SimulatedNodeDependencies,
     createClaimManager: (clock: Clock) => ClaimManager,
@@ -88,12 +88,12 @@
 };
 
 /** Creates a node that sends each request without a claim and retries it on every error, like a plain proxy. */
-export const createNaiveNode = (
+export const createNodeWithoutClaims = (
     { clock: baseClock, random, target, signal }: SimulatedNodeDependencies,
 ): SimulatedNode => {
     const clock = createFreezableClock(baseClock);
     const handle = async (key: string): Promise<CallerResult> => {
-        for (let attempt = 0; attempt < NAIVE_ATTEMPTS; attempt++) {
+        for (let attempt = 0; attempt < ATTEMPTS_WITHOUT_CLAIMS; attempt++) {
             await clock.sleep(random() * MAX_STEP_DELAY, signal);
             const { outcome, body } = target.run(key);
             if (outcome === "Answered") {
--- a/packages/oleandergap-idempotency/src/measure/simulatedTarget.ts
+++ b/packages/oleandergap-idempotency/src/measure/simulatedTarget.ts
@@ -6,7 +6,7 @@
 export type RunOutcome = "Answered" | "AnswerLost" | "ConnectFailed";
 
 /** Probabilities of the failures of a request, from 0 to 1. */
-export interface FailureShares {
+export interface FailureProbabilities {
     readonly answerLost: number;
     readonly connectFailed: number;
 }
@@ -29,19 +29,19 @@
     readonly totalRuns: () => number;
 }
 
-const chooseOutcome = (random: Random, shares: FailureShares): RunOutcome => {
+const chooseOutcome = (random: Random, probabilities: FailureProbabilities): RunOutcome => {
     const draw = random();
-    if (draw < shares.connectFailed) {
+    if (draw < probabilities.connectFailed) {
         return "ConnectFailed";
     }
-    return draw < shares.connectFailed + shares.answerLost ? "AnswerLost" : "Answered";
+    return draw < probabilities.connectFailed + probabilities.answerLost ? "AnswerLost" : "Answered";
 };
 
-export const createSimulatedTarget = (random: Random, shares: FailureShares): SimulatedTarget => {
+export const createSimulatedTarget = (random: Random, probabilities: FailureProbabilities): SimulatedTarget => {
     const runs = new Map<string, number>();
     return {
         run: (key) => {
-            const outcome = chooseOutcome(random, shares);
+            const outcome = chooseOutcome(random, probabilities);
             const count = (runs.get(key) ?? 0) + (outcome === "ConnectFailed" ? 0 : 1);
             runs.set(key, count);
             return { outcome, body: `${key} run ${count}` };
--- a/packages/oleandergap-idempotency/src/ownership/formerLeaseFencer.ts
+++ b/packages/oleandergap-idempotency/src/ownership/formerLeaseFencer.ts
@@ -26,11 +26,11 @@
 export const createFormerLeaseFencer = (dependencies: FormerLeaseFencerDependencies): (() => Promise<boolean>) => {
     const { tableService, writer, nodeId, bootId, signal } = dependencies;
     const prefix = formatLeasePrefix(nodeId);
-    const ownPrefix = `${prefix}${bootId}.`;
+    const currentProcessPrefix = `${prefix}${bootId}.`;
 
     const fence = async (row: TableRow): Promise<boolean> => {
         const lease = leaseRowSchema.safeParse(row.value);
-        if (row.key.startsWith(ownPrefix) || !lease.success || lease.data.state === "fenced") {
+        if (row.key.startsWith(currentProcessPrefix) || !lease.success || lease.data.state === "fenced") {
             return true;
         }
         const value: LeaseRow = { state: "fenced", ceiling: lease.data.ceiling };
--- a/packages/oleandergap-idempotency/src/ownership/partitionHolding.ts
+++ b/packages/oleandergap-idempotency/src/ownership/partitionHolding.ts
@@ -72,7 +72,7 @@
         }
     };
 
-    /** Writes the row again, so that a taking write that may be in flight fails. */
+    /** Writes the row again, so that a write that takes the partition and may still be in flight fails. */
     const cancelTake = async (): Promise<void> => {
         const step = await takeover.inspect(partitionKey, holder);
         if (step.kind === "Held") {
--- a/packages/oleandergap-idempotency/src/ownership/takeover.ts
+++ b/packages/oleandergap-idempotency/src/ownership/takeover.ts
@@ -76,8 +76,8 @@
      * avoids fencing a live holder; safety depends on the row, which no renewal can change after it is fenced.
      */
     const fenceIfRemoved = async (former: Holder, self: Holder, row: TableRow, lease: LeaseRow): Promise<void> => {
-        const isOwnNode = isSameNode(former, self.nodeId);
-        if (!isOwnNode && (isMember(former.nodeId) || !isUnchanged(row.key, row.version))) {
+        const isLocalNode = isSameNode(former, self.nodeId);
+        if (!isLocalNode && (isMember(former.nodeId) || !isUnchanged(row.key, row.version))) {
             return;
         }
         const value: LeaseRow = { state: "fenced", ceiling: lease.ceiling };
