--- a/packages/oleandergap-configuration/src/__tests__/changeService.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/changeService.test.ts
@@ -54,7 +54,7 @@
 
     // Guards against reusing a sequence after the platform was restored from a backup: nodes that already received
     // other content with the same sequence would refuse the version.
-    it("assigns a sequence above the active version when the platform is behind", async () => {
+    it("assigns a sequence above the active version when the platform has an older version", async () => {
         const platform = createTestPlatform();
         await acceptInitialTable(platform, "halloway");
         const copy = readChain(platform, "halloway").document;
@@ -223,7 +223,7 @@
 
     // Guards against reporting that nothing was written and activating the change later. The response of a write is
     // lost while the write is in flight, and the platform then refuses all calls. While the head row is unchanged, the
-    // abandoned write may still take effect.
+    // write without a response may still take effect.
     it("reports an unknown outcome while a write may still take effect", async () => {
         let completeLateWrite = (): void => undefined;
         const lateWrite = new Promise<void>((resolve) => {
--- a/packages/oleandergap-configuration/src/__tests__/configurationStore.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/configurationStore.test.ts
@@ -40,7 +40,7 @@
             kind: fastCheck.constant("Deltas" as const),
             sequences: fastCheck.oneof(
                 fastCheck.array(sequence, { maxLength: 8 }),
-                // All deltas from a random sequence, as a peer that is ahead sends them.
+                // All deltas from a random sequence, as a peer with a newer version sends them.
                 sequence.map((first) => Array.from({ length: length - first + 1 }, (_, index) => first + index)),
             ),
             damagedSequence: sequence,
@@ -77,8 +77,8 @@
 };
 
 /**
- * Reference model: returns the highest sequence that an offer leads to. Tries each end of the consecutive deltas after
- * the active version and compares all cells with the expected version.
+ * Reference model: returns the highest sequence that an offer leads to. Applies the consecutive deltas after the
+ * active version one by one and compares all cells after each delta with the expected version.
  */
 const predictSequence = (chain: VersionChain, activeSequence: Sequence, offer: Offer): Sequence => {
     const isValidVersion = (sequence: Sequence): boolean =>
@@ -153,13 +153,13 @@
     // late, repeatedly, out of order, with gaps, damaged or invalid. The transport guarantees neither order nor
     // content, so that the node must validate each version.
     it("matches a reference model for valid and invalid offers in any order", () => {
-        const runArbitrary = fastCheck.array(changesArbitrary, { minLength: 1, maxLength: 10 }).chain((steps) =>
+        const runArbitrary = fastCheck.array(changesArbitrary, { minLength: 1, maxLength: 10 }).chain((changeLists) =>
             fastCheck.tuple(
-                fastCheck.constant(steps),
-                fastCheck.array(offerArbitrary(steps.length + 1), { maxLength: 20 }),
+                fastCheck.constant(changeLists),
+                fastCheck.array(offerArbitrary(changeLists.length + 1), { maxLength: 20 }),
             ));
-        fastCheck.assert(fastCheck.property(runArbitrary, ([steps, offers]) => {
-            const chain = buildChain(PARTNER, steps);
+        fastCheck.assert(fastCheck.property(runArbitrary, ([changeLists, offers]) => {
+            const chain = buildChain(PARTNER, changeLists);
             const store = createStore();
             const otherTable = store.getTables().get("kushiro");
             for (const offer of offers) {
--- a/packages/oleandergap-configuration/src/__tests__/digest.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/digest.test.ts
@@ -11,10 +11,10 @@
 
 describe("computeDigest", () => {
     it("returns the same digest for derived versions as for all cells, in any order of cells", () => {
-        fastCheck.assert(fastCheck.property(fastCheck.array(changesArbitrary, { maxLength: 12 }), (steps) => {
+        fastCheck.assert(fastCheck.property(fastCheck.array(changesArbitrary, { maxLength: 12 }), (changeLists) => {
             let document = createDocument("halloway", 1, initialCells);
             let cells = initialCells;
-            for (const changes of steps) {
+            for (const changes of changeLists) {
                 document = createNextVersion(document, changes).document;
                 cells = applyChanges(cells, changes);
                 expect(document.cells).to.deep.equal(cells);
--- a/packages/oleandergap-configuration/src/__tests__/largeVersions.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/largeVersions.test.ts
@@ -1,6 +1,6 @@
-// Guards against nodes that refuse an accepted version because of its size. Requests of new routes would be answered
-// with 404, for this and all later versions. The limit of 18000 cells was checked on activation, after other rules had
-// accepted the version: nodes refused the 20509 cells of 2,560 routes, but not the table of 1,600 routes.
+// Guards against nodes that refuse an accepted version because of its size. Requests to new routes would then receive
+// the status 404, with this and all later versions. This happens if the limit of 18,000 cells is checked again on
+// activation: nodes would refuse the 20,509 cells of 2,560 routes, but not the table of 1,600 routes.
 import { expect } from "chai";
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
--- a/packages/oleandergap-configuration/src/__tests__/parseTable.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/parseTable.test.ts
@@ -53,10 +53,10 @@
 
 describe("reparseTable", () => {
     it("returns the same result as a full parse", () => {
-        fastCheck.assert(fastCheck.property(fastCheck.array(changesArbitrary, { maxLength: 10 }), (steps) => {
+        fastCheck.assert(fastCheck.property(fastCheck.array(changesArbitrary, { maxLength: 10 }), (changeLists) => {
             let document = createDocument("halloway", 1, initialCells);
             let table = either.getOrElseW(() => undefined)(parseTable(document));
-            for (const changes of steps) {
+            for (const changes of changeLists) {
                 const next = createNextVersion(document, changes).document;
                 const full = parseTable(createDocument("halloway", next.sequence, applyChanges(document.cells, changes)));
                 const rows = [...new Set(changes.map((change) => getRowKey(change.cell)))];
--- a/packages/oleandergap-configuration/src/__tests__/support.ts
+++ b/packages/oleandergap-configuration/src/__tests__/support.ts
@@ -84,11 +84,11 @@
  * Builds a chain of versions that starts with {@link initialCells} and may contain invalid versions. Each document is
  * built from plain cells, independently of the code that derives a version from another.
  */
-export const buildChain = (partner: string, steps: readonly (readonly CellChange[])[]): VersionChain => {
+export const buildChain = (partner: string, changeLists: readonly (readonly CellChange[])[]): VersionChain => {
     const documents = [createDocument(partner, 0, {})];
     const deltas: Delta[] = [];
     let cells: Cells = {};
-    for (const changes of [toChanges(initialCells), ...steps]) {
+    for (const changes of [toChanges(initialCells), ...changeLists]) {
         const sequence = documents.length;
         const baseDigest = documents.at(-1)?.digest ?? "";
         cells = applyChanges(cells, changes);
--- a/packages/oleandergap-configuration/src/change/planChange.ts
+++ b/packages/oleandergap-configuration/src/change/planChange.ts
@@ -61,8 +61,8 @@
 
 /**
  * Returns the version after the change; undefined if the change has no effect. The sequence of the new version is also
- * above `activeSequence`. A platform that was restored from a backup is behind the nodes, and the nodes would refuse a
- * sequence that they have already received.
+ * above `activeSequence`. A platform that was restored from a backup has older versions than the nodes, and the nodes
+ * would refuse a sequence that they have already received.
  */
 export const planChange = (
     document: PartnerDocument,
--- a/packages/oleandergap-configuration/src/measure/main.ts
+++ b/packages/oleandergap-configuration/src/measure/main.ts
@@ -1,7 +1,8 @@
 /**
- * Measures the processor time and memory of versions on a node: `node --expose-gc
- * packages/oleandergap-configuration/lib/measure/main.js`. It prints one JSON line for each table size. The naive
- * implementation copies all cells, hashes their canonical JSON and parses the entire table for each change.
+ * Measures the CPU time and memory of versions on a node: `node --expose-gc
+ * packages/oleandergap-configuration/lib/measure/main.js`. It prints one JSON line for each table size. The reference
+ * model, which is printed as `naive`, copies all cells, hashes their canonical JSON and parses the entire table for
+ * each change.
  */
 import { createHash } from "node:crypto";
 import * as either from "fp-ts/lib/Either.js";
@@ -17,7 +18,7 @@
 const PARTNER_NAME = "halloway";
 const SERVICE_COUNTS = [150, 300, 600, 1200];
 const DELTA_COUNT = 200;
-const NAIVE_RUN_COUNT = 50;
+const REFERENCE_RUN_COUNT = 50;
 const DOCUMENT_COUNT = 20;
 const MICROSECONDS_PER_MILLISECOND = 1000;
 const BYTES_PER_MEBIBYTE = 1024 * 1024;
@@ -25,10 +26,10 @@
 const roundToThousandths = (value: number): number => Number(value.toFixed(3));
 
 /**
- * Returns the mean processor time of one run, in milliseconds. Processor time is less sensitive to other load on the
+ * Returns the mean CPU time of one run, in milliseconds. CPU time is less sensitive to other load on the
  * machine than elapsed time.
  */
-const measureProcessorMs = (runs: number, execute: (index: number) => void): number => {
+const measureCpuMs = (runs: number, execute: (index: number) => void): number => {
     const start = process.cpuUsage();
     for (let index = 0; index < runs; index++) {
         execute(index);
@@ -62,7 +63,7 @@
     return deltas;
 };
 
-const applyNaively = (cells: Cells, serviceCount: number, changeNumber: number): void => {
+const applyWithReferenceModel = (cells: Cells, serviceCount: number, changeNumber: number): void => {
     const { cell, after = 0 } = createSampleChange(serviceCount, changeNumber);
     const next = { ...cells, [cell]: after };
     const digest = createHash("sha256").update(formatCanonicalJson(next)).digest("hex");
@@ -77,23 +78,23 @@
     const base = createDocument(PARTNER_NAME, 1, cells);
     const deltas = createDeltas(base, serviceCount);
     let received = Array.from({ length: DOCUMENT_COUNT }, () => createReceivedDocument(base));
-    const wholeDocumentMs = measureProcessorMs(DOCUMENT_COUNT, (index) => {
+    const wholeDocumentMs = measureCpuMs(DOCUMENT_COUNT, (index) => {
         createStore().offerDocument(received[index] ?? base);
     });
     received = [];
-    const naiveDeltaMs = measureProcessorMs(NAIVE_RUN_COUNT, (index) => {
-        applyNaively(cells, serviceCount, index);
+    const referenceDeltaMs = measureCpuMs(REFERENCE_RUN_COUNT, (index) => {
+        applyWithReferenceModel(cells, serviceCount, index);
     });
     const heapBeforeMiB = measureHeapMiB();
     const store = createStore();
     store.offerDocument(createReceivedDocument(base));
     const heapOneDocumentMiB = measureHeapMiB() - heapBeforeMiB;
-    const deltaMs = measureProcessorMs(DELTA_COUNT, (index) => {
+    const deltaMs = measureCpuMs(DELTA_COUNT, (index) => {
         store.offerDeltas(PARTNER_NAME, deltas.slice(index, index + 1));
     });
     const laggingStore = createStore();
     laggingStore.offerDocument(base);
-    const allDeltasMs = measureProcessorMs(1, () => {
+    const allDeltasMs = measureCpuMs(1, () => {
         laggingStore.offerDeltas(PARTNER_NAME, deltas);
     });
     const isComplete = store.heads()[0]?.sequence === DELTA_COUNT + 1 &&
@@ -112,7 +113,7 @@
             deltaBytes: Buffer.byteLength(JSON.stringify(deltas[0])),
             heapOneDocumentMiB: roundToThousandths(heapOneDocumentMiB),
         },
-        naive: { deltaProcessorMs: naiveDeltaMs },
+        naive: { deltaProcessorMs: referenceDeltaMs },
     })}\n`);
 };
 
--- a/packages/oleandergap-configuration/src/store/configurationStore.ts
+++ b/packages/oleandergap-configuration/src/store/configurationStore.ts
@@ -24,7 +24,7 @@
 export interface ConfigurationStoreOptions {
     readonly partners: readonly PartnerName[];
     readonly logger: Logger;
-    /** Maximum number of deltas that are retained for each partner, for peers that are behind. */
+    /** Maximum number of deltas that are retained for each partner, for peers with an older version. */
     readonly deltaHistory: number;
 }
 
--- a/packages/oleandergap-configuration/src/store/deltaHistory.ts
+++ b/packages/oleandergap-configuration/src/store/deltaHistory.ts
@@ -1,4 +1,4 @@
-/** Retains the latest deltas of one partner for peers that are a few versions behind. */
+/** Retains the latest deltas of one partner for peers whose version is only a few versions older. */
 import { getBaseSequence, MAX_CELLS_PER_DELTA, type Delta, type Sequence } from "oleandergap-types";
 
 /**
--- a/packages/oleandergap-configuration/src/table/routes.ts
+++ b/packages/oleandergap-configuration/src/table/routes.ts
@@ -109,7 +109,7 @@
 /**
  * Parses a route, which needs all of its cells and at least one service. `hasService` returns whether the version
  * contains a service. The row is first validated as a whole, and each cell is checked only if that fails, to list the
- * problems. For 1,200 routes, validating whole rows takes 44 and 49 ms instead of 69.
+ * problems. For 1,200 routes, validating whole rows takes 44 to 49 ms instead of 69 ms.
  */
 export const parseRoute = (
     name: string,
--- a/packages/oleandergap-configuration/src/version/document.ts
+++ b/packages/oleandergap-configuration/src/version/document.ts
@@ -82,7 +82,7 @@
 /**
  * Verifies that the content of a document matches its digest. The result stores the same content by rows, so that the
  * received plain cells can be released. Rows that are equal in `previous` are not hashed again: activating a document
- * of 2,561 routes of which one is new takes 20 to 29 ms instead of 33 to 44 (four runs each, busy machine).
+ * of 2,561 routes of which one is new takes 20 to 29 ms instead of 33 to 44 ms.
  */
 export const checkDocument = (
     document: PartnerDocument,
