--- a/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/contactBook.test.ts
@@ -1,6 +1,6 @@
-// Guards against probing a zone twice: each zone was probed once per second for the digest of its targets and again in
-// its regular round, because the round ignored earlier probes. Idle nodes then sent as many contact probes as all other
-// datagrams together.
+// Guards against probing a zone twice: each zone is probed once per second for the digest of its targets, and
+// again in its regular round if the round ignores those probes. Idle nodes would then send as many contact probes as
+// all other datagrams together.
 import { expect } from "chai";
 import type { Clock, Milliseconds, ZoneName } from "oleandergap-types";
 import { createManualClock, createSeededRandom } from "oleandergap-utils";
--- a/packages/oleandergap-membership/src/__tests__/datagramCodec.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/datagramCodec.test.ts
@@ -96,7 +96,7 @@
     });
 
     it("does not throw for truncated, modified or random payloads", () => {
-        // Guards against a node that crashes or stops answering because the decoder throws or lets a value of a wrong
+        // Guards against a node that crashes or stops responding because the decoder throws or lets a value of a wrong
         // type pass. The datagrams are truncated, contain flipped bits or come from another program.
         const whole = encode(parts.body, [member]);
         for (let length = 0; length < whole.length; length++) {
--- a/packages/oleandergap-membership/src/__tests__/membership.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membership.test.ts
@@ -93,7 +93,7 @@
     });
 
     it("exchanges heads with the reply to a probe, regardless of which node has the newer ones", async () => {
-        for (const [proberHead, answererHead] of [[7, 1], [1, 7]] as const) {
+        for (const [proberHead, responderHead] of [[7, 1], [1, 7]] as const) {
             const cluster = createTestCluster(8);
             const receivedSequences: number[] = [];
             const createPiggyback = (sequence: number): HeadPiggyback => ({
@@ -103,7 +103,7 @@
                 },
             });
             const slowProbeOptions = { probePeriodMs: 3_600_000 };
-            cluster.startNode(0, { piggyback: createPiggyback(answererHead), options: slowProbeOptions });
+            cluster.startNode(0, { piggyback: createPiggyback(responderHead), options: slowProbeOptions });
             cluster.startNode(1, { piggyback: createPiggyback(proberHead) });
             await cluster.clock.advance(3000);
             expect(receivedSequences).to.include(7);
--- a/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
@@ -35,7 +35,7 @@
     it("readmits a member after a long freeze without false deaths", async () => {
         // Guards against a resumed process that declares the whole zone dead. After SIGSTOP for longer than every
         // timeout and SIGCONT, timers run before the buffered datagrams are read, and expired timeouts look like
-        // missing answers.
+        // missing responses.
         const cluster = createTestCluster(2);
         const nodes = await cluster.startZone(ZONE_SIZE);
         const frozen = nodes[5];
@@ -45,8 +45,8 @@
             frozen?.clock.freeze();
             cluster.network.freeze(createEndpoint(5));
             await cluster.clock.advance(pause);
-            frozen?.clock.thaw();
-            cluster.network.thaw(createEndpoint(5));
+            frozen?.clock.resume();
+            cluster.network.resume(createEndpoint(5));
             expect(await measureUntil(cluster, 10_000, () => haveSameMembers(nodes))).to.be.below(10_000);
         }
         expect(frozen?.observedDeaths).to.deep.equal([]);
@@ -56,7 +56,7 @@
     });
 
     it("informs a member that sends again that it was declared dead", async () => {
-        // Guards against a resumed member that gets answers to its pings but stays excluded from the member lists,
+        // Guards against a resumed member that gets responses to its pings but stays excluded from the member lists,
         // because the receivers of its pings do not send it their record of it. All datagrams sent to it while it was
         // stopped are lost.
         const cluster = createTestCluster(14);
@@ -68,13 +68,13 @@
         await cluster.clock.advance(30_000);
         expect(nodes.map(listMemberIds).map((ids) => ids.length)).to.deep.equal([2, 3, 2]);
         cluster.network.setLinks(() => perfectLink);
-        nodes[1]?.clock.thaw();
+        nodes[1]?.clock.resume();
         expect(await measureUntil(cluster, 20_000, () => haveSameMembers(nodes))).to.be.below(10_000);
     });
 
     it("does not suspect a member whose probe was in flight during a pause", async () => {
         // Guards against a suspicion caused by a pause of the local process: it stops after sending a ping, before the
-        // answer arrives, and resumes after the probe period.
+        // response arrives, and resumes after the probe period.
         const cluster = createTestCluster(11);
         const nodes = await cluster.startZone(6);
         const paused = nodes[5];
@@ -86,9 +86,9 @@
         paused?.clock.freeze();
         cluster.network.freeze(createEndpoint(5));
         await cluster.clock.advance(1000);
-        paused?.clock.thaw();
+        paused?.clock.resume();
         await cluster.clock.advance(300);
-        cluster.network.thaw(createEndpoint(5));
+        cluster.network.resume(createEndpoint(5));
         await cluster.clock.advance(5000);
         expect(paused?.membership.stats().events).to.include({ paused: 1, suspicionStarted: 0 });
     });
@@ -109,9 +109,9 @@
         paused?.clock.freeze();
         cluster.network.freeze(createEndpoint(5));
         await cluster.clock.advance(60_000);
-        paused?.clock.thaw();
+        paused?.clock.resume();
         await cluster.clock.advance(1500);
-        cluster.network.thaw(createEndpoint(5));
+        cluster.network.resume(createEndpoint(5));
         await cluster.clock.advance(20_000);
         expect(paused?.observedDeaths).to.deep.equal([]);
         expect(haveSameMembers(nodes)).to.equal(true);
@@ -159,7 +159,7 @@
 
     it("replaces a member whose address was taken over by another member", async () => {
         // Guards against two members, or none, at the address of a replaced VM. The replacement has a new id and a wall
-        // clock that is behind, so neither the id nor the wall clock alone can decide which of them is newer.
+        // clock that is slow, so neither the id nor the wall clock alone can decide which of them is newer.
         const cluster = createTestCluster(8);
         const nodes = await cluster.startZone(12);
         const previousNode = nodes[4];
--- a/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
@@ -60,7 +60,7 @@
 
     it("declares no responsive member dead while 30% of all datagrams are lost", async () => {
         // Guards against healthy members that disappear and return because a single lost refutation is enough to
-        // declare a member dead. Probes, answers and refutations are lost at random for minutes.
+        // declare a member dead. Probes, responses and refutations are lost at random for minutes.
         const cluster = createTestCluster(3);
         const nodes = await cluster.startZone(ZONE_SIZE);
         cluster.network.setLinks(() => createLossyLink(0.3));
--- a/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
@@ -17,10 +17,11 @@
     readonly clock: ManualClock;
     readonly remote: RemoteTargets;
     readonly requests: ZoneTargetsRequest[];
+    /** Monotonic times at which a contact was probed. */
     readonly questions: number[];
     /** Zone digest returned by fetches, or undefined to let fetches fail. */
     fetchedDigest: number | undefined;
-    /** Zone digest sent by the contact, or undefined if the contact does not answer. */
+    /** Zone digest sent by the contact, or undefined if the contact does not respond. */
     contactDigest: number | undefined;
     fetchDelayMs: number;
 }
@@ -30,7 +31,7 @@
     const signal = new AbortController().signal;
     const requests: ZoneTargetsRequest[] = [];
     const questions: number[] = [];
-    const answerProbe = (): void => {
+    const respondToProbe = (): void => {
         if (zone.contactDigest !== undefined) {
             remote.hearDigest({ sequence: questions.length, digest: zone.contactDigest });
         }
@@ -42,7 +43,7 @@
         options: targetDirectoryOptionsSchema.parse({}),
         probeZone: () => {
             questions.push(clock.monotonic());
-            clock.after(1, answerProbe);
+            clock.after(1, respondToProbe);
             return questions.length;
         },
         fetchZone: (_zone, request) => async () => {
@@ -67,7 +68,7 @@
         clock,
         remote,
         requests,
-        questions,
+        questions: questions,
         fetchedDigest: OLD_DIGEST,
         contactDigest: OLD_DIGEST,
         fetchDelayMs: 5,
@@ -101,8 +102,8 @@
         expect(zone.requests).to.have.length(3);
     });
 
-    it("fetches within the refresh period if the contact does not answer", async () => {
-        // Guards against a leaving target that still receives requests from other zones because a missing answer is
+    it("fetches within the refresh period if the contact does not respond", async () => {
+        // Guards against a leaving target that still receives requests from remote zones because a missing response is
         // treated as an unchanged digest. The contact is dead, disconnected or not ready, or the datagram is lost.
         const zone = createFakeZone();
         await useServiceFor(zone, 3000);
@@ -124,9 +125,9 @@
         expect(zone.requests.length).to.be.within(5, 7);
     });
 
-    it("ignores a late answer to an earlier probe", async () => {
-        // Guards against a change that is detected late or never: an answer that was sent before the change and arrives
-        // after the next probe was sent must not confirm the digest.
+    it("ignores a late response to an earlier probe", async () => {
+        // Guards against a change that is detected late or never: a response that was sent before the change and
+        // arrives after the next probe was sent must not confirm the digest.
         const zone = createFakeZone();
         await useServiceFor(zone, 1000);
         zone.contactDigest = undefined;
--- a/packages/oleandergap-membership/src/__tests__/roster.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/roster.test.ts
@@ -76,7 +76,7 @@
 interface RestoredStore {
     readonly roster: RosterStore;
     /**
-     * Opens the store for one node. `hasSeenEra` returns whether the node has seen the current era in the answer to
+     * Opens the store for one node. `hasSeenEra` returns whether the node has seen the current era in the response to
      * another call.
      */
     readonly openForNode: (now: () => number, hasSeenEra: () => boolean) => ObjectStore;
@@ -127,10 +127,10 @@
 const countMaxWithin = (times: readonly number[], spanMs: number): number =>
     Math.max(0, ...times.map((start) => times.filter((time) => time >= start && time < start + spanMs).length));
 
-describe("createRosterKeeper after a restore of the store", () => {
+describe("createRosterManager after a restore of the store", () => {
     const ZONES = 3;
     const READERS_PER_ZONE = 4;
-    /** Longest time after which a node that reads from the store sees the new era in an answer. */
+    /** Longest time after which a node that reads from the store sees the new era in a response. */
     const FEED_INTERVAL_MS = 1000;
 
     interface RosterFleet {
@@ -210,7 +210,7 @@
     });
 });
 
-describe("createRosterKeeper", () => {
+describe("createRosterManager", () => {
     it("lets a new node find its zone while the object store is unavailable", async () => {
         // Guards against replacement VMs that receive no requests for eight seconds. The store is down when they start,
         // so without seeds and roster they have no address to contact, and no other node has their address.
@@ -240,9 +240,9 @@
         expect(roster.counts.reads - reads).to.be.within(2, 8);
     });
 
-    it("finds a remote zone by its roster and backs off while the zone does not answer", async () => {
+    it("finds a remote zone by its roster and backs off while the zone does not respond", async () => {
         // Guards against excessive reads by the nodes of a region that is partitioned from another one, if the roster
-        // were read at a fixed period. No seed of the remote zone is known, and the nodes in its roster do not answer
+        // were read at a fixed period. No seed of the remote zone is known, and the nodes in its roster do not respond
         // for an hour.
         const cluster = createTestCluster(3);
         const roster = createRosterStore();
@@ -291,7 +291,7 @@
         expect(roster.counts.reads - reads).to.be.at.most(12);
     });
 
-    it("does not read the roster if the neighbours answer", async () => {
+    it("does not read the roster if the neighbours respond", async () => {
         // Guards against one or two roster reads per node start, hundreds when a fleet starts. Nodes without seeds must
         // contact the neighbouring addresses, which cost nothing, before they read the roster.
         const cluster = createTestCluster(6);
@@ -322,8 +322,9 @@
     });
 
     it("tolerates an outdated, invalid or unavailable roster", async () => {
-        // Guards against nodes that know each other from seeds but fail or stay isolated because of the roster. It
-        // first contains only dead addresses, then is not valid JSON, and then the object store is unavailable.
+        // Guards against nodes that have found each other through seeds but fail or stay isolated because of the
+        // roster. It first contains only dead addresses, then is not valid JSON, and then the object store is
+        // unavailable.
         const cluster = createTestCluster(2);
         const roster = createRosterStore();
         const outdatedRoster = { zone: "zone-a", members: [{ id: "old", address: "10.9.9.9", controlPort: 17_082 }] };
--- a/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
@@ -18,7 +18,7 @@
     readonly nodesB: readonly TestNode[];
     /** Target directory of the first node of zone A. */
     readonly directory: TargetDirectory;
-    readonly answers: ZoneTargetsResponse[];
+    readonly responses: ZoneTargetsResponse[];
     readonly link: { isPartitioned: boolean };
 }
 
@@ -30,7 +30,7 @@
         Array.from({ length: 16 }, (_, index) => cluster.startNode(first + index, { zone, seeds }));
     const nodesA = start(0, "zone-a");
     const nodesB = start(40, "zone-b");
-    const answers: ZoneTargetsResponse[] = [];
+    const responses: ZoneTargetsResponse[] = [];
     const link = { isPartitioned: false };
     const createDirectory = (node: TestNode, fetchZone: FetchZone): TargetDirectory =>
         createTargetDirectory({
@@ -42,15 +42,15 @@
             options: targetDirectoryOptionsSchema.parse({}),
         });
     const servers = nodesB.map((node) =>
-        createDirectory(node, () => taskEither.left({ kind: "ZoneUnreachable", detail: "not asked" })));
+        createDirectory(node, () => taskEither.left({ kind: "ZoneUnreachable", detail: "not requested" })));
     const fetchZone: FetchZone = (_zone, request) => async () => {
         await cluster.clock.sleep(5, new AbortController().signal);
-        const answer = link.isPartitioned ? undefined : pickOne(random, servers)?.answerZoneTargets(request);
-        if (answer === undefined) {
+        const response = link.isPartitioned ? undefined : pickOne(random, servers)?.answerZoneTargets(request);
+        if (response === undefined) {
             return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "unreachable" })();
         }
-        answers.push(answer);
-        return taskEither.right(answer)();
+        responses.push(response);
+        return taskEither.right(response)();
     };
     const [first] = nodesA;
     if (first === undefined) {
@@ -62,7 +62,7 @@
     nodesB[3]?.membership.setTarget(createTarget("grant-filer"));
     nodesB[4]?.membership.setTarget(createTarget("wills-desk"));
     await cluster.clock.advance(15_000);
-    return { cluster, nodesA, nodesB, directory, answers, link };
+    return { cluster, nodesA, nodesB, directory, responses: responses, link };
 };
 
 const listTargets = (directory: TargetDirectory): readonly string[] =>
@@ -70,8 +70,8 @@
 
 describe("createTargetDirectory", () => {
     it("returns the targets of the local zone immediately and those of a remote zone after a fetch", async () => {
-        const { cluster, directory, answers } = await startTwoZones(1);
-        expect(answers).to.deep.equal([]);
+        const { cluster, directory, responses } = await startTwoZones(1);
+        expect(responses).to.deep.equal([]);
         expect(listTargets(directory)).to.deep.equal(["node-3"]);
         await cluster.clock.advance(200);
         expect(listTargets(directory)).to.deep.equal(["node-3", "node-43"]);
@@ -80,15 +80,15 @@
     });
 
     it("transfers an unchanged list once and stops fetching when the service is no longer used", async () => {
-        const { cluster, directory, answers } = await startTwoZones(2);
+        const { cluster, directory, responses } = await startTwoZones(2);
         listTargets(directory);
         await cluster.clock.advance(20_000);
-        expect(answers.length).to.be.within(10, 14);
-        expect(answers.slice(1).every(({ services }) => services[0]?.kind === "Unchanged")).to.equal(true);
+        expect(responses.length).to.be.within(10, 14);
+        expect(responses.slice(1).every(({ services }) => services[0]?.kind === "Unchanged")).to.equal(true);
         await cluster.clock.advance(15_000);
-        const answerCount = answers.length;
+        const responseCount = responses.length;
         await cluster.clock.advance(60_000);
-        expect(answers.length).to.equal(answerCount);
+        expect(responses.length).to.equal(responseCount);
     });
 
     it("lists a leaving target as leaving in both zones within five seconds", async () => {
--- a/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
@@ -60,10 +60,10 @@
     const createFetchZone = (node: TestNode): FetchZone => (zone, request) => async () => {
         await cluster.clock.sleep(5, new AbortController().signal);
         const contact = pickOne(random, node.membership.contactsOf(zone).filter(({ id }) => !killed.has(id)));
-        const answer = directories.get(contact?.id ?? "")?.answerZoneTargets(request);
-        return answer === undefined ?
+        const response = directories.get(contact?.id ?? "")?.answerZoneTargets(request);
+        return response === undefined ?
             taskEither.left({ kind: "ZoneUnreachable" as const, detail: "no contact" })() :
-            taskEither.right(answer)();
+            taskEither.right(response)();
     };
     for (const node of [...nodesA, ...nodesB]) {
         directories.set(node.id, createTargetDirectory({
@@ -140,9 +140,9 @@
         }
     });
 
-    it("lists it within the same time if half or all of the datagrams between the zones are lost", async () => {
-        // Guards against the same failure, here with lost contact probes or replies: an unanswered probe must be
-        // replaced by a fetch, not by another probe.
+    it("lists a leaving target within five seconds if half or all datagrams between the zones are lost", async () => {
+        // Guards against a leaving target that still receives new requests because contact probes or replies are lost:
+        // a probe without a reply must be replaced by a fetch, not by another probe.
         for (const loss of [0.5, 1]) {
             const zones = await startTwoZones(9);
             const isB = ({ address }: { readonly address: string }): boolean =>
@@ -152,10 +152,10 @@
         }
     });
 
-    it("lists it within the same time if contacts die or no contact sends a digest", async () => {
-        // Guards against the same failure, here with contacts that were just killed or restarted: a dead contact must
-        // not delay the update, and a node with an incomplete member list must neither confirm a digest nor be probed
-        // repeatedly.
+    it("lists a leaving target within five seconds if contacts die or no contact sends a digest", async () => {
+        // Guards against a leaving target that still receives new requests because contacts were just killed or
+        // restarted: a dead contact must not delay the update, and a node with an incomplete member list must neither
+        // confirm a digest nor be probed repeatedly.
         const zones = await startTwoZones(10);
         zones.nodesB.slice(8).forEach((node) => {
             node.kill();
@@ -181,9 +181,9 @@
         expect(probesReceived.filter((count) => count >= 2)).to.have.length.at.least(3);
     });
 
-    it("detects a change while a contact is disconnected from its own zone", async () => {
-        // Guards against the same failure, here with a contact that is partitioned from its zone but still answers
-        // probes.
+    it("detects a change while a contact is disconnected from its zone", async () => {
+        // Guards against a leaving target that still receives new requests because a contact that is partitioned from
+        // its zone still responds to probes with the old digest.
         const zones = await startTwoZones(12);
         const isDisconnected = ({ address }: { readonly address: string }): boolean =>
             address === createEndpoint(FIRST_B).address;
--- a/packages/oleandergap-membership/src/contactBook.ts
+++ b/packages/oleandergap-membership/src/contactBook.ts
@@ -11,7 +11,7 @@
 import type { MembershipOptions } from "./options.js";
 import { getControlEndpoint } from "./prober.js";
 
-/** Largest number of contacts stored per zone, including contacts that do not answer. */
+/** Largest number of contacts stored per zone, including contacts that do not respond. */
 const MAX_CONTACTS_PER_ZONE = 12;
 /**
  * A contact with more consecutive missed probes is no longer considered live and may be evicted when the zone is full.
@@ -22,15 +22,15 @@
 const ROUNDS_FOR_KNOWN_CONTACTS = 2;
 /**
  * A zone is skipped in its round if it was probed within this fraction of the interval between two of its rounds, for
- * example to get the digest of its targets. The answer would contain nothing new, and such probes are the majority when
- * services of all zones are in use.
+ * example to get the digest of its targets. The response would contain nothing new, and such probes are the majority
+ * when services of all zones are in use.
  */
 const RECENT_PROBE_FRACTION = 0.5;
 const SEQUENCE_LIMIT = 2 ** 32;
 
 interface ContactEntry {
     readonly contact: Contact;
-    /** Number of probes since the last answer, or undefined if the contact has never answered. */
+    /** Number of probes since the last response, or undefined if the contact has never responded. */
     missedProbes: number | undefined;
     probedAt: Milliseconds;
 }
@@ -56,13 +56,13 @@
     /** Records that a datagram arrived from a node of a remote zone, and resets its missed probes. */
     readonly markLive: (contact: Contact) => void;
     /**
-     * Records that a contact did not answer another component of this node. The contact loses priority until its next
-     * datagram.
+     * Records that a contact did not respond to another component of this node. The contact loses priority until its
+     * next datagram.
      */
     readonly markUnresponsive: (contact: Contact) => void;
     /** Adds zones that have no known contacts yet. */
     readonly addZones: (zones: readonly ZoneName[]) => void;
-    /** Adds nodes that were suggested by other nodes. They are not considered live until they answer. */
+    /** Adds nodes that were suggested by other nodes. They are not considered live until they respond. */
     readonly addCandidates: (contacts: readonly Contact[]) => void;
     readonly contactsOf: (zone: ZoneName) => readonly Contact[];
     readonly zones: () => readonly ZoneName[];
@@ -83,7 +83,7 @@
 
 const listLiveContacts = (zone: ZoneContacts): readonly ContactEntry[] => [...zone.contacts.values()].filter(isLive);
 
-/** Sorts contacts by ascending number of missed probes. Contacts that have never answered come last. */
+/** Sorts contacts by ascending number of missed probes. Contacts that have never responded come last. */
 const compareByMissedProbes = (left: ContactEntry, right: ContactEntry): number =>
     (left.missedProbes ?? Number.MAX_SAFE_INTEGER) - (right.missedProbes ?? Number.MAX_SAFE_INTEGER);
 
@@ -110,7 +110,7 @@
     const { localZone, clock, random, options, messenger, sources } = dependencies;
     const zonesByName = new Map<ZoneName, ZoneContacts>();
     let roundIndex = 0;
-    // A random start value prevents late answers to a previous process at this address from matching a probe of this
+    // A random start value prevents late responses to a previous process at this address from matching a probe of this
     // process.
     let sequence = pickIndex(random, SEQUENCE_LIMIT);
     let nextProbeAt = clock.monotonic() + random() * options.contactProbePeriodMs;
@@ -172,7 +172,7 @@
 
     /**
      * Searches for new contacts if no contact of the zone is live. Seeds and stored contacts, if there are any, get
-     * some rounds to answer first.
+     * some rounds to respond first.
      */
     const searchIfUnresponsive = (zone: ZoneContacts, signal: AbortSignal): void => {
         if (listLiveContacts(zone).length > 0) {
--- a/packages/oleandergap-membership/src/contactSources.ts
+++ b/packages/oleandergap-membership/src/contactSources.ts
@@ -36,7 +36,7 @@
     /** Starts a search. `receive` is called with the contacts that were found, which may belong to any zone. */
     readonly find: (search: ContactSearch, signal: AbortSignal) => void;
     /**
-     * Resets the backoff of roster reads after a node of the zone has answered, so that the next search starts without
+     * Resets the backoff of roster reads after a node of the zone has responded, so that the next search starts without
      * a delay.
      */
     readonly resetBackoff: (zone: ZoneName) => void;
--- a/packages/oleandergap-membership/src/fleetKey.ts
+++ b/packages/oleandergap-membership/src/fleetKey.ts
@@ -76,7 +76,7 @@
 
 /**
  * Returns the value of the `authorization` header for a request to the node at `to`. The value is valid for this node
- * only, so an attacker who tricks a node into calling a foreign address gets no credential that other nodes accept.
+ * only, so an attacker who tricks a node into calling another address gets no credential that other nodes accept.
  */
 export const createPeerAuthorization = ([current]: FleetKeys, to: Endpoint): string =>
     `Bearer ${computeBearerToken(current, to).toString("base64url")}`;
--- a/packages/oleandergap-membership/src/localHealth.ts
+++ b/packages/oleandergap-membership/src/localHealth.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks the health of this node itself, following the Lifeguard extensions of SWIM.
  *
- * A node without enough processor time does not process replies in time and would suspect healthy members. Such
+ * A node without enough CPU time does not process replies in time and would suspect healthy members. Such
  * suspicions all originate from one node and are all refuted. The node's own score therefore extends its periods and
  * timeouts, so that it detects failures more slowly until it recovers.
  */
--- a/packages/oleandergap-membership/src/localTargets.ts
+++ b/packages/oleandergap-membership/src/localTargets.ts
@@ -15,6 +15,7 @@
 
 export interface LocalTargets {
     readonly targetsOf: (service: ServiceReference) => readonly TargetMember[];
+    /** Returns the response to the request of a remote zone. */
     readonly answer: (request: ZoneTargetsRequest) => ZoneTargetsResponse;
     /** Returns the digest of all targets of the local zone. */
     readonly zoneDigest: () => number;
@@ -26,7 +27,7 @@
     digest: string | undefined;
 }
 
-type ServiceAnswer = ZoneTargetsResponse["services"][number];
+type ServiceResponse = ZoneTargetsResponse["services"][number];
 
 const toTargetMember = (member: Member, target: NonNullable<Member["target"]>): TargetMember => ({
     nodeId: member.id,
@@ -51,8 +52,8 @@
         group.targets.push(toTargetMember(member, member.target));
         groups.set(key, group);
     }
-    // All nodes of the zone sort the targets in the same way, so that each of them can confirm a digest computed by
-    // another one.
+    // All nodes of the zone sort the targets in the same way, so that each of them can confirm a digest that another
+    // node has computed.
     groups.forEach((group) => group.targets.sort(compareNodeIds));
     return groups;
 };
@@ -119,7 +120,7 @@
     const findGroup = (service: ServiceReference): ServiceTargets =>
         derive().groups.get(formatServiceReference(service)) ?? NO_SERVICE_TARGETS;
 
-    const answerService = (requested: ZoneTargetsRequest["services"][number]): ServiceAnswer => {
+    const toServiceResponse = (requested: ZoneTargetsRequest["services"][number]): ServiceResponse => {
         const group = findGroup(requested);
         group.digest ??= digestTargets(group.targets);
         return group.digest === requested.knownDigest ?
@@ -129,7 +130,7 @@
 
     return {
         targetsOf: (service) => findGroup(service).targets,
-        answer: (request) => ({ services: request.services.map(answerService), zoneDigest: derive().zoneDigest }),
+        answer: (request) => ({ services: request.services.map(toServiceResponse), zoneDigest: derive().zoneDigest }),
         zoneDigest: () => derive().zoneDigest,
     };
 };
--- a/packages/oleandergap-membership/src/measure/measureMembers.ts
+++ b/packages/oleandergap-membership/src/measure/measureMembers.ts
@@ -77,9 +77,9 @@
 const measureIdle = async (members: readonly RunningMember[], seconds: number): Promise<object> => {
     const bytesBefore = countSentBytes(members);
     const suspicionsBefore = countSuspicions(members);
-    const processorBefore = process.cpuUsage();
+    const cpuBefore = process.cpuUsage();
     await clock.sleep(seconds * MILLISECONDS_PER_SECOND, neverAborted);
-    const { user, system } = process.cpuUsage(processorBefore);
+    const { user, system } = process.cpuUsage(cpuBefore);
     const perNodeAndSecond = members.length * seconds;
     return {
         sentBytesPerNodeAndSecond: Math.round((countSentBytes(members) - bytesBefore) / perNodeAndSecond),
--- a/packages/oleandergap-membership/src/measure/measureRefresh.ts
+++ b/packages/oleandergap-membership/src/measure/measureRefresh.ts
@@ -40,7 +40,7 @@
 }
 
 const [zoneCount = 9, nodesPerZone = 6, serviceCount = 10] = process.argv.slice(2, 5).map(Number);
-const asksContacts = process.argv[5] !== "fetches";
+const probesContacts = process.argv[5] !== "fetches";
 const clock = createManualClock(1_700_000_000_000);
 const random = createSeededRandom(1);
 const network = createMemoryNetwork(clock, random);
@@ -69,10 +69,10 @@
     if (contacted === undefined) {
         return taskEither.left({ kind: "ZoneUnreachable" as const, detail: "no contact" })();
     }
-    const answer = contacted.directory.answerZoneTargets(request);
+    const response = contacted.directory.answerZoneTargets(request);
     traffic.calls += 1;
-    traffic.callBytes += CALL_HEADER_BYTES + JSON.stringify(request).length + JSON.stringify(answer).length;
-    return taskEither.right(answer)();
+    traffic.callBytes += CALL_HEADER_BYTES + JSON.stringify(request).length + JSON.stringify(response).length;
+    return taskEither.right(response)();
 };
 
 const startNode = (zoneIndex: number, index: number): RunningNode => {
@@ -96,12 +96,12 @@
         targetsDigest: () => directory.zoneDigest(),
     });
     const directory = createTargetDirectory({
-        membership: asksContacts ? membership : { ...membership, probeZone: () => undefined },
+        membership: probesContacts ? membership : { ...membership, probeZone: () => undefined },
         fetchZone: createFetchZone(() => membership),
         zones: () => zoneNames,
         clock,
         random,
-        options: targetDirectoryOptionsSchema.parse({ fullRefreshMs: asksContacts ? 30_000 : 10 }),
+        options: targetDirectoryOptionsSchema.parse({ fullRefreshMs: probesContacts ? 30_000 : 10 }),
     });
     void membership.start(new AbortController().signal);
     directory.start(new AbortController().signal);
@@ -176,7 +176,7 @@
     zones: zoneCount,
     nodesPerZone,
     services: serviceCount,
-    asksContacts,
+    asksContacts: probesContacts,
     ...idleResults,
     leavingKnownToHalfMs: leaving.map(({ halfMs }) => halfMs),
     leavingKnownToAllMs: leaving.map(({ allMs }) => allMs),
--- a/packages/oleandergap-membership/src/membershipTypes.ts
+++ b/packages/oleandergap-membership/src/membershipTypes.ts
@@ -20,7 +20,7 @@
 
 /**
  * Requests contacts in remote zones from a member of the local zone. Returns an empty list if the member does not
- * answer. Never rejects.
+ * respond. Never rejects.
  */
 export type FetchContacts = (member: Member, signal: AbortSignal) => Promise<readonly Contact[]>;
 
@@ -83,7 +83,7 @@
 /** View of one node on the members of its availability zone, and its contacts in the remote zones. */
 export interface Membership {
     /**
-     * Binds the transport, joins the zone and runs until `signal` aborts. Resolves when another member has answered or
+     * Binds the transport, joins the zone and runs until `signal` aborts. Resolves when another member has responded or
      * after the join timeout, whichever is earlier. Rejects if the control port cannot be bound.
      */
     readonly start: (signal: AbortSignal) => Promise<void>;
@@ -111,7 +111,7 @@
      */
     readonly contactsOf: (zone: ZoneName) => readonly Contact[];
     /**
-     * Reports that a contact did not answer another component. The contact is listed last until its next datagram
+     * Reports that a contact did not respond to another component. The contact is listed last until its next datagram
      * arrives.
      */
     readonly reportUnresponsive: (contact: Contact) => void;
--- a/packages/oleandergap-membership/src/messages.ts
+++ b/packages/oleandergap-membership/src/messages.ts
@@ -18,11 +18,11 @@
         readonly address: string;
         readonly port: number;
     }
-    /** Replies to a `PingRequest` if the target did not answer. It shows that the helper itself is reachable. */
+    /** Replies to a `PingRequest` if the target did not respond. It shows that the helper itself is reachable. */
     | { readonly kind: "Nack"; readonly sequence: number }
     /** Contains member records only. */
     | { readonly kind: "Gossip" }
-    /** Starts an anti-entropy comparison of the complete state. It is answered only if the digests differ. */
+    /** Starts an anti-entropy comparison of the complete state. The receiver responds only if the digests differ. */
     | { readonly kind: "SyncStart"; readonly digest: number }
     /** Contains the digests of all buckets of member records. */
     | { readonly kind: "SyncBuckets"; readonly digests: readonly number[] }
--- a/packages/oleandergap-membership/src/neighbours.ts
+++ b/packages/oleandergap-membership/src/neighbours.ts
@@ -2,7 +2,7 @@
  * Lists the addresses adjacent to the address of this node, where other nodes may be found.
  *
  * A node that starts while the object store of the platform is unavailable cannot read a roster, and no other node has
- * its address. Unless a seed answers, the node stays isolated until the store is available again: the new VM never
+ * its address. Unless a seed responds, the node stays isolated until the store is available again: the new VM never
  * becomes ready and its target receives no requests, possibly just when other VMs have left.
  */
 import { isIPv4 } from "node:net";
--- a/packages/oleandergap-membership/src/options.ts
+++ b/packages/oleandergap-membership/src/options.ts
@@ -20,7 +20,7 @@
     /** Interval between two probes. One member is probed in each period. */
     probePeriodMs: periodSchema.default(1000),
     /**
-     * Time without an answer after which other members are requested to probe. It must be well below the probe period.
+     * Time without a response after which other members are requested to probe. It must be well below the probe period.
      */
     ackTimeoutMs: periodSchema.default(300),
     /** Number of members that are requested to probe on behalf of this node. */
@@ -49,9 +49,9 @@
     syncBytesPerSecond: z.number().int().min(100).max(1_000_000).default(4000),
     /** Lifetime of the tombstones of members that left or died. It prevents older records from being accepted again. */
     tombstoneMs: periodSchema.default(3_600_000),
-    /** Interval at which one unreachable member, seed or roster entry is tried again. */
+    /** Interval at which one unreachable member, seed or roster entry is contacted again. */
     reconnectPeriodMs: periodSchema.default(5000),
-    /** Longest time that the start waits for the first answer of another member. */
+    /** Longest time that the start waits for the first response of another member. */
     joinTimeoutMs: periodSchema.default(2000),
     /** Number of nodes per remote availability zone that are used as contacts. */
     contactsPerZone: z.number().int().min(1).max(10).default(3),
@@ -75,7 +75,7 @@
 export const targetDirectoryOptionsSchema = z.strictObject({
     /** Interval at which the targets of services in use are requested from remote availability zones. */
     refreshPeriodMs: periodSchema.default(2000),
-    /** Longest wait for the answer of a remote zone. */
+    /** Longest wait for the response of a remote zone. */
     fetchTimeoutMs: periodSchema.default(1500),
     /**
      * Longest wait for a contact to confirm that the targets of its zone are unchanged. After that, the targets are
--- a/packages/oleandergap-membership/src/prober.ts
+++ b/packages/oleandergap-membership/src/prober.ts
@@ -33,7 +33,7 @@
     /** Probes a suspect again, both directly and through other members. */
     readonly probeSuspect: (suspect: Member) => void;
     /**
-     * Pings a member without evaluating the answer. If the state of the given record is not alive, the ping contains
+     * Pings a member without evaluating the response. If the state of the given record is not alive, the ping contains
      * the record, so that the member can refute it.
      */
     readonly ping: (target: Member) => void;
--- a/packages/oleandergap-membership/src/rejoiner.ts
+++ b/packages/oleandergap-membership/src/rejoiner.ts
@@ -13,16 +13,19 @@
 const JOIN_FANOUT = 3;
 const JOIN_RETRY_MS: Milliseconds = 500;
 const MAX_JOIN_RETRY_MS: Milliseconds = 5000;
-/** Number of unanswered attempts after which the roster is read. */
+/** Number of attempts without a response after which the roster is read. */
 const ATTEMPTS_BEFORE_ROSTER = 2;
-/** First attempt in which the neighbours are contacted as well. The roster usually answers in the attempt before it. */
+/**
+ * First attempt in which the neighbours are contacted as well. The read of the roster has usually succeeded in an
+ * earlier attempt.
+ */
 const ATTEMPTS_BEFORE_NEIGHBOURS = 2;
 const MAX_CANDIDATES = 256;
 /** Number of neighbours on each side that a node without seeds contacts before using any other source. */
 const NEAREST_NEIGHBOUR_SPAN = 2;
 /**
- * Longest wait for the answers of the nearest neighbours. It is several times the latency between VMs that start at the
- * same time.
+ * Longest wait for the responses of the nearest neighbours. It is several times the latency between VMs that start at
+ * the same time.
  */
 const NEAREST_TIMEOUT_MS: Milliseconds = 200;
 
--- a/packages/oleandergap-membership/src/relays.ts
+++ b/packages/oleandergap-membership/src/relays.ts
@@ -1,4 +1,4 @@
-/** Sends pings on behalf of other members and forwards the answers to them. */
+/** Sends pings on behalf of other members and forwards the responses to them. */
 import type { Clock, Milliseconds, NodeId } from "oleandergap-types";
 import type { MemberTable } from "./memberTable.js";
 import type { Messenger } from "./messenger.js";
@@ -17,11 +17,11 @@
 }
 
 export interface Relays {
-    /** Registers a relayed ping. The answer to the ping `sequence` is forwarded to `requester`. */
+    /** Registers a relayed ping. The response to the ping `sequence` is forwarded to `requester`. */
     readonly add: (sequence: number, targetId: NodeId, requester: Endpoint, requesterSequence: number) => void;
-    /** Forwards an answer to the requester. Returns whether the answer belongs to a relayed ping. */
+    /** Forwards a response to the requester. Returns whether the response belongs to a relayed ping. */
     readonly forwardAck: (sequence: number) => boolean;
-    /** Sends a `Nack` to requesters whose target has not answered, to show that this node itself is reachable. */
+    /** Sends a `Nack` to requesters whose target has not responded, to show that this node itself is reachable. */
     readonly poll: () => void;
     readonly clear: () => void;
 }
@@ -68,7 +68,7 @@
                 return false;
             }
             relays.delete(sequence);
-            // The requester may still hold the suspicion that the target has refuted in its answer.
+            // The requester may still hold the suspicion that the target has refuted in its response.
             const target = table.get(relay.targetId);
             const piggybacked = target === undefined ? {} : { records: [target] };
             messenger.send(relay.requester, { kind: "Ack", sequence: relay.requesterSequence }, piggybacked);
--- a/packages/oleandergap-membership/src/remoteTargets.ts
+++ b/packages/oleandergap-membership/src/remoteTargets.ts
@@ -6,7 +6,7 @@
  * costs bytes but never delays an update.
  *
  * While the zone is unreachable, the last fetched targets are kept. Gates reject requests to targets that no longer
- * exist, whereas an empty list would also reject requests to those that do.
+ * exist, whereas with an empty list the requests to existing targets would be rejected as well.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, ServiceReference, ZoneName } from "oleandergap-types";
@@ -68,9 +68,9 @@
     readonly onSkipped: () => void;
 }
 
-const applyAnswer = (requested: readonly RemoteService[], answer: ZoneTargetsResponse): void => {
+const applyResponse = (requested: readonly RemoteService[], response: ZoneTargetsResponse): void => {
     requested.forEach((remoteService, index) => {
-        const part = answer.services[index];
+        const part = response.services[index];
         if (part?.kind === "Changed") {
             remoteService.digest = part.digest;
             remoteService.targets = part.targets;
@@ -78,9 +78,9 @@
     });
 };
 
-/** Returns the zone digest of the answer if the answer covers every requested list, otherwise undefined. */
-const selectZoneDigest = (requested: readonly RemoteService[], answer: ZoneTargetsResponse): number | undefined =>
-    answer.services.length === requested.length ? answer.zoneDigest : undefined;
+/** Returns the zone digest of the response if the response covers every requested list, otherwise undefined. */
+const selectZoneDigest = (requested: readonly RemoteService[], response: ZoneTargetsResponse): number | undefined =>
+    response.services.length === requested.length ? response.zoneDigest : undefined;
 
 /** Creates the targets of one remote zone. At most one fetch is in flight at a time. */
 export const createRemoteTargets = (dependencies: RemoteTargetsDependencies): RemoteTargets => {
@@ -116,10 +116,10 @@
             .filter((remoteService) => now - remoteService.usedAt <= options.idleMs)
             .slice(0, MAX_SERVICES_PER_REQUEST);
 
-    const applyFetch = (queried: readonly RemoteService[], answer: ZoneTargetsResponse, sentAt: Milliseconds): void => {
-        applyAnswer(queried, answer);
-        const digest = selectZoneDigest(queried, answer);
-        lastFetch = digest === undefined ? undefined : { digest, fetchedAt: sentAt };
+    const applyFetch = (requested: readonly RemoteService[], response: ZoneTargetsResponse, at: Milliseconds): void => {
+        applyResponse(requested, response);
+        const digest = selectZoneDigest(requested, response);
+        lastFetch = digest === undefined ? undefined : { digest, fetchedAt: at };
     };
 
     const fetch = async (requested: readonly RemoteService[], signal: AbortSignal): Promise<void> => {
@@ -131,12 +131,12 @@
         const startedAt = clock.monotonic();
         const timeLimit = startTimeLimit(clock, options.fetchTimeoutMs, signal);
         try {
-            const answer = await fetchZone(zone, request, timeLimit.signal)();
-            if (either.isRight(answer)) {
-                applyFetch(requested, answer.right, startedAt);
+            const response = await fetchZone(zone, request, timeLimit.signal)();
+            if (either.isRight(response)) {
+                applyFetch(requested, response.right, startedAt);
             }
-            needsFetch ||= either.isLeft(answer);
-            onFetched(either.isRight(answer));
+            needsFetch ||= either.isLeft(response);
+            onFetched(either.isRight(response));
         }
         catch {
             needsFetch = true;
@@ -196,7 +196,8 @@
         // Only the reply to the pending probe confirms the digest; the reply to an earlier probe may have been sent
         // before a change.
         else if (lastFetch !== undefined && sequence === pendingProbe?.sequence) {
-            // The next probe is sent early enough for a fetch to replace it within the period if it is not answered.
+            // The next probe is sent early enough for a fetch to replace it within the period if it receives no
+            // response.
             nextRefreshAt = pendingProbe.sentAt + Math.max(0, getRandomPeriod() - options.confirmTimeoutMs);
             pendingProbe = undefined;
             onSkipped();
--- a/packages/oleandergap-membership/src/restoreCheck.ts
+++ b/packages/oleandergap-membership/src/restoreCheck.ts
@@ -23,7 +23,7 @@
 }
 
 export interface RestoreCheckDependencies {
-    /** Returns the newest era seen in the answers of the store. */
+    /** Returns the newest era seen in the responses of the store. */
     readonly readEra: () => StoreEra | undefined;
     readonly random: Random;
 }
--- a/packages/oleandergap-membership/src/roster.ts
+++ b/packages/oleandergap-membership/src/roster.ts
@@ -1,6 +1,6 @@
 /**
  * Maintains the rosters. A roster is a small object per availability zone in the object store that lists some members
- * of the zone. A node uses it to find other members if no seed answers. The roster is only a hint: if it is outdated,
+ * of the zone. A node uses it to find other members if no seed responds. The roster is only a hint: if it is outdated,
  * missing or overwritten, it costs a few datagrams, and it is never used to decide which members are alive.
  */
 import * as either from "fp-ts/lib/Either.js";
@@ -53,7 +53,7 @@
 /** Returns the key of a zone's roster in the object store. */
 export const formatRosterKey = (zone: ZoneName): string => `membership/roster/${zone}`;
 
-/** Reads of the roster of one zone since a node of the zone last answered. */
+/** Reads of the roster of one zone since a node of the zone last responded. */
 interface RosterReads {
     readonly count: number;
     readonly nextAt: Milliseconds;
@@ -71,7 +71,7 @@
      * was found.
      */
     readonly read: (zone: ZoneName, receive: (entries: readonly Contact[]) => void, signal: AbortSignal) => void;
-    /** Resets the backoff after a node of the zone has answered, so that the next read is not delayed. */
+    /** Resets the backoff after a node of the zone has responded, so that the next read is not delayed. */
     readonly resetBackoff: (zone: ZoneName) => void;
 }
 
@@ -116,7 +116,7 @@
 };
 
 /**
- * Creates the roster keeper. Calls to the object store run in the background; failed calls are counted and retried
+ * Creates the roster manager. Calls to the object store run in the background; failed calls are counted and retried
  * later.
  */
 export const createRosterManager = (dependencies: RosterDependencies): RosterManager => {
@@ -208,8 +208,8 @@
         nextRecheckAt = now + periodMs * RECHECK_PERIODS * (1 + random());
         const ranked = rankByRendezvous(formatRosterKey(zone), table.listActive(), (member) => member.id);
         const rank = ranked.findIndex((member) => member.id === selfId);
-        // Only the few nodes that happen to call the store notice a restore. The regular writers may not call it for a
-        // long time, so any node that noticed may write.
+        // Only the few nodes that call the store after a restore detect the restore. The regular writers may not call
+        // it for a long time, so any node that detected the restore may write.
         if (rank < 0 || rank >= WRITER_COUNT && !isRestored) {
             return;
         }
--- a/packages/oleandergap-membership/src/sealedTransport.ts
+++ b/packages/oleandergap-membership/src/sealedTransport.ts
@@ -45,8 +45,8 @@
         .subarray(0, SEAL_BYTES);
 
 /**
- * Creates a transport that wraps another one. Both sides must see the sender under the same address, so there must be
- * no NAT between nodes.
+ * Creates a transport that wraps another one. The receiver must see the same source address that the sender has bound,
+ * so there must be no NAT between nodes.
  */
 export const createSealedTransport = ({ transport, readKeys }: SealedTransportDependencies): SealedTransport => {
     const counts = { sealBytesSent: 0, sealBytesReceived: 0, rejected: 0 };
--- a/packages/oleandergap-membership/src/targetDirectory.ts
+++ b/packages/oleandergap-membership/src/targetDirectory.ts
@@ -66,11 +66,11 @@
 
     const targetsOf = (
         service: ServiceReference,
-        wantedZones: readonly ZoneName[] = zones(service),
+        requestedZones: readonly ZoneName[] = zones(service),
     ): readonly TargetMember[] => {
         const key = formatServiceReference(service);
-        const local = wantedZones.includes(localZone) ? [localTargets.targetsOf(service)] : [];
-        const remote = wantedZones
+        const local = requestedZones.includes(localZone) ? [localTargets.targetsOf(service)] : [];
+        const remote = requestedZones
             .filter((zone) => zone !== localZone)
             .map((zone) => getOrCreateZone(zone).targetsOf(service, key));
         return joinedLists.join(key, [...local, ...remote]);
--- a/packages/oleandergap-membership/src/targetDirectoryTypes.ts
+++ b/packages/oleandergap-membership/src/targetDirectoryTypes.ts
@@ -14,7 +14,7 @@
 
 /** Largest number of services in one request to a remote availability zone. */
 export const MAX_SERVICES_PER_REQUEST = 200;
-/** Largest number of targets of one service in an answer. */
+/** Largest number of targets of one service in a response. */
 export const MAX_TARGETS_PER_SERVICE = 2000;
 
 /** Target and the node whose gate forwards requests to it. */
@@ -44,7 +44,7 @@
 });
 export type ZoneTargetsRequest = z.infer<typeof zoneTargetsRequestSchema>;
 
-/** Contains one answer per requested service, in the same order. */
+/** Contains one response per requested service, in the same order. */
 export const zoneTargetsResponseSchema = z.strictObject({
     services: z.array(z.discriminatedUnion("kind", [
         z.strictObject({ kind: z.literal("Unchanged") }),
@@ -55,20 +55,20 @@
         }),
     ])).max(MAX_SERVICES_PER_REQUEST),
     /**
-     * Digest of all targets of the zone that the answering node holds. It can be compared with the digests sent by
+     * Digest of all targets of the zone that the responding node holds. It can be compared with the digests sent by
      * contacts of that zone.
      */
     zoneDigest: z.number().int().min(0).max(MAX_TARGETS_DIGEST).optional(),
 });
 export type ZoneTargetsResponse = z.infer<typeof zoneTargetsResponseSchema>;
 
-/** Reason why a remote availability zone did not answer. */
+/** Reason why a remote availability zone did not respond. */
 export interface FetchZoneError {
     readonly kind: "ZoneUnreachable";
     readonly detail: string;
 }
 
-/** Port that sends a request to any node of `zone`. The request is abandoned when `signal` aborts. */
+/** Port that sends a request to any node of `zone`. The request is aborted when `signal` aborts. */
 export type FetchZone = (
     zone: ZoneName,
     request: ZoneTargetsRequest,
@@ -85,7 +85,7 @@
      * local one. The same array is returned while nothing has changed and the same zones are requested.
      */
     readonly targetsOf: (service: ServiceReference, zones?: readonly ZoneName[]) => readonly TargetMember[];
-    /** Answers the request of a remote zone from the members of the local zone. */
+    /** Responds to the request of a remote zone from the members of the local zone. */
     readonly answerZoneTargets: (request: ZoneTargetsRequest) => ZoneTargetsResponse;
     /** Returns the digest of the targets of the local zone, for `MembershipDependencies.targetsDigest`. */
     readonly zoneDigest: () => number;
--- a/packages/oleandergap-membership/src/testing/freezableClock.ts
+++ b/packages/oleandergap-membership/src/testing/freezableClock.ts
@@ -8,7 +8,7 @@
 export interface FreezableClock extends Clock {
     readonly freeze: () => void;
     /** Resumes the timers and runs, in order, all timers that became due while the clock was frozen. */
-    readonly thaw: () => void;
+    readonly resume: () => void;
 }
 
 export const createFreezableClock = (clock: Clock): FreezableClock => {
@@ -42,7 +42,7 @@
         freeze: () => {
             isFrozen = true;
         },
-        thaw: () => {
+        resume: () => {
             isFrozen = false;
             const due = suspendedTimers;
             suspendedTimers = [];
--- a/packages/oleandergap-membership/src/testing/memoryNetwork.ts
+++ b/packages/oleandergap-membership/src/testing/memoryNetwork.ts
@@ -32,7 +32,7 @@
     readonly setLinks: (getLinkBehaviour: GetLinkBehaviour) => void;
     /** Buffers the datagrams to an endpoint until `thaw` is called. */
     readonly freeze: (endpoint: Endpoint) => void;
-    readonly thaw: (endpoint: Endpoint) => void;
+    readonly resume: (endpoint: Endpoint) => void;
     /** Delivers a payload to an endpoint with a given source endpoint. */
     readonly inject: (from: Endpoint, to: Endpoint, payload: Uint8Array) => void;
 }
@@ -112,7 +112,7 @@
         freeze: (endpoint) => {
             frozenBuffers.set(formatEndpoint(endpoint), []);
         },
-        thaw: (endpoint) => {
+        resume: (endpoint) => {
             const buffered = frozenBuffers.get(formatEndpoint(endpoint)) ?? [];
             frozenBuffers.delete(formatEndpoint(endpoint));
             buffered.forEach(deliver);
--- a/packages/oleandergap-membership/src/ticker.ts
+++ b/packages/oleandergap-membership/src/ticker.ts
@@ -2,9 +2,9 @@
  * Single timer of the membership, which also detects that the process was paused.
  *
  * When a stopped process (SIGSTOP, a paused VM, a long garbage collection) resumes, all its timeouts have expired while
- * the answers received during the pause are still in the socket buffer. Evaluating the timeouts would declare the whole
- * zone dead, which appears as a large number of suspicions by one node after a gap in its log. A timer that fires far
- * too late reveals the pause before any timeout is evaluated, because all timeouts are evaluated in this timer.
+ * the responses received during the pause are still in the socket buffer. Evaluating the timeouts would declare the
+ * whole zone dead, which appears as a large number of suspicions by one node after a gap in its log. A timer that fires
+ * far too late reveals the pause before any timeout is evaluated, because all timeouts are evaluated in this timer.
  */
 import type { Clock, Milliseconds } from "oleandergap-types";
 
--- a/packages/oleandergap-membership/src/updateQueue.ts
+++ b/packages/oleandergap-membership/src/updateQueue.ts
@@ -63,7 +63,7 @@
 
     return {
         add: (member) => {
-            // The existing entry is deleted first, so that the renewed update is inserted behind others with the same
+            // The existing entry is deleted first, so that the renewed update is inserted after others with the same
             // transmission count.
             updates.delete(member.id);
             updates.set(member.id, { member, transmissions: 0 });
--- a/packages/oleandergap-membership/src/zoneDigests.ts
+++ b/packages/oleandergap-membership/src/zoneDigests.ts
@@ -8,7 +8,7 @@
 /** Target digest of a remote availability zone, as sent by one of its nodes. */
 export interface ZoneDigest {
     readonly zone: ZoneName;
-    /** Sequence number of the answered probe, as returned by `probeZone`. */
+    /** Sequence number of the probe that the digest responds to, as returned by `probeZone`. */
     readonly sequence: number;
     readonly digest: number;
 }
