--- a/packages/oleandergap-idempotency/src/claim/settler.ts
+++ b/packages/oleandergap-idempotency/src/claim/settler.ts
@@ -50,7 +50,7 @@
 
 /**
  * Returns the next step for the row as just read. A row that another attempt claimed or finished is never overwritten.
- * A row that another attempt released is overwritten: this process's own claim that was to replace it may still be in
+ * A row that another attempt released is overwritten: a claim of this process that was to replace it may still be in
  * flight, and the new version of the row makes that claim fail.
  */
 const chooseStep = ({ row }: Settlement, found: TableRow | undefined): NextStep => {
--- a/packages/oleandergap-membership/src/__tests__/testZone.ts
+++ b/packages/oleandergap-membership/src/__tests__/testZone.ts
@@ -143,7 +143,10 @@
     maximumDelayMs: 20,
 });
 
-/** Returns the time until `condition` is true, measured in steps, or `limit` if it does not become true before. */
+/**
+ * Returns the time until `condition` is true, in milliseconds, or `limit` if it does not become true earlier. Checks
+ * the condition every `STEP_MS`.
+ */
 export const measureUntil = async (cluster: TestCluster, limit: number, condition: () => boolean): Promise<number> => {
     for (let elapsedMs = 0; elapsedMs < limit; elapsedMs += STEP_MS) {
         if (condition()) {
--- a/packages/oleandergap-membership/src/contactBook.ts
+++ b/packages/oleandergap-membership/src/contactBook.ts
@@ -171,8 +171,8 @@
     };
 
     /**
-     * Searches for new contacts if no contact of the zone is live. Seeds and stored contacts, if there are any, get
-     * some rounds to respond first.
+     * Searches for new contacts if no contact of the zone is live. Seeds and stored contacts, if there are any, are
+     * probed for `ROUNDS_FOR_KNOWN_CONTACTS` rounds first.
      */
     const searchIfUnresponsive = (zone: ZoneContacts, signal: AbortSignal): void => {
         if (listLiveContacts(zone).length > 0) {
--- a/packages/oleandergap-membership/src/contactSources.ts
+++ b/packages/oleandergap-membership/src/contactSources.ts
@@ -17,8 +17,8 @@
  */
 const ROSTER_READER_COUNT = 2;
 /**
- * Number of rounds without a live contact after which a node reads the roster itself, because the roster readers could
- * not help.
+ * Number of rounds without a live contact after which a node reads the roster itself, because the roster readers have
+ * provided none.
  */
 const ROUNDS_BEFORE_ROSTER_READ = 4;
 /**
--- a/packages/oleandergap-membership/src/datagramHandler.ts
+++ b/packages/oleandergap-membership/src/datagramHandler.ts
@@ -75,8 +75,8 @@
     };
 
     /**
-     * Selects the records for a reply: the stored record of the sender if it is not alive or is newer than the sender's
-     * own, and the record of this node if the sender holds an outdated one.
+     * Selects the records for a reply: the stored record of the sender if it is not alive or has a higher incarnation
+     * than the sender, and the record of this node if the sender holds an outdated one.
      */
     const selectReplyRecords = (datagram: Datagram, isSenderOutdated: boolean): readonly Member[] => {
         const stored = table.get(datagram.id);
--- a/packages/oleandergap-membership/src/memberUpdates.ts
+++ b/packages/oleandergap-membership/src/memberUpdates.ts
@@ -55,7 +55,7 @@
  * The two sides of a network partition declare each other dead. If these claims were accepted when the partition heals,
  * every node would consider the whole zone dead until all refutations arrived, and all targets would disappear for
  * seconds. A claim received by gossip therefore only starts a new suspicion. Claims in anti-entropy exchanges, which
- * can contain hundreds of old claims, change nothing before the member has had the chance to refute them.
+ * can contain hundreds of old claims, change nothing before the member could refute them.
  */
 const downgradeDeathClaim = (stored: Member, record: Member, source: RecordSource): Member => {
     if (record.state !== "dead" || isDeadOrLeft(stored)) {
--- a/packages/oleandergap-membership/src/restoreCheck.ts
+++ b/packages/oleandergap-membership/src/restoreCheck.ts
@@ -1,7 +1,7 @@
 /**
- * Determines when this node has to check an object that it may write, because the object store was restored from a
- * backup. Otherwise, the object would be missing until its regular writers check it many seconds later, and new nodes
- * would find no other nodes.
+ * Determines when this node has to check an object that it may write, after the object store was restored from a
+ * backup. Without this check, the object would be missing until its regular writers check it many seconds later, and
+ * new nodes would find no other nodes.
  */
 import type { Milliseconds, StoreEra } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
--- a/packages/oleandergap-membership/src/targetDirectoryTypes.ts
+++ b/packages/oleandergap-membership/src/targetDirectoryTypes.ts
@@ -75,7 +75,7 @@
     signal: AbortSignal,
 ) => TaskEither<FetchZoneError, ZoneTargetsResponse>;
 
-/** Targets of the services that this node holds. */
+/** Lists the targets of services, those of remote zones as stored on this node. */
 export interface TargetDirectory {
     /** Refreshes the targets of remote zones until `signal` aborts. */
     readonly start: (signal: AbortSignal) => void;
