--- a/packages/oleandergap-membership/src/testing/memoryNetwork.ts
+++ b/packages/oleandergap-membership/src/testing/memoryNetwork.ts
@@ -30,7 +30,7 @@
     readonly createTransport: (endpoint: Endpoint) => DatagramTransport;
     /** Replaces the behaviour of all links for datagrams sent from now on. */
     readonly setLinks: (getLinkBehaviour: GetLinkBehaviour) => void;
-    /** Buffers the datagrams to an endpoint until `thaw` is called. */
+    /** Buffers the datagrams to an endpoint until `resume` is called. */
     readonly freeze: (endpoint: Endpoint) => void;
     readonly resume: (endpoint: Endpoint) => void;
     /** Delivers a payload to an endpoint with a given source endpoint. */
