--- a/packages/oleandergap-membership/src/contactSources.ts
+++ b/packages/oleandergap-membership/src/contactSources.ts
@@ -10,15 +10,15 @@
 import { pickOne, rankByRendezvous, type Random } from "oleandergap-utils";
 import type { MemberTable } from "./memberTable.js";
 import type { Contact, FetchContacts } from "./membershipTypes.js";
-import type { RosterKeeper } from "./roster.js";
+import type { RosterManager } from "./roster.js";
 
 /**
  * Number of members per zone that read the rosters of remote zones. With two of them, one may be dead or disconnected.
  */
 const ROSTER_READER_COUNT = 2;
 /**
- * Number of rounds without a live contact after which a node reads the roster itself, because the roster readers could
- * not help.
+ * Number of rounds without a live contact after which a node reads the roster itself, because the roster readers have
+ * provided none.
  */
 const ROUNDS_BEFORE_ROSTER_READ = 4;
 /**
@@ -36,7 +36,7 @@
     /** Starts a search. `receive` is called with the contacts that were found, which may belong to any zone. */
     readonly find: (search: ContactSearch, signal: AbortSignal) => void;
     /**
-     * Resets the backoff of roster reads after a node of the zone has answered, so that the next search starts without
+     * Resets the backoff of roster reads after a node of the zone has responded, so that the next search starts without
      * a delay.
      */
     readonly resetBackoff: (zone: ZoneName) => void;
@@ -56,7 +56,7 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly table: MemberTable;
-    readonly roster: RosterKeeper | undefined;
+    readonly roster: RosterManager | undefined;
     readonly fetchContacts: FetchContacts | undefined;
 }
 
