--- a/packages/oleandergap-gate/src/__tests__/gate.test.ts
+++ b/packages/oleandergap-gate/src/__tests__/gate.test.ts
@@ -189,7 +189,7 @@
 
     it("gives refused requests different retry times, one service interval apart", async () => {
         const harness = createGateHarness(2, { queue: 4 });
-        await harness.trainServiceTime(100);
+        await harness.addServiceTimeSamples(100);
         for (let count = 0; count < 6; count++) {
             await harness.submit();
         }
--- a/packages/oleandergap-gate/src/__tests__/gateFailures.test.ts
+++ b/packages/oleandergap-gate/src/__tests__/gateFailures.test.ts
@@ -7,7 +7,7 @@
     // before its expected start.
     it("refuses a request immediately if it cannot finish before its deadline", async () => {
         const harness = createGateHarness(1);
-        await harness.trainServiceTime(100);
+        await harness.addServiceTimeSamples(100);
         await harness.submit();
         await harness.submit("halloway", 350);
         const refused = await harness.submit("halloway", 250);
@@ -21,7 +21,7 @@
     // so the estimate never decreases although later requests would be fast.
     it("recovers from a service time estimate that is too high after a cold start", async () => {
         const harness = createGateHarness(4);
-        await harness.trainServiceTime(3000);
+        await harness.addServiceTimeSamples(3000);
         let refused = 0;
         for (let count = 0; count < 60; count++) {
             const request = await harness.submit("halloway", 1000);
@@ -38,7 +38,7 @@
     // Cause: requests that never end occupy all slots, and the wait is predicted from earlier service times.
     it("refuses a request immediately if an unresponsive target releases no slot", async () => {
         const harness = createGateHarness(2);
-        await harness.trainServiceTime(50);
+        await harness.addServiceTimeSamples(50);
         await harness.submit();
         await harness.submit();
         await harness.clock.advance(5000);
@@ -65,7 +65,7 @@
     // instead of the last possible start.
     it("refuses a waiting request as soon as it can no longer finish before its deadline", async () => {
         const harness = createGateHarness(1);
-        await harness.trainServiceTime(100);
+        await harness.addServiceTimeSamples(100);
         const startedAt = harness.clock.monotonic();
         await harness.submit();
         const waiting = await harness.submit("halloway", 400);
@@ -81,7 +81,7 @@
     it("never sets a timer to the current time again", async () => {
         const harness = createGateHarness(1, { queue: 200 });
         const roundedServiceMs = 858_993_461 / 2 ** 33;
-        await harness.trainServiceTime(roundedServiceMs, 40);
+        await harness.addServiceTimeSamples(roundedServiceMs, 40);
         await harness.clock.advance(60_000);
         await harness.submit();
         for (let count = 0; count < 100; count++) {
@@ -92,9 +92,8 @@
         expect(harness.clock.pendingTimers()).to.equal(0);
     });
 
-    // Failure: requests at a node whose target is gone wait until their deadlines.
-    // Cause: the target is withdrawn, which sets its slots to 0. No slot is released any more, and only a released slot
-    // advances the queue.
+    // Failure: requests at a node whose target is gone wait until their deadlines. Cause: the target is removed, which
+    // sets its slots to 0. No slot is released any more, and only a released slot advances the queue.
     it("refuses all waiting requests when the target is removed", async () => {
         const harness = createGateHarness(1);
         const running = await harness.submit();
@@ -110,7 +109,7 @@
     // Cause: a request hangs for a minute, and a plain mean of the service times includes this outlier.
     it("keeps admitting requests after one outlier of the service time", async () => {
         const harness = createGateHarness(2);
-        await harness.trainServiceTime(20, 40);
+        await harness.addServiceTimeSamples(20, 40);
         const hung = await harness.submit();
         await harness.clock.advance(60_000);
         await harness.release(hung);
@@ -120,8 +119,8 @@
         expect(waiting.state).to.equal("waiting");
     });
 
-    // Failure: urgent requests wait behind many less urgent ones and miss their objectives.
-    // Cause: the queue is full of requests of a low priority and distinguishes only callers, not priorities.
+    // Failure: urgent requests wait for many less urgent ones and miss their objectives. Cause: the queue is full of
+    // requests of a low priority and distinguishes only callers, not priorities.
     it("starts urgent requests first and evicts less urgent ones from a full queue", async () => {
         const harness = createGateHarness(1);
         const first = await harness.submit();
--- a/packages/oleandergap-gate/src/__tests__/gateHarness.ts
+++ b/packages/oleandergap-gate/src/__tests__/gateHarness.ts
@@ -25,7 +25,7 @@
     readonly submit: (flow?: string, timeoutMs?: Milliseconds) => Promise<TrackedRequest>;
     readonly release: (request: TrackedRequest, outcome?: Parameters<Admission["release"]>[0]) => Promise<void>;
     /** Submits and answers requests one at a time, so that the gate measures the service time. */
-    readonly trainServiceTime: (serviceMs: Milliseconds, count?: number) => Promise<void>;
+    readonly addServiceTimeSamples: (serviceMs: Milliseconds, count?: number) => Promise<void>;
     readonly listInState: (state: TrackedRequest["state"]) => readonly TrackedRequest[];
 }
 
@@ -84,7 +84,7 @@
         await clock.advance(0);
     };
 
-    const trainServiceTime = async (serviceMs: Milliseconds, count = 16): Promise<void> => {
+    const addServiceTimeSamples = async (serviceMs: Milliseconds, count = 16): Promise<void> => {
         for (let completed = 0; completed < count; completed++) {
             const request = await submit();
             await clock.advance(serviceMs);
@@ -96,5 +96,5 @@
     const listInState = (state: TrackedRequest["state"]): readonly TrackedRequest[] =>
         requests.filter((request) => request.state === state);
 
-    return { clock, gate, requests, submit, release, trainServiceTime, listInState };
+    return { clock, gate, requests, submit, release, addServiceTimeSamples, listInState };
 };
--- a/packages/oleandergap-gate/src/forecast.ts
+++ b/packages/oleandergap-gate/src/forecast.ts
@@ -8,7 +8,7 @@
 /** A gate with no free slot is stalled if no slot was released for this many mean service times. */
 const STALL_FACTOR = 4;
 
-/** Maximum number of request kinds with an estimate of their own; the oldest kind is dropped first. */
+/** Maximum number of request kinds with a separate estimate. The oldest kind is evicted. */
 const MAXIMUM_KINDS = 64;
 
 /** The state of a gate from which estimates are computed. */
--- a/packages/oleandergap-gate/src/gate.ts
+++ b/packages/oleandergap-gate/src/gate.ts
@@ -28,7 +28,7 @@
     readonly now: Milliseconds;
 }
 
-/** Returns a refusal for a request that queueing cannot help, and undefined for any other request. */
+/** Returns a refusal for a request that could not start even after waiting, and undefined for any other request. */
 const refuseImmediately = (
     request: AdmissionRequest,
     { isDraining, capacity, refusals, now }: GateStatus,
@@ -115,8 +115,8 @@
     });
 
     /**
-     * Makes room in a full queue by evicting a request of a flow that occupies more of it. Returns a refusal if there
-     * is no such flow.
+     * Makes room in a full queue by evicting a request of a flow that is less urgent or occupies more of the queue.
+     * Returns a refusal if there is no such flow.
      */
     const makeRoom = (flow: Flow<WaitingRequest>): Decision | undefined => {
         if (queue.size() < queueLimit) {
--- a/packages/oleandergap-gate/src/lateRequests.ts
+++ b/packages/oleandergap-gate/src/lateRequests.ts
@@ -1,12 +1,12 @@
 /**
  * Handling of late requests: requests whose response would arrive after their latency objective.
  *
- * With a queue in arrival order, an overloaded target answers every request late, because each one waits behind
- * requests that are already late. The target is then busy all the time, yet almost no response meets its objective.
- * Requests that can still meet their objective therefore start first. Late requests start only if the requests that
- * start before them leave capacity; otherwise they are refused immediately instead of waiting until their deadlines.
- * Less urgent requests are not counted as load here. If they were, a busy target would refuse calls that requests
- * running at other targets depend on, and those requests would fail.
+ * With a queue in arrival order, an overloaded target answers every request late, because each one waits for requests
+ * that are already late. The target is then busy all the time, yet almost no response meets its objective. Requests
+ * that can still meet their objective therefore start first. Late requests start only if the requests that start before
+ * them leave capacity; otherwise they are refused immediately instead of waiting until their deadlines. Less urgent
+ * requests are not counted as load here. If they were, a busy target would refuse calls that requests running at other
+ * targets depend on, and those requests would fail.
  */
 import type { Milliseconds } from "oleandergap-types";
 import { DEFAULT_KIND, type AdmissionRequest } from "./admission.js";
--- a/packages/oleandergap-gate/src/rankedQueue.ts
+++ b/packages/oleandergap-gate/src/rankedQueue.ts
@@ -32,8 +32,8 @@
     readonly getOrCreateFlow: (request: AdmissionRequest, isLate: boolean) => Flow<WaitingRequest>;
     readonly isLate: (flow: Flow<WaitingRequest>) => boolean;
     /**
-     * Moves a request that became late while waiting behind the requests that can meet their objective. Refuses it if
-     * it would miss its deadline there.
+     * Moves a waiting request that became late to a position after the requests that can meet their objective. Refuses
+     * it if it would miss its deadline there.
      */
     readonly demote: (waitingRequest: WaitingRequest, now: Milliseconds) => void;
     /** Refuses waiting late requests that can no longer finish before their deadlines. */
@@ -72,8 +72,9 @@
     };
 
     /**
-     * Late requests may have been queued before the load increased. Since requests that can meet their objective start
-     * first, they would wait until their deadlines; they are refused as soon as this is predictable.
+     * Refuses late requests that were queued before the load increased. Since requests that can meet their objective
+     * start first, such late requests would wait until their deadlines. They are refused as soon as this is
+     * predictable.
      */
     const refuseHopeless: RankedQueue["refuseHopeless"] = (now) => {
         if (now - lastCheckAt < CHECK_INTERVAL_MS) {
--- a/packages/oleandergap-gate/src/serviceTimeEstimator.ts
+++ b/packages/oleandergap-gate/src/serviceTimeEstimator.ts
@@ -9,7 +9,7 @@
 const REFRESH_EVERY = 8;
 /** Number of samples that the moving mean covers. */
 const MEAN_WINDOW_SIZE = 64;
-/** A sample contributes at most this many medians to the mean. */
+/** A sample contributes at most this multiple of the median to the mean. */
 const OUTLIER_FACTOR = 5;
 /** Quantile that `percentile90` returns. */
 const UPPER_QUANTILE = 0.9;
@@ -33,8 +33,9 @@
  * - The median decides whether a request can finish before its deadline, because a few outliers do not change it.
  * - The 90th percentile decides whether a response will meet its objective. With the median, half of the responses that
  *   were expected to be on time would be late.
- * - The mean predicts how fast a queue moves, because rare long requests matter there. Each sample is capped at a few
- *   medians, so that one hung request does not cause the gate to refuse all requests for their deadlines.
+ * - The mean predicts how fast a queue moves, because rare long requests matter there. Each sample is capped at a small
+ *   multiple of the median, so that one hung request does not cause the gate to refuse all requests for their
+ *   deadlines.
  */
 export const createServiceTimeEstimator = (): ServiceTimeEstimator => {
     const durations = new Float64Array(WINDOW_SIZE);
--- a/packages/oleandergap-gate/src/waitingRequests.ts
+++ b/packages/oleandergap-gate/src/waitingRequests.ts
@@ -10,7 +10,7 @@
 /** Minimum delay of a timer. */
 const MINIMUM_TIMER_DELAY_MS = 1;
 
-/** A waiting request. `settle` ends the wait. */
+/** A waiting request. `settle` ends the wait with a decision: an admission or a refusal. */
 export interface WaitingRequest extends RequestTimes {
     /** Changes when a request that could meet its objective becomes late. */
     flow: Flow<WaitingRequest>;
