--- a/packages/oleandergap-containment/src/containment.ts
+++ b/packages/oleandergap-containment/src/containment.ts
@@ -27,7 +27,7 @@
 
 /** Statistics of a containment. */
 export interface ContainmentStatistics {
-    /** Number of crashes of the node's own target while requests were running, since the start. */
+    /** Number of crashes of the local target while requests were running, since the start of the process. */
     readonly ownCrashes: number;
     /** Number of requests on which there is evidence at present. */
     readonly suspects: number;
@@ -35,7 +35,7 @@
     readonly contained: number;
 }
 
-/** How one node treats requests, and the evidence behind it. */
+/** Decides how one node treats requests, from the evidence on them. */
 export interface Containment<Peer> {
     /** Starts the exchange of evidence with other nodes. */
     readonly start: () => void;
@@ -45,13 +45,13 @@
     readonly judge: (fingerprint: Fingerprint) => Judgement;
     /** Returns the time until a contained request may be retried. */
     readonly retryAfter: (judgement: Extract<Judgement, { readonly kind: "Contained" }>) => Milliseconds;
-    /** Records that the node's own target ended while these requests were running, and returns the id of the crash. */
+    /** Records that the local target ended while these requests were running, and returns the id of the crash. */
     readonly noteOwnCrash: (running: readonly Fingerprint[]) => CrashId;
     /** Records a crash that another node reported for one request: its target ended while the request was running. */
     readonly noteCrash: (crash: CrashId, node: NodeId, fingerprint: Fingerprint) => void;
-    /** Records that the node's own target answered a request completely. */
+    /** Records a good run: the local target answered a request completely. */
     readonly noteGoodRun: (fingerprint: Fingerprint) => void;
-    /** Records that another node's target answered a request completely. That node informs the other nodes. */
+    /** Records a good run at a remote target. The node of that target informs the other nodes. */
     readonly hearGoodRun: (fingerprint: Fingerprint) => void;
     readonly stats: () => ContainmentStatistics;
 }
@@ -65,8 +65,8 @@
     const evidenceStore = createEvidenceStore(options);
     const rows = createContainedRows({ tableService, clock, random, logger, signal });
     /** Prefix of the ids of all crashes that this process has detected. */
-    const ownCrashPrefix = `${hashText(`${nodeId}/${bootId}`).toString(CRASH_ID_RADIX)}-`;
-    let ownCrashCount = 0;
+    const localCrashPrefix = `${hashText(`${nodeId}/${bootId}`).toString(CRASH_ID_RADIX)}-`;
+    let localCrashCount = 0;
     /** Number of crashes of each refused request. */
     const containedCrashCounts = new Map<Fingerprint, number>();
 
@@ -79,9 +79,9 @@
             nodes,
             forMs: holdDurationMs,
         });
-        // Each node that detected one of the crashes writes the row, because it does not know whether another one is
-        // still running to do so.
-        if (crashes.some(({ crash }) => crash.startsWith(ownCrashPrefix))) {
+        // Each node that detected one of the crashes writes the row, because the other nodes that detected a crash may
+        // no longer be running.
+        if (crashes.some(({ crash }) => crash.startsWith(localCrashPrefix))) {
             rows.save(request);
         }
     };
@@ -120,8 +120,8 @@
     });
 
     const noteOwnCrash: Containment<Peer>["noteOwnCrash"] = (running) => {
-        ownCrashCount += 1;
-        const crash = `${ownCrashPrefix}${ownCrashCount}`;
+        localCrashCount += 1;
+        const crash = `${localCrashPrefix}${localCrashCount}`;
         const fingerprints = [...new Set(running)];
         const report: CrashReport = { crash, node: nodeId, at: clock.monotonic(), fingerprints };
         logger.warn("The target ended while requests were running.", { crash, running: fingerprints.join(" ") });
@@ -162,7 +162,7 @@
             }
         },
         stats: () => ({
-            ownCrashes: ownCrashCount,
+            ownCrashes: localCrashCount,
             suspects: evidenceStore.size(),
             contained: countContained(),
         }),
--- a/packages/oleandergap-containment/src/evidenceGossip.ts
+++ b/packages/oleandergap-containment/src/evidenceGossip.ts
@@ -14,8 +14,8 @@
 import { createEvidenceBootstrap } from "./evidenceBootstrap.js";
 
 /**
- * Number of zone members to which a node sends its own evidence or evidence from another zone. In a zone of ten nodes,
- * these are all other members.
+ * Number of zone members to which a node sends evidence of its target or evidence from another zone. In a zone of ten
+ * nodes, these are all other members.
  */
 const FANOUT = 9;
 /**
@@ -23,7 +23,10 @@
  * the whole zone.
  */
 const FORWARD_FANOUT = 4;
-/** Number of times that a node sends a crash of its own target. Comparing digests finds what both rounds missed. */
+/**
+ * Number of times that a node sends a crash of the local target. Comparing digests finds crashes that were lost in both
+ * rounds.
+ */
 const CRASH_ROUNDS = 2;
 const ROUND_INTERVAL_MS: Milliseconds = 200;
 /** Time for which good runs are collected into one batch, because a crash is followed by dozens of them. */
@@ -67,7 +70,7 @@
 export interface EvidenceGossip<Peer> {
     /** Starts to query other nodes and to compare digests. */
     readonly start: () => void;
-    /** Sends a crash of this node's own target. The crash is already in the evidence store. */
+    /** Sends a crash of the local target. The crash is already in the evidence store. */
     readonly broadcastCrash: (report: CrashReport) => void;
     /** Sends a good run. `isUrgent` states that the request is contained or on probation. */
     readonly broadcastGoodRun: (run: GoodRun, isUrgent: boolean) => void;
--- a/packages/oleandergap-containment/src/evidenceStore.ts
+++ b/packages/oleandergap-containment/src/evidenceStore.ts
@@ -35,7 +35,7 @@
 
 /** The evidence of one node. Times are on the node's monotonic clock. */
 export interface EvidenceStore {
-    /** Adds a crash. Returns the new part of the report, or undefined if nothing is new. */
+    /** Adds a crash. Returns the part of the report that is new, or undefined if nothing is new. */
     readonly noteCrash: (report: CrashReport) => CrashReport | undefined;
     /** Adds a good run. Returns false if it is not new or there is no evidence against the request. */
     readonly noteGoodRun: (run: GoodRun) => boolean;
--- a/packages/oleandergap-types/src/headers.ts
+++ b/packages/oleandergap-types/src/headers.ts
@@ -8,7 +8,7 @@
 export const TIMEOUT_HEADER = "oleandergap-timeout-ms";
 /** Request and response: identifies one attempt. A response with a different id is never delivered. */
 export const REQUEST_ID_HEADER = "oleandergap-request-id";
-/** Response: `no` if a hop closer to the target has already retried, so that no earlier hop retries again. */
+/** Response: `no` if a downstream hop has already retried, so that no upstream hop retries again. */
 export const RETRY_HEADER = "oleandergap-retry";
 /** Response from a gate: the load of the gate when it responded, see `GateLoad`. */
 export const LOAD_HEADER = "oleandergap-load";
--- a/packages/oleandergap-types/src/verdict.ts
+++ b/packages/oleandergap-types/src/verdict.ts
@@ -11,11 +11,11 @@
  * - `notRun`: no byte of the request reached the target, or the target's gate reports that it did not start the
  *   request.
  * - `mayHaveRun`: the request was sent, and its outcome is unknown.
- * - `ran`: the target answered.
+ * - `ran`: the target sent a response.
  */
 export type Verdict = z.infer<typeof verdictSchema>;
 
-/** Why a target did not answer a request. */
+/** Why a request received no complete response from a target. */
 export type RequestFailure =
     /** The gate or the router refused the request before any byte of it reached the target. */
     | {
