--- a/packages/oleandergap-distribution/src/__tests__/callWithTimeout.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/callWithTimeout.test.ts
@@ -3,7 +3,7 @@
 import { createManualClock } from "oleandergap-utils";
 import { callWithTimeout } from "../callWithTimeout.js";
 
-describe("callWithin", () => {
+describe("callWithTimeout", () => {
     it("times out if the callee never responds and ignores its signal", async () => {
         // Guards against a call without its own timeout. A peer accepts a connection and never responds, and the
         // versions of one partner stop arriving at one node.
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryFleet.ts
@@ -277,7 +277,8 @@
         acceptAt: (node, partner, changes) => {
             const delta = platform.accept(partner, changes);
             const head = platform.head(partner);
-            // Has no effect if the node is behind. The announcement then makes the node pull the missing versions.
+            // Has no effect if the node does not hold the base version of the delta. The announcement then makes the
+            // node pull the missing versions.
             node.store.offerDeltas(partner, [delta]);
             node.spread.announce(head);
             return head;
--- a/packages/oleandergap-distribution/src/__tests__/inMemoryPlatform.ts
+++ b/packages/oleandergap-distribution/src/__tests__/inMemoryPlatform.ts
@@ -34,24 +34,24 @@
     let isUnavailable = false;
     let holdsDocuments = false;
 
-    const documentOf = (partner: PartnerName): PartnerDocument =>
+    const getDocument = (partner: PartnerName): PartnerDocument =>
         documents.get(partner) ?? createTestDocument(partner, 0, {});
 
     const read = <Result>(
         isReachable: () => boolean,
-        answer: () => Result,
+        respond: () => Result,
     ): TaskEither<PlatformError, Result> => async () => {
         readTimes.push(clock.monotonic());
         await new Promise<void>((resolve) => clock.after(READ_DELAY_MS, resolve));
         return isUnavailable || !isReachable() ?
             either.left({ kind: "Unavailable", detail: "outage" }) :
-            either.right(answer());
+            either.right(respond());
     };
 
     return {
         readTimes,
-        head: (partner) => toHead(documentOf(partner)),
-        document: documentOf,
+        head: (partner) => toHead(getDocument(partner)),
+        document: getDocument,
         serveWholeDocuments: () => {
             holdsDocuments = true;
         },
@@ -59,7 +59,7 @@
             isUnavailable = value;
         },
         accept: (partner, changes, forcedDigest) => {
-            const base = documentOf(partner);
+            const base = getDocument(partner);
             const cells: Cells = { ...base.cells, ...changes };
             const digest = forcedDigest ?? computeDigest(partner, cells);
             const sequence = base.sequence + 1;
@@ -78,11 +78,12 @@
             get holdsDocuments() {
                 return holdsDocuments;
             },
-            readHeads: (asked) => read(isReachable, () => asked.map((partner) => toHead(documentOf(partner)))),
+            readHeads: (requestedPartners) =>
+                read(isReachable, () => requestedPartners.map((partner) => toHead(getDocument(partner)))),
             readDeltas: (partner, after) =>
                 read(isReachable, () =>
                     holdsDocuments ? [] : (deltas.get(partner) ?? []).filter((delta) => delta.sequence > after)),
-            readDocument: (partner) => read(isReachable, () => documentOf(partner)),
+            readDocument: (partner) => read(isReachable, () => getDocument(partner)),
         }),
     };
 };
--- a/packages/oleandergap-distribution/src/__tests__/longResponses.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/longResponses.test.ts
@@ -1,6 +1,6 @@
 // Guards against a timeout of one second for a whole response. A pull of a large document over a narrow link that also
-// carries requests was then cancelled while the response was still arriving, and restarted at the next peer, so that
-// the node stayed behind ("A pull failed." with reason "NoAnswer: TimedOut" after 1,004 ms).
+// carries requests would be cancelled while the response is still arriving, and restarted at the next peer. The node
+// would stay at an old version and log "A pull failed." with the reason "NoAnswer: TimedOut" after 1,004 ms.
 import { createServer, type ServerResponse } from "node:http";
 import { Agent } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
--- a/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
+++ b/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
@@ -1,13 +1,14 @@
 /**
- * Measures the distribution on the in-memory fleet and compares it with naive polling of the platform by every node.
- * Run it with `node packages/oleandergap-distribution/lib/__tests__/measureSpread.js [nodes...]`. It prints one line of
- * JSON per fleet size. Times are measured with the manual clock and apply only to the delays of the in-memory network.
+ * Measures the distribution on the in-memory fleet and compares it with a reference model in which every node polls the
+ * platform. Run it with `node packages/oleandergap-distribution/lib/__tests__/measureSpread.js [nodes...]`. It prints
+ * one line of JSON per fleet size. Times are measured with the manual clock and apply only to the delays of the
+ * in-memory network.
  */
 import { MILLISECONDS_PER_SECOND } from "oleandergap-types";
 import { createSeededRandom, pickOne } from "oleandergap-utils";
 import { createInMemoryFleet, PARTNERS, type InMemoryFleet } from "./inMemoryFleet.js";
 import { healthyNetwork } from "./inMemoryNetwork.js";
-import { startNaiveNode } from "./naiveFleet.js";
+import { startPollingNode } from "./naiveFleet.js";
 import { WEIGHT_CELL, type RecordingStore } from "./recordingStore.js";
 
 const ZONES = 7;
@@ -91,12 +92,12 @@
     return measurements;
 };
 
-const measureNaive = async (nodes: number): Promise<Measurements> => {
+const measurePolling = async (nodes: number): Promise<Measurements> => {
     const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 0, seed: nodes });
     const random = createSeededRandom(nodes);
     const abortController = new AbortController();
     const source = fleet.platform.createSource(() => true);
-    const stores = Array.from({ length: nodes }, () => startNaiveNode({
+    const stores = Array.from({ length: nodes }, () => startPollingNode({
         partners: PARTNERS,
         source,
         clock: fleet.clock,
@@ -120,6 +121,6 @@
         ours: await measureDistribution(nodes, 0, 0),
         oursLoss5Percent: await measureDistribution(nodes, 0.05, 0),
         oursDead10Percent: await measureDistribution(nodes, 0, 0.1),
-        naive: await measureNaive(nodes),
+        naive: await measurePolling(nodes),
     }));
 }
--- a/packages/oleandergap-distribution/src/__tests__/naiveFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/naiveFleet.ts
@@ -1,11 +1,13 @@
-/** The naive distribution, for comparison: every node polls the platform's heads and reads newer documents. */
+/**
+ * Reference model of the distribution, for comparison: every node polls the platform's heads and reads newer documents.
+ */
 import * as either from "fp-ts/lib/Either.js";
 import type { Clock, Milliseconds, PartnerName } from "oleandergap-types";
 import type { Random } from "oleandergap-utils";
 import type { ConfigurationSourcePort } from "../ports.js";
 import { createRecordingStore, type RecordingStore } from "./recordingStore.js";
 
-export interface NaiveNodeOptions {
+export interface PollingNodeOptions {
     readonly partners: readonly PartnerName[];
     readonly source: ConfigurationSourcePort;
     readonly clock: Clock;
@@ -15,8 +17,8 @@
 }
 
 /** Starts a node that polls until the signal aborts. Returns the store of the node. */
-export const startNaiveNode = (
-    { partners, source, clock, random, intervalMs, signal }: NaiveNodeOptions,
+export const startPollingNode = (
+    { partners, source, clock, random, intervalMs, signal }: PollingNodeOptions,
 ): RecordingStore => {
     const store = createRecordingStore(partners);
 
--- a/packages/oleandergap-distribution/src/__tests__/peerClient.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/peerClient.test.ts
@@ -14,7 +14,7 @@
 
 const self = { id: "hall-a-1", zone: "hall-a", address: "127.0.0.1", controlPort: 1_024 };
 const NEW_CELL = "zones/new/enabled";
-const never = new AbortController().signal;
+const neverAbortedSignal = new AbortController().signal;
 const servers = new Set<Server>();
 const clients = new Set<PeerClient>();
 
@@ -70,33 +70,33 @@
     it("returns the response of every procedure of a peer", async () => {
         const peer = await listen(createHandler());
         const client = createClient();
-        expect(await client.ping(peer, never)()).to.deep.equal(either.right({
+        expect(await client.ping(peer, neverAbortedSignal)()).to.deep.equal(either.right({
             id: "hall-a-1",
             ready: true,
             platformAgeMs: 42,
         }));
-        const heads = await client.heads(peer, never)();
+        const heads = await client.heads(peer, neverAbortedSignal)();
         expect(either.isRight(heads) && heads.right.heads.map((head) => head.sequence)).to.deep.equal([8, 0]);
-        const deltas = await client.deltasSince(peer, { partner: "halloway", sequence: 7 }, never)();
+        const deltas = await client.deltasSince(peer, { partner: "halloway", sequence: 7 }, neverAbortedSignal)();
         expect(either.isRight(deltas) && deltas.right.kind).to.equal("Deltas");
-        const whole = await client.deltasSince(peer, { partner: "halloway", sequence: 2 }, never)();
+        const whole = await client.deltasSince(peer, { partner: "halloway", sequence: 2 }, neverAbortedSignal)();
         expect(either.isRight(whole) && whole.right.kind).to.equal("Document");
-        const document = await client.document(peer, { partner: "halloway" }, never)();
+        const document = await client.document(peer, { partner: "halloway" }, neverAbortedSignal)();
         expect(either.isRight(document) && document.right.cells[NEW_CELL]).to.equal(1);
-        const contacts = await client.contacts(peer, never)();
+        const contacts = await client.contacts(peer, neverAbortedSignal)();
         expect(either.isRight(contacts) && contacts.right.contacts.map((contact) => contact.id))
             .to.deep.equal(["hall-a-1", "far"]);
         const service = { partner: "halloway", service: "grant-filer" };
-        const targets = await client.zoneTargets(peer, { zone: "hall-a", services: [service] }, never)();
+        const targets = await client.zoneTargets(peer, { zone: "hall-a", services: [service] }, neverAbortedSignal)();
         expect(targets).to.deep.equal(either.right({ services: [{ kind: "Unchanged" }] }));
     });
 
     it("adds at most a few hundred bytes of headers to a call", async () => {
         const peer = await listen(createHandler());
         const client = createClient();
-        await client.heads(peer, never)();
+        await client.heads(peer, neverAbortedSignal)();
         const before = client.stats();
-        await client.heads(peer, never)();
+        await client.heads(peer, neverAbortedSignal)();
         const { bytesSent, bytesReceived } = client.stats();
         expect(bytesSent - before.bytesSent).to.be.within(1, 140);
         expect(bytesReceived - before.bytesReceived).to.be.within(1, 420);
@@ -105,18 +105,18 @@
     it("compresses a large document and rejects a document above the size limit", async () => {
         const peer = await listen(createHandler(4_000));
         const client = createClient();
-        const document = await client.document(peer, { partner: "halloway" }, never)();
+        const document = await client.document(peer, { partner: "halloway" }, neverAbortedSignal)();
         expect(either.isRight(document) && Object.keys(document.right.cells)).to.have.lengthOf(4_001);
         expect(client.stats().bytesReceived).to.be.lessThan(40_000);
         const strict = createClient({ answerBytes: 50_000 });
-        expect(await strict.document(peer, { partner: "halloway" }, never)())
+        expect(await strict.document(peer, { partner: "halloway" }, neverAbortedSignal)())
             .to.deep.equal(either.left({ kind: "TooLarge", limitBytes: 50_000 }));
     });
 
     it("returns only an error for an invalid response", async () => {
         // Guards against a node that crashes, hangs or applies invalid data because it does not validate a response.
         // The response is not JSON, contains a wrong type, breaks off, or comes from another program.
-        const answers: readonly RequestListener[] = [
+        const listeners: readonly RequestListener[] = [
             (_request, response) => response.end("<html>"),
             (_request, response) => response.end(JSON.stringify({ result: { data: { ready: "yes", heads: [] } } })),
             (_request, response) => response.writeHead(404).end("no"),
@@ -127,8 +127,8 @@
             (_request, response) => response.writeHead(200, { "content-encoding": "gzip" }).end("not gzip"),
         ];
         const kinds = [];
-        for (const answer of answers) {
-            const outcome = await createClient().heads(await listen(answer), never)();
+        for (const listener of listeners) {
+            const outcome = await createClient().heads(await listen(listener), neverAbortedSignal)();
             kinds.push(either.isLeft(outcome) ? outcome.left.kind : "answer");
         }
         expect(kinds).to.deep.equal(["Malformed", "Malformed", "Malformed", "Unreachable", "Unreachable"]);
@@ -147,15 +147,15 @@
             }
         });
         const client = createClient({}, clock);
-        expect(either.isRight(await client.heads(peer, never)())).to.equal(true);
-        const silent = client.heads(peer, never)();
+        expect(either.isRight(await client.heads(peer, neverAbortedSignal)())).to.equal(true);
+        const pendingCall = client.heads(peer, neverAbortedSignal)();
         while (calls < 2) {
             await new Promise((resolve) => setImmediate(resolve));
         }
         await clock.advance(defaultDistributionOptions.peer.timeoutMs);
-        const outcome = await silent;
+        const outcome = await pendingCall;
         expect(either.isLeft(outcome) && outcome.left.kind).to.equal("Unreachable");
-        expect(either.isRight(await client.heads(peer, never)())).to.equal(true);
+        expect(either.isRight(await client.heads(peer, neverAbortedSignal)())).to.equal(true);
         expect(clock.pendingTimers()).to.equal(0);
     });
 
@@ -188,6 +188,6 @@
         await once(socket, "connect");
         socket.write("POST /peer/heads HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{\"par");
         socket.destroy();
-        expect(either.isRight(await createClient().heads(peer, never)())).to.equal(true);
+        expect(either.isRight(await createClient().heads(peer, neverAbortedSignal)())).to.equal(true);
     });
 });
--- a/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/platformReader.test.ts
@@ -32,9 +32,9 @@
         }
     });
 
-    it("lets one standby at a time take over if the readers die or lose the platform", async () => {
+    it("lets one standby at a time take over if the readers die or cannot reach the platform", async () => {
         // Guards against a zone without a working reader, and against all standbys taking over at once. One reader dies
-        // undetected, the other one loses the platform, and then a change is accepted elsewhere.
+        // undetected, the other one can no longer reach the platform, and then a change is accepted elsewhere.
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 24, seed: 3, detectionMs: 600_000 });
         await fleet.startAll();
         await fleet.clock.advance(5_000);
--- a/packages/oleandergap-distribution/src/__tests__/readerLinks.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/readerLinks.test.ts
@@ -1,6 +1,6 @@
 // Guards against readers with narrow links: versions arrive as whole documents and saturate such a link for seconds, so
 // that the versions are late and requests through the node wait. In a fleet of 83 nodes, 6 of them with wide links, all
-// eleven nodes that lost the platform for about three seconds had narrow links.
+// eleven nodes that could not reach the platform for about three seconds had narrow links.
 import { expect } from "chai";
 import { defaultDistributionOptions } from "../options.js";
 import { countReaders, rankReaders } from "../readerRole.js";
--- a/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/recovery.test.ts
@@ -3,7 +3,7 @@
 import { healthyNetwork } from "./inMemoryNetwork.js";
 import { WEIGHT_CELL } from "./recordingStore.js";
 
-/** Maximum time for which a ready node may be behind a confirmed version. */
+/** Maximum time for which a ready node may hold a version older than a confirmed one. */
 const MAX_LAG_MS = 2_500;
 
 const startFleet = async (seed: number): Promise<InMemoryFleet> => {
@@ -28,7 +28,7 @@
 describe("recoverConfiguration", () => {
     it("makes a node ready only after it holds the versions of its peers", async () => {
         // Guards against a restarted node that serves an older table than before its restart, because it becomes ready
-        // before it has asked its peers. The platform is unavailable during the restart.
+        // before it has queried its peers. The platform is unavailable during the restart.
         const fleet = await startFleet(1);
         fleet.platform.setOutage(true);
         fleet.network.setFaults({ ...healthyNetwork, delayMs: 20 });
@@ -84,7 +84,7 @@
 
     it("stays not ready while no source responds, and recovers after the platform returns", async () => {
         // Guards against an empty table in force after a restart of all nodes during a platform outage of one minute,
-        // because a missing response is taken as the response that there is no version.
+        // because a missing response is treated as a response that there is no version.
         const fleet = await startFleet(5);
         fleet.platform.setOutage(true);
         restartAll(fleet, fleet.nodes);
--- a/packages/oleandergap-distribution/src/__tests__/slowHolders.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/slowHolders.test.ts
@@ -36,14 +36,15 @@
     });
 
     it("comes into force in time although the holders that claimed it last do not respond", async () => {
-        const silent = ["node-1", "node-2", "node-3"];
-        let areHoldersSilent = false;
+        const unresponsiveNodeIds = ["node-1", "node-2", "node-3"];
+        let areHoldersUnresponsive = false;
         const fleet = createInMemoryFleet({
             zones: 1,
             nodesPerZone: NODES,
             seed: 1,
             probes: false,
-            getResponseDelay: (_requester, holder) => areHoldersSilent && silent.includes(holder) ? undefined : 0,
+            getResponseDelay: (_requester, holder) =>
+                areHoldersUnresponsive && unresponsiveNodeIds.includes(holder) ? undefined : 0,
         });
         await fleet.startAll();
         const late = fleet.node(NODES - 1);
@@ -52,7 +53,7 @@
         await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
         expect(listOutdated(fleet)).to.deep.equal([late.address.id]);
         fleet.network.setCut(() => false);
-        areHoldersSilent = true;
+        areHoldersUnresponsive = true;
         const announceHeads = ({ address, store }: FleetNode): void => late.spread.receiveHeads(address, store.heads());
         [1, 4, 5, 6, 2, 3].map(fleet.node).forEach(announceHeads);
         await fleet.clock.advance(CONVERGENCE_LIMIT_MS);
@@ -89,7 +90,7 @@
         fleet.stop();
     });
 
-    // Guards against a backoff and a logged failure after a pull whose version arrived in a datagram in the meantime.
+    // Guards against a backoff and a logged failure after a pull whose version arrived in a datagram during the pull.
     it("counts no failure if it arrived in a datagram during the pull", async () => {
         const fleet = createInMemoryFleet({
             zones: 1,
--- a/packages/oleandergap-distribution/src/__tests__/spread.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spread.test.ts
@@ -5,7 +5,7 @@
 import { expectInForceEverywhere, expectNeverLower } from "./fleetAssertions.js";
 import { createInMemoryFleet, PARTNERS, type InMemoryFleet } from "./inMemoryFleet.js";
 import { LIMIT_CELL, MISSING_LIMIT, WEIGHT_CELL } from "./recordingStore.js";
-import { startNaiveNode } from "./naiveFleet.js";
+import { startPollingNode } from "./naiveFleet.js";
 
 const startFleet = async (seed: number): Promise<InMemoryFleet> => {
     const fleet = createInMemoryFleet({ zones: 4, nodesPerZone: 10, seed });
@@ -27,26 +27,26 @@
     });
 
     it("replies to a peer that sends a lower head, but not to each of its datagrams", async () => {
-        // Guards against a missing reply to a lower head, which leaves the peer behind, and against a reply to each
-        // datagram of a burst, which saturates the link between the two nodes.
+        // Guards against a missing reply to a lower head, which leaves the peer at an old version, and against a reply
+        // to each datagram of a burst, which saturates the link between the two nodes.
         const fleet = createInMemoryFleet({ zones: 1, nodesPerZone: 6, seed: 11, probes: false });
         await fleet.startAll();
-        const [ahead, behind] = [fleet.node(0), fleet.node(1)];
-        behind.canReachPlatform = false;
-        fleet.network.setCut((from, to) => from === behind.address || to === behind.address);
-        fleet.acceptAt(ahead, "halloway", { [WEIGHT_CELL]: 3 });
+        const [newerNode, olderNode] = [fleet.node(0), fleet.node(1)];
+        olderNode.canReachPlatform = false;
+        fleet.network.setCut((from, to) => from === olderNode.address || to === olderNode.address);
+        fleet.acceptAt(newerNode, "halloway", { [WEIGHT_CELL]: 3 });
         await fleet.clock.advance(2_000);
         fleet.network.setCut(() => false);
         for (let datagram = 0; datagram < 100; datagram++) {
-            ahead.spread.receiveHeads(behind.address, behind.store.heads());
+            newerNode.spread.receiveHeads(olderNode.address, olderNode.store.heads());
         }
         await fleet.clock.advance(20);
-        expect(fleet.listInformed("halloway")).to.include(behind);
-        expect(ahead.spread.stats().repliesSent).to.equal(1);
+        expect(fleet.listInformed("halloway")).to.include(olderNode);
+        expect(newerNode.spread.stats().repliesSent).to.equal(1);
         fleet.stop();
     });
 
-    it("converges to the heads of naive polling from any node under loss, duplicates and reordering", async () => {
+    it("converges to the heads of the reference model from any node under loss, duplicates and reordering", async () => {
         // Guards against a node that stays at an old version because its datagrams were lost, duplicated or reordered
         // while both partners changed their tables. A version that is only pushed is lost together with its datagram.
         await fastCheck.assert(fastCheck.asyncProperty(
@@ -57,7 +57,7 @@
             async (informed, lossPercent, changes, seed) => {
                 const fleet = await startFleet(seed);
                 const ended = new AbortController();
-                const naive = startNaiveNode({
+                const pollingStore = startPollingNode({
                     partners: PARTNERS,
                     source: fleet.platform.createSource(() => true),
                     clock: fleet.clock,
@@ -77,7 +77,7 @@
                 }
                 await fleet.clock.advance(6_000);
                 for (const node of fleet.nodes) {
-                    expect(node.store.heads()).to.deep.equal(naive.heads());
+                    expect(node.store.heads()).to.deep.equal(pollingStore.heads());
                 }
                 expectNeverLower(fleet.nodes);
                 ended.abort();
@@ -102,8 +102,9 @@
     });
 
     it("rejects an invalid version completely on every node and applies a later valid one", async () => {
-        // Guards against a partially applied version, and against a fleet that cannot get past a rejected version. The
-        // platform first holds a version that refers to a missing limit, then a version that corrects it.
+        // Guards against a partially applied version, and against a fleet that applies no further versions after a
+        // rejected one. The platform first holds a version that refers to a missing limit, then a version that corrects
+        // it.
         const fleet = await startFleet(3);
         fleet.acceptAt(fleet.node(1), "halloway", { [LIMIT_CELL]: MISSING_LIMIT });
         await fleet.clock.advance(10_000);
@@ -120,23 +121,23 @@
         // Guards against a node that sends requests to one peer forever and receives no later versions. A peer keeps
         // claiming heads that are far too high, while a valid change is accepted elsewhere.
         const fleet = await startFleet(4);
-        const [lyingPeer, receiver] = [fleet.node(0), fleet.node(4)];
+        const [faultyPeer, receiver] = [fleet.node(0), fleet.node(4)];
         const claim = async (sequence: number): Promise<void> => {
             const head = { partner: "halloway", sequence, digest: "f".repeat(64) };
-            receiver.spread.receiveHeads(lyingPeer.address, [head]);
+            receiver.spread.receiveHeads(faultyPeer.address, [head]);
             await fleet.clock.advance(50);
         };
-        const honestPeer = fleet.node(8);
+        const correctPeer = fleet.node(8);
         fleet.network.setCut((from, to) => {
             const other = from === receiver.address ? to : from;
-            return (from === receiver.address || to === receiver.address) && other !== honestPeer.address;
+            return (from === receiver.address || to === receiver.address) && other !== correctPeer.address;
         });
         fleet.acceptAt(fleet.node(9), "halloway", { [WEIGHT_CELL]: 8 });
         await fleet.clock.advance(10);
         for (let sequence = 1_000; sequence < 1_040; sequence++) {
             await claim(sequence);
             if (sequence === 1_010) {
-                receiver.spread.receiveHeads(honestPeer.address, honestPeer.store.heads());
+                receiver.spread.receiveHeads(correctPeer.address, correctPeer.store.heads());
             }
         }
         expectInForceEverywhere(fleet, "halloway");
@@ -153,11 +154,11 @@
         // contains a changed value and the digest of the original value.
         const fleet = await startFleet(5);
         const delta = compactDelta(fleet.platform.accept("halloway", { [WEIGHT_CELL]: 8 }));
-        const damaged = { ...delta, changes: [{ cell: WEIGHT_CELL, after: 9 }] };
-        const victim = fleet.node(4);
-        victim.spread.receive(fleet.node(0).address, { kind: "Step", delta: damaged });
-        expect(victim.store.document("halloway").sequence).to.equal(1);
-        expect(victim.spread.stats().inlineRefused).to.equal(1);
+        const corruptedDelta = { ...delta, changes: [{ cell: WEIGHT_CELL, after: 9 }] };
+        const receiver = fleet.node(4);
+        receiver.spread.receive(fleet.node(0).address, { kind: "Step", delta: corruptedDelta });
+        expect(receiver.store.document("halloway").sequence).to.equal(1);
+        expect(receiver.spread.stats().inlineRefused).to.equal(1);
         await fleet.clock.advance(3_000);
         expectInForceEverywhere(fleet, "halloway");
         fleet.stop();
--- a/packages/oleandergap-distribution/src/__tests__/spreadFailures.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadFailures.test.ts
@@ -32,8 +32,8 @@
 
     it("distributes within an isolated zone and lets the zone catch up after the partition", async () => {
         // Guards against distribution within a zone that depends on other zones or the platform, and against a zone
-        // that stays behind or reverts after a partition because zones do not compare heads. One node of the zone
-        // receives a version, the zone is isolated, and further versions are accepted elsewhere.
+        // that stays at an old version or reverts after a partition because zones do not compare heads. One node of the
+        // zone receives a version, the zone is isolated, and further versions are accepted elsewhere.
         const spread = { ...defaultDistributionOptions.spread, checkIntervalMs: 600_000 };
         const options = { ...defaultDistributionOptions, spread };
         const fleet = createInMemoryFleet({ zones: 4, nodesPerZone: 10, seed: 7, options });
--- a/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spreadTransport.test.ts
@@ -5,7 +5,7 @@
 import type { SpreadMessage } from "../spreadMessage.js";
 import { createSpreadTransport } from "../spreadTransport.js";
 
-const here: Endpoint = { address: "127.0.0.1", port: 1_024 };
+const localEndpoint: Endpoint = { address: "127.0.0.1", port: 1_024 };
 const to: PeerAddress = { id: "hall-a-2", zone: "hall-a", address: "127.0.0.2", controlPort: 1_025 };
 const message: SpreadMessage = {
     kind: "Step",
@@ -30,7 +30,7 @@
     let receiver: ReceiveDatagram = () => undefined;
     const open: DatagramTransport["open"] = (receive) => async () => {
         receiver = receive;
-        return either.right(here);
+        return either.right(localEndpoint);
     };
     return {
         transport: { open, send: (_to, payload) => sent.push(payload) },
@@ -53,8 +53,8 @@
         spread.send(to, message);
         const [payload] = loop.sent;
         expect(payload?.length).to.be.within(1, 400);
-        loop.deliver(payload ?? new Uint8Array(), here);
-        loop.deliver(Uint8Array.of(0x98, 1, 2), here);
+        loop.deliver(payload ?? new Uint8Array(), localEndpoint);
+        loop.deliver(Uint8Array.of(0x98, 1, 2), localEndpoint);
         expect(receivedMessages).to.deep.equal([message]);
         expect(passedOn).to.deep.equal([Uint8Array.of(0x98, 1, 2)]);
     });
@@ -72,10 +72,10 @@
         spread.send(to, message);
         const whole = loop.sent[0] ?? new Uint8Array();
         for (let length = 1; length < whole.length; length += 7) {
-            loop.deliver(whole.slice(0, length), here);
+            loop.deliver(whole.slice(0, length), localEndpoint);
         }
         const wrong = Buffer.from(whole).toString("latin1").replace("\"sequence\":3", "\"sequence\":-3");
-        loop.deliver(Buffer.from(wrong, "latin1"), here);
+        loop.deliver(Buffer.from(wrong, "latin1"), localEndpoint);
         expect(receivedCount).to.equal(0);
         expect(spread.stats().dropped).to.equal(Math.ceil((whole.length - 1) / 7) + 1);
     });
--- a/packages/oleandergap-distribution/src/__tests__/unreadResponses.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/unreadResponses.test.ts
@@ -9,7 +9,7 @@
 const { timeoutMs } = defaultDistributionOptions.peer;
 
 describe("a node whose event loop was blocked", () => {
-    // Guards against a node that mistakes its own delay for a peer timeout and discards the response unread.
+    // Guards against a node that treats its event loop lag as a timeout of the peer and discards the response unread.
     it("reads a response that has already arrived before it applies the peer timeout", async () => {
         const clock = createManualClock();
         const agent = new Agent();
--- a/packages/oleandergap-distribution/src/choosePull.ts
+++ b/packages/oleandergap-distribution/src/choosePull.ts
@@ -20,7 +20,7 @@
 /**
  * Returns the next request, or undefined if no source is available. The source that claims the highest head is
  * preferred. After a failure another source is chosen. Otherwise a single peer that does not respond, or that sends
- * false heads, could keep a node behind for as long as it claims higher heads.
+ * false heads, could keep a node at an old version for as long as it claims higher heads.
  */
 export const choosePull = (
     { claims, isInFlight, isLastFailedSource, listFallbackPeers, random }: PullChoice,
--- a/packages/oleandergap-distribution/src/claimRegistry.ts
+++ b/packages/oleandergap-distribution/src/claimRegistry.ts
@@ -19,8 +19,8 @@
 
 /**
  * Meaning of a failed attempt for the claim. `Unanswered`: the claim remains unverified, because the source may be
- * dead, busy, or behind a saturated link. `Disproved`: the source responded but did not deliver the version that it
- * claims to hold.
+ * dead, busy, or reachable only over a saturated link. `Disproved`: the source responded but did not deliver the
+ * version that it claims to hold.
  */
 export type ClaimFailure = "Unanswered" | "Disproved";
 
@@ -45,13 +45,13 @@
     readonly options: Pick<PullOptions, "attemptsPerHead" | "keepUnansweredMs" | "setAsideMs">;
 }
 
-/** Claims to hold heads of one partner. Claims that could not be verified are ignored for a while. */
+/** The claims of sources to hold heads of one partner. Claims that could not be verified are ignored for a while. */
 export interface ClaimRegistry {
     /** Records a claim. Returns whether its head is higher than those of all other current claims. */
     readonly note: (claim: Claim) => boolean;
     /** Returns the current claims, highest sequence first. */
     readonly claims: () => readonly Claim[];
-    /** Removes the claims to heads that are no longer wanted. */
+    /** Removes the claims to heads for which `isWanted` returns false. */
     readonly settle: (isWanted: (head: Head) => boolean) => void;
     /** Counts a failed attempt to fetch a claimed head from its source. Returns whether the claim was dropped. */
     readonly countFailure: (claim: Claim, failure: ClaimFailure) => boolean;
@@ -86,7 +86,7 @@
  *
  * While sources do not respond, a claim is kept for at least some seconds, whatever the number of failed attempts.
  * Requests that fail immediately would otherwise use up the attempts within a fraction of a second. A node that
- * receives the head only once would then stay behind although other nodes hold the version.
+ * receives the head only once would then stay at an old version although other nodes hold the newer one.
  */
 export const createClaimRegistry = ({ clock, options }: ClaimRegistryDependencies): ClaimRegistry => {
     let claims: readonly Claim[] = [];
--- a/packages/oleandergap-distribution/src/delegation.ts
+++ b/packages/oleandergap-distribution/src/delegation.ts
@@ -2,7 +2,7 @@
  * Delegates a version to one of several candidates and retries until one of them acknowledges it.
  *
  * A datagram may be lost, and a candidate may be dead or frozen before the membership detects it. Without an
- * acknowledgement, all members below that candidate in the forwarding tree would miss the version until a later
+ * acknowledgement, all descendants of that candidate in the forwarding tree would miss the version until a later
  * comparison, and a part of the zone would lag by a second or more. If a candidate does not acknowledge the version in
  * time, the next candidate is therefore tried, in turn and repeatedly, up to a maximum number of attempts.
  */
@@ -31,7 +31,7 @@
     readonly signal: AbortSignal;
 }
 
-/** A version without its digest. */
+/** Identifies a version that a node holds, without its digest. */
 export type HeldVersion = Pick<Head, "partner" | "sequence">;
 
 /** Retries delegations until they are acknowledged. */
--- a/packages/oleandergap-distribution/src/headReceiver.ts
+++ b/packages/oleandergap-distribution/src/headReceiver.ts
@@ -30,7 +30,7 @@
 export interface HeadReceiver {
     /** Handles heads that were piggybacked on a datagram of the membership or sent by a peer. */
     readonly receiveHeads: (from: PeerAddress, heads: readonly Head[]) => void;
-    /** Handles a message that a node sent with `SpreadOutlet.send`. */
+    /** Handles a message that a node sent with `SpreadSender.send`. */
     readonly receive: (from: PeerAddress, message: SpreadMessage) => void;
 }
 
@@ -38,8 +38,8 @@
 const MAX_REPLY_TIMES = 256;
 
 /**
- * Creates the rate limiter of replies to peers that are behind. Without a limit, a peer that cannot apply the newer
- * version, or that sends a burst of datagrams, would receive a reply to each datagram. The two nodes would then
+ * Creates the rate limiter of replies to peers that hold lower versions. Without a limit, a peer that cannot apply the
+ * newer version, or that sends a burst of datagrams, would receive a reply to each datagram. The two nodes would then
  * saturate the link between them.
  */
 const createReplyLimiter = (
@@ -80,7 +80,7 @@
     const tryTakeReply = createReplyLimiter(clock, options);
 
     /** Returns whether this node holds a version that is newer than the sender's head of the same partner. */
-    const isPeerBehind = (heads: readonly Head[]): boolean =>
+    const isPeerOutdated = (heads: readonly Head[]): boolean =>
         store.heads().some((localHead) => {
             const peerHead = heads.find((head) => head.partner === localHead.partner);
             return localHead.sequence > (peerHead?.sequence ?? 0);
@@ -124,8 +124,8 @@
         { partner, sequence }: Pick<Head, "partner" | "sequence">,
     ): void => {
         pusher.acknowledge(from, { partner, sequence });
-        // The peer is ahead, but an acknowledgement contains no digest. The peer replies to the heads of this node with
-        // its own heads.
+        // The peer holds a higher version, but an acknowledgement contains no digest. The peer replies to the heads of
+        // this node with its own heads.
         if (sequence > store.document(partner).sequence) {
             sender.sendHeads(from, store.heads());
         }
@@ -136,7 +136,7 @@
             for (const head of heads.filter((candidate) => partners.includes(candidate.partner))) {
                 recordPeerHead(from, head);
             }
-            if (isPeerBehind(heads) && tryTakeReply(from.id)) {
+            if (isPeerOutdated(heads) && tryTakeReply(from.id)) {
                 counters.repliesSent += 1;
                 sender.sendHeads(from, store.heads());
             }
--- a/packages/oleandergap-distribution/src/inFlightPulls.ts
+++ b/packages/oleandergap-distribution/src/inFlightPulls.ts
@@ -42,7 +42,7 @@
     readonly hasFreeSlot: () => boolean;
     readonly isInFlight: (source: ClaimSource) => boolean;
     readonly start: (attempt: PullAttempt) => void;
-    /** Starts a timer that calls `onEnd` when another source should be tried in parallel. */
+    /** Starts a timer that calls `onEnd` when a request should be sent to another source in parallel. */
     readonly startPatience: (onEnd: () => void) => CancelTimer;
     /**
      * Cancels the requests for versions that are no longer wanted. The callbacks are not called for cancelled requests.
@@ -59,7 +59,10 @@
     lastProgressAt: Milliseconds;
 }
 
-/** Maximum number of concurrent requests. The third one covers two sources that are dead or behind saturated links. */
+/**
+ * Maximum number of concurrent requests. The third one covers two sources that are dead or reachable only over
+ * saturated links.
+ */
 const MAX_CONCURRENT_PULLS = 3;
 
 /** Creates an empty set of in-flight requests. */
--- a/packages/oleandergap-distribution/src/options.ts
+++ b/packages/oleandergap-distribution/src/options.ts
@@ -78,7 +78,7 @@
 });
 
 const recoveryOptionsSchema = z.strictObject({
-    /** Number of peers asked for their heads in one recovery round: first in the local zone, then in other zones. */
+    /** Number of peers queried for their heads in one recovery round: first in the local zone, then in other zones. */
     peersAsked: z.number().int().min(1).max(16).default(3),
     /** Upper bound of the random wait before the second round. It doubles with each further round. */
     roundBaseMs: milliseconds(10, 60_000).default(250),
--- a/packages/oleandergap-distribution/src/peerClient.ts
+++ b/packages/oleandergap-distribution/src/peerClient.ts
@@ -26,7 +26,10 @@
 /** Returns the `authorization` header for calls to a node; undefined if no key is set. */
 export type AuthorizeCall = (node: Pick<PeerAddress, "address" | "controlPort">) => string | undefined;
 
-/** Dependencies of a peer client. Without `authorize`, calls contain no proof of membership in the fleet. */
+/**
+ * Dependencies of a peer client. Without `authorize`, calls contain no `authorization` header, which proves membership
+ * in the fleet.
+ */
 export interface PeerClientDependencies {
     readonly clock: Clock;
     readonly options: PeerOptions;
--- a/packages/oleandergap-distribution/src/peerSchemas.ts
+++ b/packages/oleandergap-distribution/src/peerSchemas.ts
@@ -17,7 +17,7 @@
 const MAX_PARTNERS = 16;
 /** Maximum number of contacts in one response. */
 export const MAX_CONTACTS = 64;
-/** Maximum number of deltas in one response. A node that is further behind receives the whole document. */
+/** Maximum number of deltas in one response. A node that lacks more deltas receives the whole document. */
 export const MAX_DELTAS_PER_RESPONSE = 256;
 
 /** Response of `ping`: whether the node has recovered, and how recently the platform responded. */
--- a/packages/oleandergap-distribution/src/peerTransport.ts
+++ b/packages/oleandergap-distribution/src/peerTransport.ts
@@ -144,8 +144,8 @@
     return () => before;
 };
 
-const formatPassedLimit = (passedLimit: ExceededLimit, { timeoutMs, longestMs }: PeerExchange): string =>
-    passedLimit === "silence" ? `no data for ${timeoutMs} ms` : `no complete response within ${longestMs} ms`;
+const formatExceededLimit = (exceededLimit: ExceededLimit, { timeoutMs, longestMs }: PeerExchange): string =>
+    exceededLimit === "silence" ? `no data for ${timeoutMs} ms` : `no complete response within ${longestMs} ms`;
 
 /**
  * Sends one request and reads the complete response. A connection that stops delivering data is closed at the timeout,
@@ -160,9 +160,9 @@
     }
     const { timeoutMs, longestMs } = exchange;
     const link = linkSignal(exchange.signal);
-    let passedLimit: ExceededLimit | undefined;
+    let exceededLimit: ExceededLimit | undefined;
     const watch = startInactivityTimeout({ clock, timeoutMs, longestMs }, (which) => {
-        passedLimit = which;
+        exceededLimit = which;
         link.abort();
     });
     const noteProgress = (): void => {
@@ -178,8 +178,8 @@
     if (either.isLeft(outcome) && exchange.signal.aborted) {
         return either.left({ kind: "Cancelled" });
     }
-    if (either.isLeft(outcome) && passedLimit !== undefined) {
-        return either.left({ kind: "Unreachable", detail: formatPassedLimit(passedLimit, exchange) });
+    if (either.isLeft(outcome) && exceededLimit !== undefined) {
+        return either.left({ kind: "Unreachable", detail: formatExceededLimit(exceededLimit, exchange) });
     }
     return outcome;
 };
--- a/packages/oleandergap-distribution/src/readBudget.ts
+++ b/packages/oleandergap-distribution/src/readBudget.ts
@@ -27,9 +27,9 @@
 /** One node's share of the platform reads allowed for the fleet. */
 export interface ReadBudget {
     /**
-     * Tries to reserve budget for a call that makes `reads` platform reads, one by default. The call may start as soon
-     * as one read is available. The remaining reads are a debt, and no further call may start until it is repaid.
-     * Returns whether the call may start.
+     * Reserves budget for a call that makes `reads` platform reads, one by default, if the call may start now. The call
+     * may start as soon as one read is available. The remaining reads are a debt, and no further call may start until
+     * it is repaid. Returns whether the call may start.
      */
     readonly tryTake: (reads?: number) => boolean;
     /** Returns the time until the next read is available; 0 if one is available now. */
@@ -40,7 +40,10 @@
 
 /** Burst of a reader: it may read the heads and the deltas of each partner without a pause. */
 const READER_BURST = 6;
-/** Burst of other nodes. They read after a change was accepted at them while they were behind, or to recover. */
+/**
+ * Burst of other nodes. They read to recover, or after a change was accepted at them while they did not hold its base
+ * version.
+ */
 const NON_READER_BURST = 3;
 /** Platform reads per recovery: the heads, and one document of each of two partners. */
 const READS_PER_RECOVERY = 1 + 2 * READS_PER_DOCUMENT;
--- a/packages/oleandergap-distribution/src/readerRole.ts
+++ b/packages/oleandergap-distribution/src/readerRole.ts
@@ -1,8 +1,7 @@
 /**
  * Decides which members of an availability zone read the platform. Each member computes a ranking by rendezvous hash
  * without coordination: the first few members poll, the next few are standbys, and all others never poll. If two nodes
- * both act as the same reader for a moment, this costs one more read; if no node does, versions are late by that
- * moment.
+ * act as the same reader for a short time, this costs one more read; if no node does, versions are late by that time.
  *
  * Members with wide links rank first. If versions are read as whole documents, each of them saturates a narrow link for
  * seconds. Requests through that node then wait, and the members that receive versions from it are late; see
@@ -29,9 +28,9 @@
 
 /**
  * Returns how many of the ranked members read the platform. Members with much narrower links than the first one stay
- * standbys if at least two other members read. In a fleet with a few wide links, eleven nodes with narrow links lost
- * the platform for three seconds each during the transfer of versions of 0.37 MB. Nodes that read such a version in
- * time received it 0.1 s (median) after the first node.
+ * standbys if at least two other members read. In a fleet with a few wide links, eleven nodes with narrow links could
+ * not reach the platform for three seconds each during the transfer of versions of 0.37 MB. Nodes that read such a
+ * version in time received it 0.1 s (median) after the first node.
  */
 export const countReaders = (ranked: readonly FleetMember[], readers: number): number => {
     const widest = ranked[0] === undefined ? 0 : getLinkClass(ranked[0]);
@@ -58,7 +57,10 @@
 
 /** Decides whether this node polls the platform for its availability zone. */
 export interface ReaderRole {
-    /** Recomputes the ranking. A standby also asks the better ranked nodes how recently the platform responded. */
+    /**
+     * Recomputes the ranking. A standby also queries the better ranked nodes for the time since the last platform
+     * response.
+     */
     readonly update: (signal: AbortSignal) => Promise<void>;
     /** Returns the rank; infinite before the first update and while this node is not among the members. */
     readonly rank: () => number;
--- a/packages/oleandergap-distribution/src/recovery.ts
+++ b/packages/oleandergap-distribution/src/recovery.ts
@@ -1,7 +1,7 @@
 /**
  * Recovers the versions of a node after its start, before the node becomes ready. A started node holds no version.
- * Before its restart it may have held a higher version than the first peer that it asks holds now. It therefore asks
- * several peers, takes the highest heads, and becomes ready only when it holds the versions that they reported.
+ * Before its restart it may have held a higher version than the first peer that it queries holds now. It therefore
+ * queries several peers, takes the highest heads, and becomes ready only when it holds the versions that they reported.
  *
  * Guarantee: when `recover` resolves, the node holds for every partner at least the highest version that any recovered
  * source reported in the deciding round, except for versions that no source could deliver with a matching digest. It
@@ -11,7 +11,7 @@
  *
  * The sources are tried in this order: recovered peers of the local zone, recovered contacts in other zones, and the
  * platform. If all peers of the zone restarted at once, none of them is a source yet, and the zone waits for another
- * zone or the platform. If neither responds, the node stays not ready and keeps trying.
+ * zone or the platform. If neither responds, the node stays not ready and keeps starting new rounds.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
--- a/packages/oleandergap-distribution/src/scoreRange.ts
+++ b/packages/oleandergap-distribution/src/scoreRange.ts
@@ -1,12 +1,13 @@
 /**
  * Orders the members of an availability zone for the forwarding of one version, and divides that order into parts. Each
  * member has a score, which is a hash of its id and the version. A node that forwards a version over a range of scores
- * divides the members that it knows in that range into a few parts. It hands each part to the first member of the part.
+ * divides the members that its membership view contains in that range into a few parts. It hands over the version and
+ * the part to the first member of each part.
  *
  * The range is sent with the version. The membership views of nodes differ while nodes start and die. With ranges, such
- * a difference affects only the members in question: a member that is unknown to the sender is reached by another node
- * that knows it. If each node computed positions in a tree on its own, each difference would shift the positions of all
- * members.
+ * a difference affects only the members in question: a member that is missing in the view of the sender is reached by
+ * another node whose view contains it. If each node computed positions in a tree on its own, each difference would
+ * shift the positions of all members.
  */
 import type { Head } from "oleandergap-types";
 import { hashText } from "oleandergap-utils";
--- a/packages/oleandergap-distribution/src/spread.ts
+++ b/packages/oleandergap-distribution/src/spread.ts
@@ -179,9 +179,9 @@
     };
 
     /**
-     * Sends this node's heads to the other zones if this node is a reader. A zone whose readers have lost the platform
-     * receives new versions this way: within 0.4 s each time in a model of two zones. Without it, such a zone would
-     * receive a version with the next periodic message, and these are sent every 2 s on average.
+     * Sends this node's heads to the other zones if this node is a reader. A zone whose readers cannot reach the
+     * platform receives new versions this way: within 0.4 s each time in a model of two zones. Without it, such a zone
+     * would receive a version with the next periodic message, and these are sent every 2 s on average.
      */
     const sendHeadsAsReader = (): void => {
         if (reader.isReading()) {
--- a/packages/oleandergap-distribution/src/versionPuller.ts
+++ b/packages/oleandergap-distribution/src/versionPuller.ts
@@ -2,8 +2,9 @@
  * Pulls newer versions of one partner from the sources that claim to hold them.
  *
  * A source may not respond, or its response may arrive slowly over a saturated link. If the puller waited for that one
- * source, the node would stay behind for the whole time although other sources hold the version. If no response has
- * arrived after a delay, the puller therefore sends a request to another source and keeps the earlier requests running.
+ * source, the node would stay at an old version for the whole time although other sources hold the newer one. If no
+ * response has arrived after a delay, the puller therefore sends a request to another source and keeps the earlier
+ * requests running.
  */
 import type { Logger } from "oleandergap-logger";
 import type { CancelTimer, Clock, Milliseconds, PartnerName, Sequence } from "oleandergap-types";
--- a/packages/oleandergap-distribution/src/versionPusher.ts
+++ b/packages/oleandergap-distribution/src/versionPusher.ts
@@ -105,7 +105,7 @@
     /**
      * Forwards a version to the members of a range that do not hold it yet. The range may include the member that
      * handed it over. If that member were not excluded, the range could be handed back to it. It would then ignore the
-     * range, because it has already forwarded it.
+     * range, because it has already forwarded the version to this range.
      */
     const forward = (head: Head, requester: NodeId, range: ScoreRange): void => {
         if (!recordForwarding(head, requester, range)) {
