--- a/packages/oleandergap-containment/src/evidenceGossip.ts
+++ b/packages/oleandergap-containment/src/evidenceGossip.ts
@@ -1,6 +1,6 @@
 /**
  * Gossip of evidence to all nodes. A node sends a crash immediately to some members of its zone and to its contacts in
- * other zones, and each receiver forwards it. Comparing digests finds evidence that was lost on the way, and a node
+ * other zones, and each receiver forwards it. Comparing digests finds evidence that was lost in transit, and a node
  * that has just started queries its peers. After the start, nothing is sent while there is no evidence against any
  * request.
  */
@@ -19,7 +19,7 @@
  */
 const FANOUT = 9;
 /**
- * Number of zone members to which a node forwards evidence from its own zone, if the original sender could not reach
+ * Number of zone members to which a node forwards evidence from the local zone, if the original sender could not reach
  * the whole zone.
  */
 const FORWARD_FANOUT = 4;
--- a/packages/oleandergap-distribution/src/callWithTimeout.ts
+++ b/packages/oleandergap-distribution/src/callWithTimeout.ts
@@ -5,7 +5,7 @@
 import type { Clock, Milliseconds } from "oleandergap-types";
 import { startReadAwareTimer } from "oleandergap-utils";
 
-/** Reason why a call with a timeout returned no result of its own. */
+/** Reason why a call with a timeout returned neither a result nor an error of the callee. */
 export type CallFailure =
     | { readonly kind: "TimedOut" }
     | { readonly kind: "Threw"; readonly detail: string };
--- a/packages/oleandergap-distribution/src/claimRegistry.ts
+++ b/packages/oleandergap-distribution/src/claimRegistry.ts
@@ -81,8 +81,8 @@
  *
  * Only the claim of that source is dropped, because the head may exist and other sources may hold it. If the head
  * itself were ignored, three requests that time out on a saturated link would keep a node at an old version for seconds
- * after the link is free again. A source that did not respond is trusted again as soon as it sends its head once more;
- * a dead source never does.
+ * after the link is free again. The claim of a source that did not respond is accepted again as soon as the source
+ * sends its head once more, which a dead source never does.
  *
  * While sources do not respond, a claim is kept for at least some seconds, whatever the number of failed attempts.
  * Requests that fail immediately would otherwise use up the attempts within a fraction of a second. A node that
--- a/packages/oleandergap-distribution/src/delegation.ts
+++ b/packages/oleandergap-distribution/src/delegation.ts
@@ -25,7 +25,10 @@
 /** Dependencies of a delegator. Its timers end when `signal` aborts. */
 export interface DelegatorDependencies {
     readonly self: () => NodeId;
-    /** Returns the sequence in force. Delegations of lower versions are dropped, as the higher one has its own. */
+    /**
+     * Returns the sequence in force. Delegations of lower versions are dropped, because the version in force has
+     * separate delegations.
+     */
     readonly getSequence: (partner: PartnerName) => Sequence;
     readonly clock: Clock;
     readonly signal: AbortSignal;
--- a/packages/oleandergap-distribution/src/options.ts
+++ b/packages/oleandergap-distribution/src/options.ts
@@ -4,7 +4,9 @@
 const milliseconds = (minimum: number, maximum: number): z.ZodNumber => z.number().int().min(minimum).max(maximum);
 
 const spreadOptionsSchema = z.strictObject({
-    /** Number of members to which each member forwards a version, each with a part of the member's own range. */
+    /**
+     * Number of members to which each member forwards a version. Each of them receives a part of the sender's range.
+     */
     treeFanOut: z.number().int().min(1).max(16).default(4),
     /** Timeout of an acknowledgement, after which a version is handed over again. */
     acknowledgeTimeoutMs: milliseconds(10, 5_000).default(100),
--- a/packages/oleandergap-distribution/src/statistics.ts
+++ b/packages/oleandergap-distribution/src/statistics.ts
@@ -9,7 +9,7 @@
     readonly appliedAt: Milliseconds;
 }
 
-/** Mutable counters. Each module increments its own. */
+/** Mutable counters. Each module increments the counters of its events. */
 export interface SpreadCounters {
     /** Versions applied from a delta in a datagram. */
     inlineApplied: number;
--- a/packages/oleandergap-gate/src/__tests__/gateFailures.test.ts
+++ b/packages/oleandergap-gate/src/__tests__/gateFailures.test.ts
@@ -92,8 +92,9 @@
         expect(harness.clock.pendingTimers()).to.equal(0);
     });
 
-    // Failure: requests at a node whose target is gone wait until their deadlines. Cause: the target is removed, which
-    // sets its slots to 0. No slot is released any more, and only a released slot advances the queue.
+    // Failure: requests at a node whose target is gone wait until their deadlines.
+    // Cause: the target is removed, which sets its slots to 0. No slot is released any more, and only a released slot
+    // advances the queue.
     it("refuses all waiting requests when the target is removed", async () => {
         const harness = createGateHarness(1);
         const running = await harness.submit();
@@ -119,8 +120,8 @@
         expect(waiting.state).to.equal("waiting");
     });
 
-    // Failure: urgent requests wait for many less urgent ones and miss their objectives. Cause: the queue is full of
-    // requests of a low priority and distinguishes only callers, not priorities.
+    // Failure: urgent requests wait for many less urgent ones and miss their objectives.
+    // Cause: the queue is full of requests of a low priority and distinguishes only callers, not priorities.
     it("starts urgent requests first and evicts less urgent ones from a full queue", async () => {
         const harness = createGateHarness(1);
         const first = await harness.submit();
--- a/packages/oleandergap-gate/src/options.ts
+++ b/packages/oleandergap-gate/src/options.ts
@@ -5,7 +5,7 @@
 export const queueOrderSchema = z.enum(["oldestFirst", "newestFirst", "deadlineFirst", "objectiveFirst", "adaptive"]);
 export type QueueOrder = z.infer<typeof queueOrderSchema>;
 
-/** Unit of fair sharing: the services of the callers of each partner, or the partners. */
+/** Unit of fair sharing: the pairs of partner and calling service (`callers`), or the partners. */
 export const fairShareSchema = z.enum(["callers", "partners"]);
 export type FairShare = z.infer<typeof fairShareSchema>;
 
--- a/packages/oleandergap-routing/src/__tests__/retryFailures.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/retryFailures.test.ts
@@ -51,7 +51,7 @@
     });
 
     // Guards against failing every second request after half of the targets died at once, although the others have
-    // capacity. Until ejection, every second attempt meets a dead target, and the budget for repeats is spent on
+    // capacity. Until ejection, every second attempt is sent to a dead target, and the budget for repeats is spent on
     // attempts that caused no work.
     it("reroutes every second request when half of the targets are down", async () => {
         const harness = createRouterHarness();
@@ -64,7 +64,7 @@
     });
 
     // Guards against a failure at the end of a chain of calls that every hop retries, up to 2^27 times, because no hop
-    // sees that another one has already retried.
+    // receives the information that another one has already retried.
     it("retries only at the hop nearest to the failure in a chain of calls", async () => {
         const hops = Array.from({ length: 27 }, () => createRouterHarness());
         let calls = 0;
--- a/packages/oleandergap-routing/src/__tests__/slowTarget.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/slowTarget.test.ts
@@ -17,8 +17,8 @@
     });
 
     // Guards against one request in twenty going to a slow target while another zone is idle. One of the zone's two
-    // targets is ejected, and the other queues until its latency makes the slow one seem normal. A zone that queues
-    // refuses nothing, so it would keep its whole share.
+    // targets is ejected, and the other queues requests until its latency is so high that the ejected one no longer
+    // counts as slow. A zone that queues refuses nothing, so it would keep its whole share.
     it("moves part of a zone's share while its available targets queue requests", async () => {
         const targets = [...createTargets("hall-a", 2), ...createTargets("hall-b", 2)];
         const harness = createPickerHarness(targets, createRow({ "hall-a": 1, "hall-b": 1 }));
--- a/packages/oleandergap-routing/src/circuit.ts
+++ b/packages/oleandergap-routing/src/circuit.ts
@@ -15,7 +15,10 @@
  * every request would otherwise be a probe, and all requests of a node would go to a target that is still unreachable.
  */
 const MINIMUM_PROBE_TIMEOUT_MS = 500;
-/** Requests that must not be sent again may probe only after this many additional backoffs, up to the limit below. */
+/**
+ * Requests that must not be sent again may be used as probes only after this many additional backoffs, up to the limit
+ * below.
+ */
 const NON_RETRYABLE_PROBE_FACTOR = 10;
 const MAXIMUM_NON_RETRYABLE_DELAY_MS = 30_000;
 /** Fraction of each backoff that is random, so that callers do not probe at the same time. */
--- a/packages/oleandergap-routing/src/pickRequest.ts
+++ b/packages/oleandergap-routing/src/pickRequest.ts
@@ -3,7 +3,7 @@
 import type { RequestExecution } from "./requestExecution.js";
 import type { PickRequest, RoutableTarget } from "./target.js";
 
-/** Returns the input of the target picker. Without a history, no target counts as tried. */
+/** Returns the input of the target picker. Without a history, no target is excluded. */
 export const toPickRequest = <Target extends RoutableTarget>(
     { service, row, targets, idempotent, canReplayBody, kind }: RequestExecution<Target>,
     history?: AttemptHistory,
--- a/packages/oleandergap-routing/src/retryBudget.ts
+++ b/packages/oleandergap-routing/src/retryBudget.ts
@@ -10,7 +10,7 @@
  * Kind of budget token that a retry costs.
  *
  * - `Repeat`: the failed attempt caused work for a target or a gate, and the retry may cause it again.
- * - `Reroute`: the failed attempt only met a target that is gone, or was refused without work for a target, so the
+ * - `Reroute`: the failed attempt could not connect to its target, or was refused without work for a target, so the
  *   retry adds no load to the healthy targets.
  */
 export type RetryCost = "Repeat" | "Reroute";
@@ -26,7 +26,8 @@
 /**
  * Creates a budget with a full reserve. Only successes add tokens, so that a service that fails completely gets almost
  * no retries. Each success adds `ratio` repeat tokens and one reroute token: when half of a service's targets fail at
- * once, every second attempt meets a failed target, and the healthy targets can serve all of the rerouted requests.
+ * once, every second attempt is sent to a failed target, and the healthy targets can serve all of the rerouted
+ * requests.
  */
 export const createRetryBudget = (reserve: number): RetryBudget => {
     let repeatTokens = reserve;
--- a/packages/oleandergap-routing/src/starvationThrottle.ts
+++ b/packages/oleandergap-routing/src/starvationThrottle.ts
@@ -2,8 +2,8 @@
  * Refuses requests whose runs would fail because a downstream call is not served ("starved" runs).
  *
  * When a service lacks capacity, targets of other services that call it still accept requests, work on them and fail.
- * Their callers retry at once, and requests that need no such call wait behind runs that fail anyway. Most runs of such
- * a service would end with status 500 from its own targets while their queues are full. Each node therefore tracks the
+ * Their callers retry at once, and requests that need no such call wait for runs that fail anyway. Most runs of such a
+ * service would end with status 500 from its own targets while their queues are full. Each node therefore tracks the
  * share of successful runs per kind of request, limits the requests that it sends to a multiple of that share, and
  * refuses the rest at once with the verdict `notRun`. Where one run in eight succeeds, four in ten are sent
  * (`starvationThrottle.test.ts`).
--- a/packages/oleandergap-routing/src/targetState.ts
+++ b/packages/oleandergap-routing/src/targetState.ts
@@ -192,7 +192,7 @@
     state.failedAt = now;
 };
 
-/** Returns the share of its full load, from 0.1 to 1, that a target gets according to its age. */
+/** Returns the share of its full load, from 0.1 to 1, that a target receives according to its age. */
 export const computeSlowStartShare = (startedAt: Milliseconds, now: Milliseconds, slowStartMs: Milliseconds): number =>
     slowStartMs === 0 ? 1 : Math.min(1, Math.max(MINIMUM_SLOW_START_SHARE, (now - startedAt) / slowStartMs));
 
@@ -234,7 +234,7 @@
 /**
  * Returns the expected load per slot if the target received one more request. Of two candidates, the one with the lower
  * score is chosen. The reported load from other nodes decays with the age of the report, because a report is outdated
- * after a few requests; the number of this node's own requests in flight is exact.
+ * after a few requests; the number of requests in flight from this node is exact.
  */
 export const scoreTarget = <Target extends RoutableTarget>(
     state: TargetState<Target>,
--- a/packages/oleandergap-types/src/member.ts
+++ b/packages/oleandergap-types/src/member.ts
@@ -47,7 +47,10 @@
     });
 export type MemberTarget = z.infer<typeof memberTargetSchema>;
 
-/** `left` was announced by the member itself; `dead` was concluded by the other members after it stopped responding. */
+/**
+ * `left` was announced by the member itself; `dead` was determined by the other members after the member stopped
+ * responding.
+ */
 export const memberStateSchema = z.enum(["alive", "suspect", "left", "dead"]);
 export type MemberState = z.infer<typeof memberStateSchema>;
 
