--- a/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/openAttempts.test.ts
@@ -38,8 +38,9 @@
 const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 /*
- * Guards against aborted reads whose callers receive an error of the routing layer. The gate's heartbeats are late, so
- * the request is sent to another target and refused there. The first attempt must still be running at that time.
+ * Guards against aborted reads whose callers receive an error of the routing layer. The gate's request heartbeats are
+ * late, so the request is sent to another target and refused there. The first attempt must still be running at that
+ * time.
  */
 describe("an attempt that is left running after a heartbeat timeout", () => {
     const clock = createManualClock();
@@ -50,8 +51,8 @@
     let discardedAnswers: string[];
 
     /**
-     * Routes a request with two targets: the first attempt times out without a heartbeat and stays open, and the test
-     * controls the second.
+     * Routes a request with two targets: the first attempt times out without a request heartbeat and stays open, and
+     * the test controls the second.
      */
     const execute = (): Promise<Either<RoutedFailure, Routed<string>>> => {
         openAttempt = createControlledAttempt();
--- a/packages/oleandergap-routing/src/__tests__/unresponsiveTargets.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/unresponsiveTargets.test.ts
@@ -34,7 +34,7 @@
 
 describe("silence", () => {
     // Guards against sending requests to a frozen node for three to five seconds, each with the verdict `mayHaveRun`.
-    // Its gate sends no heartbeats, and without a report at the heartbeat timeout, the picker would react only when a
+    // Its gate sends no request heartbeats, and without a report at their timeout, the picker would react only when a
     // request fails at its deadline.
     it("avoids a target from its first heartbeat timeout until its next heartbeat", async () => {
         const harness = createSingleZoneHarness(2);
@@ -45,9 +45,9 @@
         expect((await harness.send(200)).get("hall-a-0")).to.be.at.least(80);
     });
 
-    // Guards against sending requests to a frozen node for half a second although its heartbeats are due every 200 ms.
-    // Aborting a request needs a timeout that tolerates stalls of 300 ms; avoiding the target for new requests does
-    // not.
+    // Guards against sending requests to a frozen node for half a second although its request heartbeats are due every
+    // 200 ms. Aborting a request needs a timeout that tolerates stalls of 300 ms; avoiding the target for new requests
+    // does not.
     it("prefers other targets after missed heartbeats, before any request is aborted", async () => {
         const harness = createSingleZoneHarness(2);
         const [hangingPick] = pickBothTargets(harness);
--- a/packages/oleandergap-routing/src/openAttempts.ts
+++ b/packages/oleandergap-routing/src/openAttempts.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps attempts of one request that timed out without a heartbeat but are left running while the request is sent to
- * another target.
+ * Keeps attempts of one request that timed out without a request heartbeat but are left running while the request is
+ * sent to another target.
  *
- * A gate without heartbeats has most likely failed, so the request does not wait for it alone. But the gate may only be
- * slow, or its heartbeats late, while its target processes the request. If the attempt were cancelled at once, that run
- * would be aborted; if the other attempts were then refused, the caller would receive a failure instead of the
- * response.
+ * A gate that sends no request heartbeats has most likely failed, so the request does not wait for it alone. But the
+ * gate may only be slow, or its request heartbeats late, while its target processes the request. If the attempt were
+ * cancelled at once, that run would be aborted; if the other attempts were then refused, the caller would receive a
+ * failure instead of the response.
  */
 import * as either from "fp-ts/lib/Either.js";
 import type { AttemptResult, DiscardAnswer, OpenAttempt } from "./requestExecution.js";
--- a/packages/oleandergap-routing/src/options.ts
+++ b/packages/oleandergap-routing/src/options.ts
@@ -32,8 +32,8 @@
     /** Time, in milliseconds, without any response after which a target with requests in flight is avoided. */
     silenceMs: z.number().min(10).max(600_000).default(1000),
     /**
-     * Time, in milliseconds, without a heartbeat after which a target with requests in flight is avoided, if its gate
-     * sends heartbeats. Use more than twice the heartbeat interval of 200 ms.
+     * Time, in milliseconds, without a request heartbeat after which a target with requests in flight is avoided, if
+     * its gate sends request heartbeats. Use more than twice their interval of 200 ms.
      */
     missedSignsMs: z.number().min(10).max(600_000).default(500),
     /**
--- a/packages/oleandergap-routing/src/requestExecution.ts
+++ b/packages/oleandergap-routing/src/requestExecution.ts
@@ -54,11 +54,11 @@
     readonly retriedDownstream: boolean;
     /** Whether the target responded with a failure because a call that it made was not served. */
     readonly isStarved?: boolean | undefined;
-    /** Set when the attempt failed for lack of heartbeats but the gate may still respond. */
+    /** Set when the attempt failed for lack of request heartbeats but the gate may still respond. */
     readonly open?: OpenAttempt<Answer>;
 }
 
-/** An attempt that failed for lack of heartbeats and is left running until the next heartbeat timeout. */
+/** An attempt that failed for lack of request heartbeats and is left running until their next timeout. */
 export interface OpenAttempt<Answer> {
     /** Never rejects. */
     readonly result: Promise<AttemptResult<Answer>>;
--- a/packages/oleandergap-routing/src/target.ts
+++ b/packages/oleandergap-routing/src/target.ts
@@ -65,16 +65,16 @@
 
 /** Receives the events of an attempt, besides its outcome, that indicate the state of its target. */
 export interface AttemptProgress {
-    /** Whether the request probes an ejected target. A probe should wait only briefly for a heartbeat. */
+    /** Whether the request probes an ejected target. A probe should wait only briefly for a request heartbeat. */
     readonly isProbe: boolean;
-    /** Records that the target's gate sends heartbeats at regular intervals until it responds. */
+    /** Records that the target's gate sends request heartbeats at regular intervals until it responds. */
     readonly expectHeartbeats: () => void;
-    /** Records a heartbeat. */
+    /** Records a request heartbeat: an interim response by which the gate shows that the request is still running. */
     readonly recordHeartbeat: () => void;
     /**
-     * Records that no heartbeat arrived within the limit. Other requests avoid the target until its next heartbeat.
-     * Returns true if the target was already marked as unresponsive or is being probed, so that another attempt at the
-     * same target is pointless.
+     * Records that no request heartbeat arrived within the timeout. Other requests avoid the target until its next
+     * request heartbeat or response. Returns true if the target was already marked as unresponsive or is being probed,
+     * so that another attempt at the same target is pointless.
      */
     readonly silent: () => boolean;
     /**
--- a/packages/oleandergap-routing/src/targetState.ts
+++ b/packages/oleandergap-routing/src/targetState.ts
@@ -40,11 +40,11 @@
     sentAtSum: Milliseconds;
     /** Sum of the typical latencies of the requests in flight. */
     typicalLatencySum: Milliseconds;
-    /** Whether the target's gate sends heartbeats while it processes a request. */
+    /** Whether the target's gate sends request heartbeats while it processes a request. */
     sendsHeartbeats: boolean;
     /**
-     * Whether the target is ejected because its gate sent no heartbeat within the limit. The next heartbeat or response
-     * ends this ejection.
+     * Whether the target is ejected because its gate sent no request heartbeat within the timeout. The next request
+     * heartbeat or response ends this ejection.
      */
     isUnresponsive: boolean;
     /** Number of requests from other nodes at the target when its gate last reported its load. */
@@ -64,7 +64,7 @@
     /** Share of this node's recent requests that the gate refused for lack of capacity. */
     refusedShare: number;
     refusedShareUpdatedAt: Milliseconds;
-    /** Time since which the target has had requests in flight without sending any response or heartbeat. */
+    /** Time since which the target has had requests in flight without sending any response or request heartbeat. */
     waitingSince: Milliseconds;
     /** Time at which the target's slow start began, on the monotonic clock. */
     startedAt: Milliseconds;
@@ -202,7 +202,7 @@
     readonly loadReportLifetimeMs: Milliseconds;
     /** Time without any response after which a target with requests in flight is avoided. */
     readonly silenceMs: Milliseconds;
-    /** Like `silenceMs`, for a target whose gate sends heartbeats. */
+    /** Like `silenceMs`, for a target whose gate sends request heartbeats. */
     readonly missedSignsMs: Milliseconds;
     /** Typical latency of the zone; 0 while no latency was measured. */
     readonly typicalLatencyMs: Milliseconds;
@@ -244,7 +244,7 @@
     const computeFreshness = (time: Milliseconds): number => Math.max(0, 1 - (now - time) / loadReportLifetimeMs);
     // A frozen process keeps its connections open and sends no response. Its requests fail only at their deadlines, and
     // no failure is counted until then, so that one request after the other would hang. The missing responses or
-    // heartbeats reveal the fault much sooner.
+    // request heartbeats reveal the fault much sooner.
     const isUnresponsive =
         state.inFlight > 0 && now - state.waitingSince > (state.sendsHeartbeats ? missedSignsMs : silenceMs);
     // The failure penalty decays as well. Without the decay, a target that failed once would lose every later
--- a/packages/oleandergap-routing/src/zoneCandidates.ts
+++ b/packages/oleandergap-routing/src/zoneCandidates.ts
@@ -182,9 +182,9 @@
 };
 
 /**
- * Ejects a target whose gate sent no heartbeat within the limit, regardless of how many targets are ejected already.
- * Requests that are sent to a frozen process hang until their deadlines, and requests that must not run twice are then
- * lost. Without the ejection, such requests would pile up there until the first of them failed.
+ * Ejects a target whose gate sent no request heartbeat within the timeout, regardless of how many targets are ejected
+ * already. Requests that are sent to a frozen process hang until their deadlines, and requests that must not run twice
+ * are then lost. Without the ejection, such requests would pile up there until the first of them failed.
  */
 export const ejectUnresponsiveTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
@@ -203,8 +203,8 @@
 };
 
 /**
- * Ends the ejection of an unresponsive target after a heartbeat or response. The target returns without a slow start,
- * because a short stall does not indicate a lasting fault.
+ * Ends the ejection of an unresponsive target after a request heartbeat or response. The target returns without a slow
+ * start, because a short stall does not indicate a lasting fault.
  */
 export const restoreResponsiveTarget = <Target extends RoutableTarget>(
     candidates: Candidates<Target>,
@@ -242,8 +242,8 @@
     if (now < candidates.nextProbeAt) {
         return undefined;
     }
-    // Each probe of an unresponsive target delays a request by the full heartbeat timeout. Limiting these probes to one
-    // at a time bounds the cost.
+    // Each probe of an unresponsive target delays a request by the full timeout of a request heartbeat. Limiting these
+    // probes to one at a time bounds the cost.
     const isProbingUnresponsiveTarget = candidates.ejected.some(({ circuit, isUnresponsive }) =>
         isUnresponsive && circuit.state === "probing" && now < circuit.probeAt);
     const dueTarget = candidates.ejected.find((state) =>
