--- a/packages/oleandergap-distribution/src/options.ts
+++ b/packages/oleandergap-distribution/src/options.ts
@@ -4,7 +4,9 @@
 const milliseconds = (minimum: number, maximum: number): z.ZodNumber => z.number().int().min(minimum).max(maximum);
 
 const spreadOptionsSchema = z.strictObject({
-    /** Number of members to which each member forwards a version, each with a part of the member's own range. */
+    /**
+     * Number of members to which each member forwards a version. Each of them receives a part of the sender's range.
+     */
     treeFanOut: z.number().int().min(1).max(16).default(4),
     /** Timeout of an acknowledgement, after which a version is handed over again. */
     acknowledgeTimeoutMs: milliseconds(10, 5_000).default(100),
@@ -78,7 +80,7 @@
 });
 
 const recoveryOptionsSchema = z.strictObject({
-    /** Number of peers asked for their heads in one recovery round: first in the local zone, then in other zones. */
+    /** Number of peers queried for their heads in one recovery round: first in the local zone, then in other zones. */
     peersAsked: z.number().int().min(1).max(16).default(3),
     /** Upper bound of the random wait before the second round. It doubles with each further round. */
     roundBaseMs: milliseconds(10, 60_000).default(250),
--- a/packages/oleandergap-routing/src/options.ts
+++ b/packages/oleandergap-routing/src/options.ts
@@ -6,7 +6,7 @@
  *
  * - `unknown`: each node splits its requests by the weights of the table.
  * - `evenOverZones`: callers are spread evenly over the zones. A node may therefore keep the requests that it receives
- *   in its own zone, as far as the fleet as a whole still meets the weights.
+ *   in the local zone, as far as the fleet as a whole still meets the weights.
  */
 export const callerSpreadSchema = z.enum(["unknown", "evenOverZones"]);
 export type CallerSpread = z.infer<typeof callerSpreadSchema>;
@@ -32,8 +32,8 @@
     /** Time, in milliseconds, without any response after which a target with requests in flight is avoided. */
     silenceMs: z.number().min(10).max(600_000).default(1000),
     /**
-     * Time, in milliseconds, without a heartbeat after which a target with requests in flight is avoided, if its gate
-     * sends heartbeats. Use more than twice the heartbeat interval of 200 ms.
+     * Time, in milliseconds, without a request heartbeat after which a target with requests in flight is avoided, if
+     * its gate sends request heartbeats. Use more than twice their interval of 200 ms.
      */
     missedSignsMs: z.number().min(10).max(600_000).default(500),
     /**
@@ -68,7 +68,7 @@
     retryReserve: z.number().int().min(0).max(1000).default(10),
     /**
      * Retry delay, in milliseconds, that is suggested to callers after a target rejected a request by itself although
-     * targets have free slots. The rejection is not caused by load, so the next try may succeed. The delay is short
+     * targets have free slots. The rejection is not caused by load, so the next attempt may succeed. The delay is short
      * enough for a response within the usual objectives.
      */
     shedRetryAfterMs: z.number().int().min(1).max(60_000).default(50),
--- a/packages/oleandergap-routing/src/targetState.ts
+++ b/packages/oleandergap-routing/src/targetState.ts
@@ -5,11 +5,11 @@
 
 /** Weight of the newest latency in the exponential moving average. */
 const LATENCY_WEIGHT = 0.2;
-/** Number of requests in flight that a recent failure since the last success counts as. */
+/** Number of requests in flight as which each failure since the last success counts, if it is recent. */
 const FAILURE_PENALTY = 2;
 /**
- * Number of requests in flight that an unresponsive target is charged. It is chosen only if the other candidate is
- * unresponsive as well.
+ * Number of requests in flight that is added to the load of an unresponsive target. Such a target is chosen only if the
+ * other candidate is unresponsive as well.
  */
 const UNRESPONSIVE_PENALTY = 1_000_000;
 /** Latencies up to this multiple of the zone's typical latency are treated as normal variation. */
@@ -19,11 +19,11 @@
  * while the others are full.
  */
 const MAXIMUM_SLOWNESS = 8;
-/** Age at which a latency measurement no longer says anything about the target. */
+/** Age at which a latency measurement no longer affects the score of the target. */
 const LATENCY_LIFETIME_MS = 10_000;
 /** Weight of the newest request in the refused share: about the last twenty requests count. */
 const REFUSED_SHARE_WEIGHT = 0.05;
-/** Lower bound of the accepted share. However much a target refuses, its load is multiplied by ten at most. */
+/** Lower bound of the accepted share. However many requests a target refuses, its load is multiplied by ten at most. */
 const MINIMUM_ACCEPTED_SHARE = 0.1;
 /** Traffic share of a target that has just started. */
 const MINIMUM_SLOW_START_SHARE = 0.1;
@@ -40,11 +40,11 @@
     sentAtSum: Milliseconds;
     /** Sum of the typical latencies of the requests in flight. */
     typicalLatencySum: Milliseconds;
-    /** Whether the target's gate sends heartbeats while it processes a request. */
+    /** Whether the target's gate sends request heartbeats while it processes a request. */
     sendsHeartbeats: boolean;
     /**
-     * Whether the target is ejected because its gate sent no heartbeat within the limit. The next heartbeat or response
-     * ends this ejection.
+     * Whether the target is ejected because its gate sent no request heartbeat within the timeout. The next request
+     * heartbeat or response ends this ejection.
      */
     isUnresponsive: boolean;
     /** Number of requests from other nodes at the target when its gate last reported its load. */
@@ -64,7 +64,7 @@
     /** Share of this node's recent requests that the gate refused for lack of capacity. */
     refusedShare: number;
     refusedShareUpdatedAt: Milliseconds;
-    /** Time since which the target has had requests in flight without sending any response or heartbeat. */
+    /** Time since which the target has had requests in flight without sending any response or request heartbeat. */
     waitingSince: Milliseconds;
     /** Time at which the target's slow start began, on the monotonic clock. */
     startedAt: Milliseconds;
@@ -192,7 +192,7 @@
     state.failedAt = now;
 };
 
-/** Returns the share of its full load, from 0.1 to 1, that a target gets according to its age. */
+/** Returns the share of its full load, from 0.1 to 1, that a target receives according to its age. */
 export const computeSlowStartShare = (startedAt: Milliseconds, now: Milliseconds, slowStartMs: Milliseconds): number =>
     slowStartMs === 0 ? 1 : Math.min(1, Math.max(MINIMUM_SLOW_START_SHARE, (now - startedAt) / slowStartMs));
 
@@ -202,7 +202,7 @@
     readonly loadReportLifetimeMs: Milliseconds;
     /** Time without any response after which a target with requests in flight is avoided. */
     readonly silenceMs: Milliseconds;
-    /** Like `silenceMs`, for a target whose gate sends heartbeats. */
+    /** Like `silenceMs`, for a target whose gate sends request heartbeats. */
     readonly missedSignsMs: Milliseconds;
     /** Typical latency of the zone; 0 while no latency was measured. */
     readonly typicalLatencyMs: Milliseconds;
@@ -234,7 +234,7 @@
 /**
  * Returns the expected load per slot if the target received one more request. Of two candidates, the one with the lower
  * score is chosen. The reported load from other nodes decays with the age of the report, because a report is outdated
- * after a few requests; the number of this node's own requests in flight is exact.
+ * after a few requests; the number of requests in flight from this node is exact.
  */
 export const scoreTarget = <Target extends RoutableTarget>(
     state: TargetState<Target>,
@@ -244,7 +244,7 @@
     const computeFreshness = (time: Milliseconds): number => Math.max(0, 1 - (now - time) / loadReportLifetimeMs);
     // A frozen process keeps its connections open and sends no response. Its requests fail only at their deadlines, and
     // no failure is counted until then, so that one request after the other would hang. The missing responses or
-    // heartbeats reveal the fault much sooner.
+    // request heartbeats reveal the fault much sooner.
     const isUnresponsive =
         state.inFlight > 0 && now - state.waitingSince > (state.sendsHeartbeats ? missedSignsMs : silenceMs);
     // The failure penalty decays as well. Without the decay, a target that failed once would lose every later
@@ -253,8 +253,8 @@
     const otherNodesLoad = state.otherNodesInFlight * computeFreshness(state.loadReportedAt);
     const load = state.inFlight + otherNodesLoad + failurePenalty + 1 + (isUnresponsive ? UNRESPONSIVE_PENALTY : 0);
     // Gates limit their queues by the objective, so all full targets report about the same load, however many requests
-    // they receive. Only the refused share shows the difference. By load alone, local callers would all stay with the
-    // only target of a zone, however much it refuses.
+    // they receive. Only the refused share shows the difference. With the load as the only criterion, all local callers
+    // would keep using the only target of a zone, however many requests it refuses.
     const acceptedShare =
         Math.max(MINIMUM_ACCEPTED_SHARE, 1 - state.refusedShare * computeFreshness(state.refusedShareUpdatedAt));
     return load * computeSlowness(state, context) / Math.max(1, state.capacity) / acceptedShare;
