--- a/packages/oleandergap-node/src/http/listener.ts
+++ b/packages/oleandergap-node/src/http/listener.ts
@@ -181,7 +181,7 @@
 
     /**
      * Closing a keep-alive connection immediately would cut off a request that its caller has just written: the caller
-     * would see a reset and could not tell whether the request ran. During the linger time, such requests get a
+     * would see a reset and could not determine whether the request ran. During the linger time, such requests get a
      * response with `connection: close`.
      *
      * The server's own `close` also closes connections that it considers idle, as soon as their responses were ended. A
