--- a/packages/oleandergap-configuration/src/__tests__/configurationStore.test.ts
+++ b/packages/oleandergap-configuration/src/__tests__/configurationStore.test.ts
@@ -187,7 +187,7 @@
         store.offerDeltas(PARTNER, deltas.slice(0, 2));
         expect(store.refusals().map((error) => error.kind)).to.deep.equal(["Invalid"]);
         const invalidDocument = documents[2] ?? createDocument(PARTNER, 0, {});
-        expect(store.isWanted(invalidDocument)).to.equal(false);
+        expect(store.needsVersion(invalidDocument)).to.equal(false);
         expect(store.offerDocument(invalidDocument)).to.deep.equal(either.right({ kind: "Ignored" }));
         store.offerDeltas(PARTNER, deltas.slice(1));
         expect(receivedSequences).to.deep.equal([1, 3]);
--- a/packages/oleandergap-configuration/src/change/acceptance.ts
+++ b/packages/oleandergap-configuration/src/change/acceptance.ts
@@ -70,8 +70,8 @@
     const snapshotWriter = createSnapshotWriter({ objectStore, clock, logger, options });
     const rateLimit = { ratePerSecond: options.fleetChangesPerSecond, burst: options.fleetChangesBurst };
 
-    const { toRepeat, conclude } = createOutcomeReader(tableService);
-    const transact = createChangeTransaction(tableService, conclude);
+    const { readRecordedOutcome, resolveOutcome } = createOutcomeReader(tableService);
+    const transact = createChangeTransaction(tableService, resolveOutcome);
 
     const writeVersion = async (
         request: ChangeRequest,
@@ -85,7 +85,7 @@
         const rateUsedUpTo = applyRateLimit(state.head.rateUsedUpTo, acceptedAt, rateLimit);
         if (either.isLeft(rateUsedUpTo)) {
             const overBudget: ChangeError = { kind: "OverBudget", ...rateUsedUpTo.left };
-            return endChange(await conclude(request, progress.unresolvedHeadVersions, overBudget, signal));
+            return endChange(await resolveOutcome(request, progress.unresolvedHeadVersions, overBudget, signal));
         }
         const snapshot = await snapshotWriter.writeIfDue(document, state.head, signal);
         const { partner, changeId } = request;
@@ -115,7 +115,7 @@
             return handleFailedCall(progress, state.left);
         }
         if (state.right.changeRow !== undefined) {
-            return endChange(await toRepeat(request, state.right.changeRow, signal));
+            return endChange(await readRecordedOutcome(request, state.right.changeRow, signal));
         }
         const document = await documentLoader.load(partner, state.right.head, signal);
         if (either.isLeft(document)) {
@@ -124,7 +124,7 @@
         progress.edits ??= resolveEdits(document.right, edits);
         const plan = planChange(document.right, progress.edits, findDocument(partner)?.sequence);
         if (either.isLeft(plan)) {
-            return endChange(await conclude(request, progress.unresolvedHeadVersions, plan.left, signal));
+            return endChange(await resolveOutcome(request, progress.unresolvedHeadVersions, plan.left, signal));
         }
         if (plan.right === undefined) {
             const head = toHead(partner, state.right.head);
@@ -144,7 +144,7 @@
             }
             if (signal.aborted || clock.monotonic() >= deadline) {
                 const detail = signal.aborted ? "the change was cancelled" : "there was no time left";
-                return conclude(request, progress.unresolvedHeadVersions, { kind: "Unavailable", detail }, signal);
+                return resolveOutcome(request, progress.unresolvedHeadVersions, { kind: "Unavailable", detail }, signal);
             }
             const attemptResult = await runAttempt(request, progress, signal);
             if (attemptResult.kind === "Done") {
@@ -152,6 +152,6 @@
             }
         }
         const error: ChangeError = { kind: "Contended", retryAfterMs: options.backoffMaximumMs };
-        return conclude(request, progress.unresolvedHeadVersions, error, signal);
+        return resolveOutcome(request, progress.unresolvedHeadVersions, error, signal);
     };
 };
--- a/packages/oleandergap-configuration/src/change/changeTransaction.ts
+++ b/packages/oleandergap-configuration/src/change/changeTransaction.ts
@@ -27,7 +27,7 @@
  */
 export const createChangeTransaction = (
     tableService: TableService,
-    conclude: OutcomeReader["conclude"],
+    conclude: OutcomeReader["resolveOutcome"],
 ): ChangeTransaction =>
     async (request, progress, state, operations, outcome, signal) => {
         const result = await tableService.transact(operations, signal)();
--- a/packages/oleandergap-configuration/src/change/outcomeReader.ts
+++ b/packages/oleandergap-configuration/src/change/outcomeReader.ts
@@ -19,12 +19,12 @@
 /** Reads the outcome of a change back from the platform. */
 export interface OutcomeReader {
     /** Returns the outcome that is recorded in the change row, or an error if a different request used the same id. */
-    readonly toRepeat: (request: ChangeRequest, row: ChangeRow, signal: AbortSignal) => Promise<ChangeResult>;
+    readonly readRecordedOutcome: (request: ChangeRequest, row: ChangeRow, signal: AbortSignal) => Promise<ChangeResult>;
     /**
      * Returns `error`, unless an earlier attempt took effect or its outcome is still unknown. `unresolvedHeadVersions`
      * are the head row versions on which attempts with an unknown outcome are conditional.
      */
-    readonly conclude: (
+    readonly resolveOutcome: (
         request: ChangeRequest,
         unresolvedHeadVersions: readonly HeadVersion[],
         error: ChangeError,
@@ -40,7 +40,7 @@
         return parsed.success ? parsed.data : undefined;
     };
 
-    const toRepeat: OutcomeReader["toRepeat"] = async (request, row, signal) => {
+    const toRepeat: OutcomeReader["readRecordedOutcome"] = async (request, row, signal) => {
         const { partner, changeId } = request;
         if (row.fingerprint !== computeFingerprint(request)) {
             return either.left({ kind: "ChangeIdReused", changeId });
@@ -60,7 +60,7 @@
      * in the reverse order, the attempt could take effect between the two reads and be missed, and an accepted change
      * would be reported as refused.
      */
-    const conclude: OutcomeReader["conclude"] = async (request, unresolvedHeadVersions, error, signal) => {
+    const conclude: OutcomeReader["resolveOutcome"] = async (request, unresolvedHeadVersions, error, signal) => {
         const hasUnresolvedAttempt = unresolvedHeadVersions.length > 0;
         if (!hasUnresolvedAttempt && error.kind !== "Conflict") {
             return either.left(error);
@@ -82,5 +82,5 @@
         return either.left(hasUnresolvedAttempt && !isSettled ? unknownOutcome : error);
     };
 
-    return { toRepeat, conclude };
+    return { readRecordedOutcome: toRepeat, resolveOutcome: conclude };
 };
--- a/packages/oleandergap-configuration/src/store/configurationStore.ts
+++ b/packages/oleandergap-configuration/src/store/configurationStore.ts
@@ -51,7 +51,7 @@
     /** Returns the delta that created version `sequence`; undefined if it is not in the history. */
     readonly deltaTo: (partner: PartnerName, sequence: Sequence) => Delta | undefined;
     /** Whether `head` should be fetched: it is newer than the active version and not known to be invalid. */
-    readonly isWanted: (head: Head) => boolean;
+    readonly needsVersion: (head: Head) => boolean;
     /** Returns the recently refused versions, for operators. */
     readonly refusals: () => readonly VersionError[];
     /** Calls `listener` after each activation. The returned function removes the listener. */
@@ -119,7 +119,7 @@
         offerDeltas: (partner, deltas) => runOffer(partner, (store) => store.offerDeltas(deltas)),
         deltasSince: (partner, sequence) => stores.get(partner)?.deltasSince(sequence),
         deltaTo: (partner, sequence) => stores.get(partner)?.deltaTo(sequence),
-        isWanted: (head) => {
+        needsVersion: (head) => {
             const activeDocument = stores.get(head.partner)?.document();
             return activeDocument !== undefined && head.sequence > activeDocument.sequence && !isInvalid(head);
         },
--- a/packages/oleandergap-containment/src/__tests__/evidenceGossip.test.ts
+++ b/packages/oleandergap-containment/src/__tests__/evidenceGossip.test.ts
@@ -20,7 +20,7 @@
 };
 
 const crashTargetsOf = (network: TestNetwork, indices: readonly number[], fingerprint = CRASHER): void =>
-    indices.forEach((index) => getNode(network, index).containment.noteOwnCrash([fingerprint]));
+    indices.forEach((index) => getNode(network, index).containment.recordLocalCrash([fingerprint]));
 
 const countContained = ({ nodes }: TestNetwork, fingerprint = CRASHER): number =>
     nodes.filter(({ isUp, containment }) => isUp && containment.judge(fingerprint).kind === "Contained").length;
@@ -117,7 +117,7 @@
         crashTargetsOf(network, [0, 4, 8]);
         await network.clock.advance(CONVERGENCE_MS);
         expect(network.rows.size).to.equal(1);
-        getNode(network, 2).containment.noteGoodRun(CRASHER);
+        getNode(network, 2).containment.recordLocalGoodRun(CRASHER);
         await network.clock.advance(CONVERGENCE_MS);
 
         expect(network.rows.size).to.equal(0);
@@ -127,7 +127,7 @@
         const network = createTestNetwork(60, 3, createSeededRandom(36));
         crashTargetsOf(network, [0, 4, 8]);
         await network.clock.advance(100);
-        getNode(network, 20).containment.noteGoodRun(CRASHER);
+        getNode(network, 20).containment.recordLocalGoodRun(CRASHER);
         await network.clock.advance(CONVERGENCE_MS);
 
         expect(countContained(network)).to.equal(0);
@@ -146,7 +146,7 @@
     it("keeps each message within a datagram when many requests were running", async () => {
         const network = createTestNetwork(3, 1, createSeededRandom(36));
         const running = Array.from({ length: 200 }, (_, index) => createFingerprint(`request-${index}`));
-        getNode(network, 0).containment.noteOwnCrash(running);
+        getNode(network, 0).containment.recordLocalCrash(running);
         await network.clock.advance(CONVERGENCE_MS);
 
         expect(network.nodes.map(({ containment }) => containment.stats().suspects)).to.deep.equal([200, 200, 200]);
--- a/packages/oleandergap-containment/src/__tests__/evidenceStore.test.ts
+++ b/packages/oleandergap-containment/src/__tests__/evidenceStore.test.ts
@@ -20,7 +20,7 @@
 
 /** Records crashes at times 1, 2 and 3 while `fingerprint` was running. */
 const recordThreeCrashes = (store: EvidenceStore, fingerprint: Fingerprint): void =>
-    [1, 2, 3].forEach((crash) => store.noteCrash(createReport(crash, crash, fingerprint)));
+    [1, 2, 3].forEach((crash) => store.recordCrash(createReport(crash, crash, fingerprint)));
 
 type ApplyEvidence = (store: EvidenceStore) => unknown;
 
@@ -28,8 +28,8 @@
 const exchangeEvidence = (first: EvidenceStore, second: EvidenceStore): void => {
     for (const [from, to] of [[first, second], [second, first], [first, second], [second, first]] as const) {
         const { crashes, goodRuns } = from.list();
-        crashes.forEach(to.noteCrash);
-        goodRuns.forEach(to.noteGoodRun);
+        crashes.forEach(to.recordCrash);
+        goodRuns.forEach(to.recordGoodRun);
     }
 };
 
@@ -45,7 +45,7 @@
     it("changes a request from suspect to probation to contained with three crashes", () => {
         const store = createStore();
         const kinds = [1, 2, 3].map((crash) => {
-            store.noteCrash(createReport(crash, crash, CRASHER));
+            store.recordCrash(createReport(crash, crash, CRASHER));
             return store.judge(CRASHER, crash).kind;
         });
 
@@ -58,18 +58,18 @@
     it("counts a crash once when it is reported repeatedly", () => {
         const store = createStore();
 
-        expect(store.noteCrash(createReport(1, 1, CRASHER, POPULAR))?.fingerprints).to.deep.equal([CRASHER, POPULAR]);
-        expect(store.noteCrash(createReport(1, 2, CRASHER, OTHER))?.fingerprints).to.deep.equal([OTHER]);
-        expect(store.noteCrash(createReport(1, 2, CRASHER))).to.equal(undefined);
+        expect(store.recordCrash(createReport(1, 1, CRASHER, POPULAR))?.fingerprints).to.deep.equal([CRASHER, POPULAR]);
+        expect(store.recordCrash(createReport(1, 2, CRASHER, OTHER))?.fingerprints).to.deep.equal([OTHER]);
+        expect(store.recordCrash(createReport(1, 2, CRASHER))).to.equal(undefined);
         expect(store.judge(CRASHER, 2)).to.deep.equal({ kind: "Suspect", crashes: 1 });
     });
 
     it("never contains a popular read that completes between crashes during which it was running", () => {
         const store = createStore();
         for (let crash = 1; crash <= 50; crash++) {
-            store.noteCrash(createReport(crash, 10 * crash, CRASHER, POPULAR));
+            store.recordCrash(createReport(crash, 10 * crash, CRASHER, POPULAR));
             expect(store.judge(POPULAR, 10 * crash).kind).to.not.equal("Contained");
-            store.noteGoodRun({ fingerprint: POPULAR, at: 10 * crash + 5 });
+            store.recordGoodRun({ fingerprint: POPULAR, at: 10 * crash + 5 });
             expect(store.judge(POPULAR, 10 * crash + 5)).to.deep.equal({ kind: "Free" });
         }
 
@@ -78,9 +78,9 @@
 
     it("ignores a single crash shortly after a good run, but not long after it", () => {
         const store = createStore();
-        store.noteCrash(createReport(1, 1, POPULAR));
-        store.noteGoodRun({ fingerprint: POPULAR, at: 2 });
-        store.noteCrash(createReport(2, 3, POPULAR));
+        store.recordCrash(createReport(1, 1, POPULAR));
+        store.recordGoodRun({ fingerprint: POPULAR, at: 2 });
+        store.recordCrash(createReport(2, 3, POPULAR));
 
         expect(store.judge(POPULAR, 4).kind).to.equal("Free");
         expect(store.judge(POPULAR, 3 + trustMs).kind).to.equal("Suspect");
@@ -93,7 +93,7 @@
         expect(store.judge(CRASHER, 3 + holdMs - 1).kind).to.equal("Contained");
         expect(store.judge(CRASHER, 3 + holdMs).kind).to.equal("Probation");
         const fourthCrashAt = 3 + holdMs + 10;
-        store.noteCrash(createReport(4, fourthCrashAt, CRASHER));
+        store.recordCrash(createReport(4, fourthCrashAt, CRASHER));
         expect(store.judge(CRASHER, fourthCrashAt)).to.deep.equal({
             kind: "Contained",
             crashes: 4,
@@ -104,7 +104,7 @@
     it("never refuses a request for longer than the maximum hold time", () => {
         const store = createStore();
         for (let crash = 1; crash <= 40; crash++) {
-            store.noteCrash(createReport(crash, crash, CRASHER));
+            store.recordCrash(createReport(crash, crash, CRASHER));
         }
 
         expect(store.judge(CRASHER, 40)).to.include({ kind: "Contained", until: 40 + holdMaximumMs });
@@ -114,7 +114,7 @@
         const store = createStore();
         recordThreeCrashes(store, CRASHER);
 
-        expect(store.noteGoodRun({ fingerprint: CRASHER, at: 4 })).to.equal(true);
+        expect(store.recordGoodRun({ fingerprint: CRASHER, at: 4 })).to.equal(true);
         expect(store.judge(CRASHER, 4)).to.deep.equal({ kind: "Free" });
         expect(store.hasSuspects()).to.equal(false);
     });
@@ -123,14 +123,14 @@
         const store = createStore();
         recordThreeCrashes(store, CRASHER);
 
-        expect(store.noteGoodRun({ fingerprint: CRASHER, at: 0.5 })).to.equal(false);
+        expect(store.recordGoodRun({ fingerprint: CRASHER, at: 0.5 })).to.equal(false);
         expect(store.judge(CRASHER, 4).kind).to.equal("Contained");
     });
 
     it("deletes expired evidence but keeps contained requests", () => {
         const store = createStore();
         recordThreeCrashes(store, CRASHER);
-        store.noteCrash(createReport(1, 1, OTHER));
+        store.recordCrash(createReport(1, 1, OTHER));
         store.prune(1 + forgetMs);
 
         expect(store.size()).to.equal(1);
@@ -143,7 +143,7 @@
         const store = createStore({ mostSuspects: 16 });
         recordThreeCrashes(store, CRASHER);
         for (let crash = 10; crash < 60; crash++) {
-            store.noteCrash(createReport(crash, crash, createFingerprint(`varied-${crash}`)));
+            store.recordCrash(createReport(crash, crash, createFingerprint(`varied-${crash}`)));
         }
 
         expect(store.size()).to.equal(16);
@@ -154,7 +154,7 @@
         const store = createStore();
         recordThreeCrashes(store, CRASHER);
         for (let crash = 10; crash < 1000; crash++) {
-            store.noteCrash(createReport(crash, crash, createFingerprint(`varied-${crash}`)));
+            store.recordCrash(createReport(crash, crash, createFingerprint(`varied-${crash}`)));
         }
         const { crashes } = store.list();
         const listedFingerprints = crashes.flatMap(({ fingerprints }) => fingerprints);
@@ -170,11 +170,11 @@
             number: fastCheck.integer({ min: 1, max: 6 }),
             running: fastCheck.subarray(fingerprints, { minLength: 1 }),
         }).map(({ number, running }): ApplyEvidence => (store) =>
-            store.noteCrash(createReport(number, 10 * number, ...running)));
+            store.recordCrash(createReport(number, 10 * number, ...running)));
         const goodRun = fastCheck.record({
             fingerprint: fastCheck.constantFrom(...fingerprints),
             at: fastCheck.integer({ min: 1, max: 70 }),
-        }).map((run): ApplyEvidence => (store) => store.noteGoodRun(run));
+        }).map((run): ApplyEvidence => (store) => store.recordGoodRun(run));
         const evidence = fastCheck.array(fastCheck.oneof(crash, goodRun), { maxLength: 30 });
         fastCheck.assert(fastCheck.property(evidence, (applied) => {
             const [first, second] = [createStore(), createStore()];
--- a/packages/oleandergap-containment/src/containment.ts
+++ b/packages/oleandergap-containment/src/containment.ts
@@ -46,13 +46,13 @@
     /** Returns the time until a contained request may be retried. */
     readonly retryAfter: (judgement: Extract<Judgement, { readonly kind: "Contained" }>) => Milliseconds;
     /** Records that the local target ended while these requests were running, and returns the id of the crash. */
-    readonly noteOwnCrash: (running: readonly Fingerprint[]) => CrashId;
+    readonly recordLocalCrash: (running: readonly Fingerprint[]) => CrashId;
     /** Records a crash that another node reported for one request: its target ended while the request was running. */
-    readonly noteCrash: (crash: CrashId, node: NodeId, fingerprint: Fingerprint) => void;
+    readonly recordReportedCrash: (crash: CrashId, node: NodeId, fingerprint: Fingerprint) => void;
     /** Records a good run: the local target answered a request completely. */
-    readonly noteGoodRun: (fingerprint: Fingerprint) => void;
+    readonly recordLocalGoodRun: (fingerprint: Fingerprint) => void;
     /** Records a good run at a remote target. The node of that target informs the other nodes. */
-    readonly hearGoodRun: (fingerprint: Fingerprint) => void;
+    readonly recordRemoteGoodRun: (fingerprint: Fingerprint) => void;
     readonly stats: () => ContainmentStatistics;
 }
 
@@ -119,13 +119,13 @@
         signal,
     });
 
-    const noteOwnCrash: Containment<Peer>["noteOwnCrash"] = (running) => {
+    const noteOwnCrash: Containment<Peer>["recordLocalCrash"] = (running) => {
         localCrashCount += 1;
         const crash = `${localCrashPrefix}${localCrashCount}`;
         const fingerprints = [...new Set(running)];
         const report: CrashReport = { crash, node: nodeId, at: clock.monotonic(), fingerprints };
         logger.warn("The target ended while requests were running.", { crash, running: fingerprints.join(" ") });
-        evidenceStore.noteCrash(report);
+        evidenceStore.recordCrash(report);
         gossip.broadcastCrash(report);
         updateContainedRequests(fingerprints);
         return crash;
@@ -142,22 +142,22 @@
         hasSuspects: evidenceStore.hasSuspects,
         judge: (fingerprint) => evidenceStore.judge(fingerprint, clock.monotonic()),
         retryAfter: ({ until }) => Math.max(0, until - clock.monotonic()),
-        noteOwnCrash,
-        noteCrash: (crash, node, fingerprint) => {
-            evidenceStore.noteCrash({ crash, node, at: clock.monotonic(), fingerprints: [fingerprint] });
+        recordLocalCrash: noteOwnCrash,
+        recordReportedCrash: (crash, node, fingerprint) => {
+            evidenceStore.recordCrash({ crash, node, at: clock.monotonic(), fingerprints: [fingerprint] });
             updateContainedRequests([fingerprint]);
         },
-        noteGoodRun: (fingerprint) => {
+        recordLocalGoodRun: (fingerprint) => {
             const run = { fingerprint, at: clock.monotonic() };
             const { kind } = evidenceStore.judge(fingerprint, run.at);
             const isUrgent = kind === "Probation" || kind === "Contained";
-            if (evidenceStore.noteGoodRun(run)) {
+            if (evidenceStore.recordGoodRun(run)) {
                 gossip.broadcastGoodRun(run, isUrgent);
                 updateContainedRequests([fingerprint]);
             }
         },
-        hearGoodRun: (fingerprint) => {
-            if (evidenceStore.noteGoodRun({ fingerprint, at: clock.monotonic() })) {
+        recordRemoteGoodRun: (fingerprint) => {
+            if (evidenceStore.recordGoodRun({ fingerprint, at: clock.monotonic() })) {
                 updateContainedRequests([fingerprint]);
             }
         },
--- a/packages/oleandergap-containment/src/evidenceGossip.ts
+++ b/packages/oleandergap-containment/src/evidenceGossip.ts
@@ -134,8 +134,8 @@
     };
 
     const handleEvidence = (from: Peer, evidence: Evidence): void => {
-        const crashes = evidence.crashes.flatMap((report) => evidenceStore.noteCrash(report) ?? []);
-        const goodRuns = evidence.goodRuns.filter(evidenceStore.noteGoodRun);
+        const crashes = evidence.crashes.flatMap((report) => evidenceStore.recordCrash(report) ?? []);
+        const goodRuns = evidence.goodRuns.filter(evidenceStore.recordGoodRun);
         if (crashes.length > 0 || goodRuns.length > 0) {
             forwardEvidence(from, { crashes, goodRuns });
             onChange(listFingerprints({ crashes, goodRuns }));
@@ -166,7 +166,7 @@
 
     /** Sends the stored evidence to the zone immediately, so that the other members need not read it too. */
     const handleLoadedEvidence = (evidence: Evidence): void => {
-        evidence.crashes.forEach(evidenceStore.noteCrash);
+        evidence.crashes.forEach(evidenceStore.recordCrash);
         sendToMembersAndContacts(evidence);
         pickPeers(FANOUT).forEach((peer) => network.send(peer, { kind: "Compared", isInformed: true }));
         onChange(listFingerprints(evidence));
--- a/packages/oleandergap-containment/src/evidenceStore.ts
+++ b/packages/oleandergap-containment/src/evidenceStore.ts
@@ -36,9 +36,9 @@
 /** The evidence of one node. Times are on the node's monotonic clock. */
 export interface EvidenceStore {
     /** Adds a crash. Returns the part of the report that is new, or undefined if nothing is new. */
-    readonly noteCrash: (report: CrashReport) => CrashReport | undefined;
+    readonly recordCrash: (report: CrashReport) => CrashReport | undefined;
     /** Adds a good run. Returns false if it is not new or there is no evidence against the request. */
-    readonly noteGoodRun: (run: GoodRun) => boolean;
+    readonly recordGoodRun: (run: GoodRun) => boolean;
     readonly judge: (fingerprint: Fingerprint, now: Milliseconds) => Judgement;
     /** Returns whether there is evidence against any request. If not, no fingerprints have to be computed. */
     readonly hasSuspects: () => boolean;
@@ -137,7 +137,7 @@
         }
     };
 
-    const noteCrash: EvidenceStore["noteCrash"] = (report) => {
+    const noteCrash: EvidenceStore["recordCrash"] = (report) => {
         const { crash, node, at } = report;
         const fingerprints = report.fingerprints.filter((fingerprint) => {
             const record = records.get(fingerprint);
@@ -155,7 +155,7 @@
         return { ...report, fingerprints };
     };
 
-    const noteGoodRun: EvidenceStore["noteGoodRun"] = ({ fingerprint, at }) => {
+    const noteGoodRun: EvidenceStore["recordGoodRun"] = ({ fingerprint, at }) => {
         const record = records.get(fingerprint);
         if (record === undefined || !clearCrashes(record, at)) {
             return false;
@@ -193,8 +193,8 @@
     };
 
     return {
-        noteCrash,
-        noteGoodRun,
+        recordCrash: noteCrash,
+        recordGoodRun: noteGoodRun,
         judge: (fingerprint, now) => {
             const record = records.get(fingerprint);
             return record === undefined ? { kind: "Free" } : judgeSuspect(record, now, options);
--- a/packages/oleandergap-distribution/src/__tests__/arrivalLog.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/arrivalLog.test.ts
@@ -23,15 +23,15 @@
         const lines: LogLine[] = [];
         const clock = createManualClock();
         const arrivalLog = createArrivalLog({ clock, logger: createRecordingLogger(lines) });
-        arrivalLog.noteHeard(createHead(4));
+        arrivalLog.recordClaim(createHead(4));
         await clock.advance(300);
-        arrivalLog.noteHeard(createHead(4));
-        arrivalLog.noteHeard(createHead(6));
-        arrivalLog.noteQuestion("halloway");
-        arrivalLog.noteQuestion("halloway");
+        arrivalLog.recordClaim(createHead(4));
+        arrivalLog.recordClaim(createHead(6));
+        arrivalLog.recordRequest("halloway");
+        arrivalLog.recordRequest("halloway");
         await clock.advance(500);
-        arrivalLog.offerFrom({ way: "document", peer: "node-2" }, () => arrivalLog.noteApplied(createHead(4), 8));
-        arrivalLog.noteApplied(createHead(6), undefined);
+        arrivalLog.offerFrom({ way: "document", peer: "node-2" }, () => arrivalLog.recordApplied(createHead(4), 8));
+        arrivalLog.recordApplied(createHead(6), undefined);
         expect(lines.map(({ context }) => ({ ...context, digest: "00" }))).to.deep.equal([
             { ...createHead(4), way: "document", peer: "node-2", cells: 8, questions: 2, sinceHeardMs: 800, checkMs: 0 },
             { ...createHead(6), way: "local", peer: undefined, cells: undefined, questions: 0, sinceHeardMs: 500, checkMs: 0 },
@@ -42,7 +42,7 @@
         const lines: LogLine[] = [];
         const clock = createManualClock();
         const arrivalLog = createArrivalLog({ clock, logger: createRecordingLogger(lines) });
-        const fail = (): void => arrivalLog.noteFailedPull({
+        const fail = (): void => arrivalLog.recordFailedPull({
             partner: "halloway",
             source: "node-3",
             reason: "NoAnswer: TimedOut",
--- a/packages/oleandergap-distribution/src/__tests__/naiveFleet.ts
+++ b/packages/oleandergap-distribution/src/__tests__/naiveFleet.ts
@@ -24,7 +24,7 @@
 
     const poll = async (): Promise<void> => {
         const heads = await source.readHeads(partners, signal)();
-        for (const head of either.isRight(heads) ? heads.right.filter(store.isWanted) : []) {
+        for (const head of either.isRight(heads) ? heads.right.filter(store.needsVersion) : []) {
             const document = await source.readDocument(head.partner, signal)();
             if (either.isRight(document) && document.right !== undefined) {
                 store.offerDocument(document.right);
--- a/packages/oleandergap-distribution/src/__tests__/versionPuller.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/versionPuller.test.ts
@@ -49,7 +49,7 @@
         partner: PARTNER,
         store: {
             document: () => ({ ...createHead(sequence), cells: {} }),
-            isWanted: (head) => head.sequence > sequence,
+            needsVersion: (head) => head.sequence > sequence,
         },
         fetchVersion: async (_partner, source, { signal, onProgress }) => {
             const outcome = await respond(formatClaimSource(source), signal, onProgress);
--- a/packages/oleandergap-distribution/src/arrivalLog.ts
+++ b/packages/oleandergap-distribution/src/arrivalLog.ts
@@ -38,15 +38,15 @@
 /** Log of the versions that arrive at one node. */
 export interface ArrivalLog {
     /** Records that a source claims to hold a version that is not in force at this node. */
-    readonly noteHeard: (head: Head) => void;
+    readonly recordClaim: (head: Head) => void;
     /** Counts a request for a version. */
-    readonly noteQuestion: (partner: PartnerName) => void;
+    readonly recordRequest: (partner: PartnerName) => void;
     /** Runs `offer`, which offers a version to the store. Attributes versions applied during the call to `origin`. */
     readonly offerFrom: <Result>(origin: ArrivalOrigin, offer: () => Result) => Result;
     /** Logs a version that has just come into force. `cells` is the number of changed cells, if known. */
-    readonly noteApplied: (head: Head, cells: number | undefined) => void;
+    readonly recordApplied: (head: Head, cells: number | undefined) => void;
     /** Logs a failed pull, up to a rate limit. */
-    readonly noteFailedPull: (pull: FailedPull) => void;
+    readonly recordFailedPull: (pull: FailedPull) => void;
 }
 
 /**
@@ -89,7 +89,7 @@
     };
 
     return {
-        noteHeard: ({ partner, sequence }) => {
+        recordClaim: ({ partner, sequence }) => {
             const observed = observedVersions.get(partner) ?? [];
             if (observed.every((other) => other.sequence < sequence)) {
                 observedVersions.set(
@@ -98,7 +98,7 @@
                 );
             }
         },
-        noteQuestion: (partner) => {
+        recordRequest: (partner) => {
             requestCounts.set(partner, (requestCounts.get(partner) ?? 0) + 1);
         },
         offerFrom: (origin, applyOffer) => {
@@ -108,7 +108,7 @@
             currentOffer = enclosingOffer;
             return result;
         },
-        noteApplied: (head, cells) => {
+        recordApplied: (head, cells) => {
             const now = clock.monotonic();
             const observedAt = takeObservedAt(head);
             logger.info("A version is in force.", {
@@ -123,7 +123,7 @@
             });
             requestCounts.delete(head.partner);
         },
-        noteFailedPull: ({ partner, source, reason, durationMs }) => {
+        recordFailedPull: ({ partner, source, reason, durationMs }) => {
             if (!failureLogBucket.tryTake()) {
                 suppressedLines += 1;
                 return;
--- a/packages/oleandergap-distribution/src/claimRegistry.ts
+++ b/packages/oleandergap-distribution/src/claimRegistry.ts
@@ -48,11 +48,11 @@
 /** The claims of sources to hold heads of one partner. Claims that could not be verified are ignored for a while. */
 export interface ClaimRegistry {
     /** Records a claim. Returns whether its head is higher than those of all other current claims. */
-    readonly note: (claim: Claim) => boolean;
+    readonly add: (claim: Claim) => boolean;
     /** Returns the current claims, highest sequence first. */
     readonly claims: () => readonly Claim[];
     /** Removes the claims to heads for which `isWanted` returns false. */
-    readonly settle: (isWanted: (head: Head) => boolean) => void;
+    readonly removeUnwanted: (isWanted: (head: Head) => boolean) => void;
     /** Counts a failed attempt to fetch a claimed head from its source. Returns whether the claim was dropped. */
     readonly countFailure: (claim: Claim, failure: ClaimFailure) => boolean;
 }
@@ -104,7 +104,7 @@
     };
 
     return {
-        note: (claim) => {
+        add: (claim) => {
             if (isIgnored(claim)) {
                 return false;
             }
@@ -115,7 +115,7 @@
             return isNewest;
         },
         claims: () => claims,
-        settle: (isWanted) => {
+        removeUnwanted: (isWanted) => {
             claims = claims.filter((claim) => isWanted(claim.head));
             if (claims.length === 0) {
                 failureCounts.clear();
--- a/packages/oleandergap-distribution/src/failureReporter.ts
+++ b/packages/oleandergap-distribution/src/failureReporter.ts
@@ -13,7 +13,7 @@
     readonly registry: Pick<ClaimRegistry, "countFailure">;
     /** Returns the sequence of the version in force. */
     readonly sequence: () => Sequence;
-    readonly arrivalLog: Pick<ArrivalLog, "noteFailedPull">;
+    readonly arrivalLog: Pick<ArrivalLog, "recordFailedPull">;
     readonly clock: Clock;
     readonly logger: Logger;
     readonly counters: SpreadCounters;
@@ -31,7 +31,7 @@
 ): ReportFailure => ({ source, claim }, failure, startedAt) => {
     const sourceName = formatClaimSource(source);
     counters.pullFailures += 1;
-    arrivalLog.noteFailedPull({
+    arrivalLog.recordFailedPull({
         partner,
         source: sourceName,
         reason: formatFailure(failure),
--- a/packages/oleandergap-distribution/src/headReceiver.ts
+++ b/packages/oleandergap-distribution/src/headReceiver.ts
@@ -87,7 +87,7 @@
         });
 
     const recordPeerHead = (from: PeerAddress, head: Head): void => {
-        peerHeads.note(from.id, head);
+        peerHeads.record(from.id, head);
         reportClaim({ head, source: { kind: "Peer", peer: from } });
     };
 
@@ -106,7 +106,7 @@
 
     const receiveHandover = (from: PeerAddress, message: HandoverMessage): void => {
         const head = readHead(message);
-        peerHeads.note(from.id, head);
+        peerHeads.record(from.id, head);
         pusher.accept({ from, head, range: message.range });
         if (message.kind === "Step") {
             applyDelta(from, message.delta);
--- a/packages/oleandergap-distribution/src/inFlightPulls.ts
+++ b/packages/oleandergap-distribution/src/inFlightPulls.ts
@@ -43,7 +43,7 @@
     readonly isInFlight: (source: ClaimSource) => boolean;
     readonly start: (attempt: PullAttempt) => void;
     /** Starts a timer that calls `onEnd` when a request should be sent to another source in parallel. */
-    readonly startPatience: (onEnd: () => void) => CancelTimer;
+    readonly startHedgingTimer: (onEnd: () => void) => CancelTimer;
     /**
      * Cancels the requests for versions that are no longer wanted. The callbacks are not called for cancelled requests.
      * Returns whether any request was cancelled.
@@ -101,7 +101,7 @@
             now - lastProgressAt < options.answerPatienceMs && now - startedAt < options.arrivingPatienceMs);
     };
 
-    const startPatience: InFlightPulls["startPatience"] = (onEnd) => {
+    const startPatience: InFlightPulls["startHedgingTimer"] = (onEnd) => {
         let cancel: CancelTimer = () => undefined;
         const wait = (): void => {
             cancel = startTimer(clock, signal, options.answerPatienceMs, () => (isArriving() ? wait() : onEnd()));
@@ -113,7 +113,7 @@
     return {
         isEmpty: () => pulls.size === 0,
         hasFreeSlot: () => pulls.size < MAX_CONCURRENT_PULLS,
-        startPatience,
+        startHedgingTimer: startPatience,
         isInFlight: (source) => pulls.has(formatClaimSource(source)),
         start: (attempt) => void run(formatClaimSource(attempt.source), attempt),
         cancelUnless: (isWanted) => {
--- a/packages/oleandergap-distribution/src/peerHeads.ts
+++ b/packages/oleandergap-distribution/src/peerHeads.ts
@@ -4,7 +4,7 @@
 /** The highest version of each partner that each peer is known to hold. */
 export interface PeerHeads {
     /** Records that a peer holds a version. */
-    readonly note: (peer: NodeId, head: Pick<Head, "partner" | "sequence">) => void;
+    readonly record: (peer: NodeId, head: Pick<Head, "partner" | "sequence">) => void;
     /** Returns whether a peer is known to hold this version or a higher one. */
     readonly holds: (peer: NodeId, head: Pick<Head, "partner" | "sequence">) => boolean;
     /** Removes all peers except these. */
@@ -17,7 +17,7 @@
     const getSequence = (peer: NodeId, partner: PartnerName): Sequence => sequences.get(peer)?.get(partner) ?? -1;
 
     return {
-        note: (peer, { partner, sequence }) => {
+        record: (peer, { partner, sequence }) => {
             if (sequence <= getSequence(peer, partner)) {
                 return;
             }
--- a/packages/oleandergap-distribution/src/platformReader.ts
+++ b/packages/oleandergap-distribution/src/platformReader.ts
@@ -82,7 +82,7 @@
     const noteHeard = (at: Milliseconds): void => {
         lastContactAt = Math.max(lastContactAt ?? at, at);
     };
-    const role = createReaderRole({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, noteHeard });
+    const role = createReaderRole({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, onPlatformResponse: noteHeard });
 
     /**
      * Logs one line when the platform stops responding. `recordSuccessfulRead` logs one line when it responds again.
--- a/packages/oleandergap-distribution/src/ports.ts
+++ b/packages/oleandergap-distribution/src/ports.ts
@@ -41,7 +41,7 @@
     /** Returns the delta that led to version `sequence`, or undefined if the store does not hold it. */
     readonly deltaTo: (partner: PartnerName, sequence: Sequence) => Delta | undefined;
     /** Returns whether `head` is above the version in force and was not found invalid before. */
-    readonly isWanted: (head: Head) => boolean;
+    readonly needsVersion: (head: Head) => boolean;
     readonly offerDocument: (document: PartnerDocument) => Either<VersionRefusal, unknown>;
     readonly offerDeltas: (partner: PartnerName, deltas: readonly Delta[]) => Either<VersionRefusal, unknown>;
     /** Calls `listener` after each applied version. Returns a function that ends the subscription. */
--- a/packages/oleandergap-distribution/src/readBudget.ts
+++ b/packages/oleandergap-distribution/src/readBudget.ts
@@ -35,7 +35,7 @@
     /** Returns the time until the next read is available; 0 if one is available now. */
     readonly timeToNext: () => Milliseconds;
     /** Returns the time that the budget needs for every node of the fleet to recover from the platform in turn. */
-    readonly fleetTurn: () => Milliseconds;
+    readonly fleetRecoveryTime: () => Milliseconds;
 }
 
 /** Burst of a reader: it may read the heads and the deltas of each partner without a pause. */
@@ -86,7 +86,7 @@
             repayOwedReads();
             return getBucket().timeToNext();
         },
-        fleetTurn: () =>
+        fleetRecoveryTime: () =>
             (countFleetNodes() * READS_PER_RECOVERY / options.recoveryReadsPerSecond) * MILLISECONDS_PER_SECOND,
     };
 };
--- a/packages/oleandergap-distribution/src/readerRole.ts
+++ b/packages/oleandergap-distribution/src/readerRole.ts
@@ -52,7 +52,7 @@
      * Called with the time of the latest platform response that a better ranked node reported. It is never earlier than
      * the creation of the role.
      */
-    readonly noteHeard: (at: Milliseconds) => void;
+    readonly onPlatformResponse: (at: Milliseconds) => void;
 }
 
 /** Decides whether this node polls the platform for its availability zone. */
@@ -77,7 +77,7 @@
     clock,
     options,
     timeoutMs,
-    noteHeard,
+    onPlatformResponse,
 }: ReaderRoleDependencies): ReaderRole => {
     /**
      * Time of the latest platform response at a better ranked node, initially the creation of the role. Reads of this
@@ -105,7 +105,7 @@
             const age = either.isRight(response) ? response.right.platformAgeMs : undefined;
             if (age !== undefined) {
                 lastContactAt = Math.max(lastContactAt, requestedAt - age);
-                noteHeard(lastContactAt);
+                onPlatformResponse(lastContactAt);
             }
             if (age !== undefined && age < options.stepMs) {
                 return;
--- a/packages/oleandergap-distribution/src/recovery.ts
+++ b/packages/oleandergap-distribution/src/recovery.ts
@@ -31,7 +31,7 @@
     readonly peers: Pick<PeerPort, "heads">;
     readonly readPlatformHeads: (signal: AbortSignal) => Promise<readonly Head[] | undefined>;
     readonly isReader: () => boolean;
-    readonly budget: Pick<ReadBudget, "timeToNext" | "fleetTurn">;
+    readonly budget: Pick<ReadBudget, "timeToNext" | "fleetRecoveryTime">;
     readonly reportClaim: (claim: Claim) => void;
     readonly getPuller: (partner: PartnerName) => VersionPuller;
     readonly getSequence: (partner: PartnerName) => Sequence;
@@ -74,7 +74,7 @@
     signal: AbortSignal,
 ): Promise<RecoveryOutcome> => {
     const { partners, fleet, peers, budget, clock, random, options, reportClaim } = dependencies;
-    const platformReadAllowedAt = clock.monotonic() + options.platformAfterMs + random() * budget.fleetTurn();
+    const platformReadAllowedAt = clock.monotonic() + options.platformAfterMs + random() * budget.fleetRecoveryTime();
 
     const fetchPeerHeads = async (peer: PeerAddress): Promise<ReportedHeads> => {
         const limits = { clock, timeoutMs: dependencies.pull.timeoutMs, signal };
--- a/packages/oleandergap-distribution/src/spread.ts
+++ b/packages/oleandergap-distribution/src/spread.ts
@@ -172,7 +172,7 @@
     const recordApplied = (head: Head): void => {
         applied.push({ partner: head.partner, sequence: head.sequence, appliedAt: clock.now() });
         applied.splice(0, applied.length - MAX_APPLIED_VERSIONS);
-        arrivalLog.noteApplied(head, store.deltaTo(head.partner, head.sequence)?.changes.length);
+        arrivalLog.recordApplied(head, store.deltaTo(head.partner, head.sequence)?.changes.length);
         sendHeadsAsReader();
         pusher.pushToZone(head);
         pushAnnounced(head);
--- a/packages/oleandergap-distribution/src/versionFetcher.ts
+++ b/packages/oleandergap-distribution/src/versionFetcher.ts
@@ -31,7 +31,7 @@
     readonly budget: ReadBudget;
     readonly arrivalLog: Pick<ArrivalLog, "offerFrom">;
     /** Records that a peer holds the version that it has just delivered. */
-    readonly peerHeads: Pick<PeerHeads, "note">;
+    readonly peerHeads: Pick<PeerHeads, "record">;
     readonly counters: SpreadCounters;
 }
 
@@ -76,7 +76,7 @@
 
     const offerPeerDocument = (peer: PeerAddress, document: PartnerDocument): FetchResult => {
         counters.documentPulls += 1;
-        peerHeads.note(peer.id, document);
+        peerHeads.record(peer.id, document);
         return offer(document.partner, { way: "document", peer: peer.id }, () => store.offerDocument(document));
     };
 
@@ -111,7 +111,7 @@
         if (version.deltas.length === 0) {
             return either.left({ kind: "NothingNewer" });
         }
-        version.deltas.slice(-1).forEach((last) => peerHeads.note(peer.id, last));
+        version.deltas.slice(-1).forEach((last) => peerHeads.record(peer.id, last));
         const outcome = offer(partner, { way: "steps", peer: peer.id }, () =>
             store.offerDeltas(partner, version.deltas));
         const isConclusive = either.isRight(outcome) || outcome.left.kind !== "Refused";
--- a/packages/oleandergap-distribution/src/versionPuller.ts
+++ b/packages/oleandergap-distribution/src/versionPuller.ts
@@ -24,12 +24,12 @@
 /** Dependencies of a version puller. */
 export interface VersionPullerDependencies {
     readonly partner: PartnerName;
-    readonly store: Pick<ConfigurationStorePort, "document" | "isWanted">;
+    readonly store: Pick<ConfigurationStorePort, "document" | "needsVersion">;
     readonly fetchVersion: FetchVersion;
     /** Returns the peers to try if the sources that claimed a head do not deliver it. */
     readonly listFallbackPeers: () => readonly PeerAddress[];
     readonly budget: Pick<ReadBudget, "timeToNext">;
-    readonly arrivalLog: Pick<ArrivalLog, "noteHeard" | "noteQuestion" | "noteFailedPull">;
+    readonly arrivalLog: Pick<ArrivalLog, "recordClaim" | "recordRequest" | "recordFailedPull">;
     /** Returns whether this node currently receives new versions by polling the platform. */
     readonly isFollowingPlatform: () => boolean;
     readonly clock: Clock;
@@ -64,7 +64,7 @@
     { store }: Pick<VersionPullerDependencies, "store">,
     { claim }: PullAttempt,
     failure: FetchFailure,
-): boolean => failure.kind === "NothingNewer" && claim !== undefined && !store.isWanted(claim.head);
+): boolean => failure.kind === "NothingNewer" && claim !== undefined && !store.needsVersion(claim.head);
 
 /** Maximum exponent of the backoff. The backoff reaches its maximum before this exponent. */
 const MAX_BACKOFF_EXPONENT = 16;
@@ -119,7 +119,7 @@
         options,
         sendRequest: ({ source }, pullSignal, onProgress) => {
             counters.pulls += 1;
-            arrivalLog.noteQuestion(partner);
+            arrivalLog.recordRequest(partner);
             const timeoutMs = source.kind === "Peer" ? options.longestMs : options.platformTimeoutMs;
             return fetchVersion(partner, source, { clock, timeoutMs, signal: pullSignal, onProgress });
         },
@@ -142,8 +142,8 @@
 
     const pullNext = (): void => {
         state = { kind: "Idle" };
-        registry.settle(store.isWanted);
-        inFlightPulls.cancelUnless(store.isWanted);
+        registry.removeUnwanted(store.needsVersion);
+        inFlightPulls.cancelUnless(store.needsVersion);
         const attempt = inFlightPulls.hasFreeSlot() ?
             choosePull({
                 claims: registry.claims(),
@@ -162,7 +162,7 @@
         }
         state = {
             kind: "Pulling",
-            cancel: inFlightPulls.hasFreeSlot() ? inFlightPulls.startPatience(pullNext) : () => undefined,
+            cancel: inFlightPulls.hasFreeSlot() ? inFlightPulls.startHedgingTimer(pullNext) : () => undefined,
         };
     };
 
@@ -182,11 +182,11 @@
 
     return {
         reportClaim: (claim) => {
-            if (!store.isWanted(claim.head)) {
+            if (!store.needsVersion(claim.head)) {
                 return;
             }
-            arrivalLog.noteHeard(claim.head);
-            const isNewest = registry.note(claim);
+            arrivalLog.recordClaim(claim.head);
+            const isNewest = registry.add(claim);
             const isFromPlatform = claim.source.kind === "Platform";
             const shouldStopBackoff = state.kind === "BackingOff" && isNewest && !isLastFailedSource(claim.source);
             const shouldStopAwaitingPlatform = state.kind === "AwaitingPlatform" && isFromPlatform;
@@ -198,7 +198,7 @@
             if (state.kind === "Idle") {
                 startPulling(isFromPlatform);
             }
-            else if (inFlightPulls.cancelUnless(store.isWanted)) {
+            else if (inFlightPulls.cancelUnless(store.needsVersion)) {
                 // Requests for a version that is now in force would occupy the slots of requests for newer versions.
                 cancelTimer();
                 pullNext();
--- a/packages/oleandergap-distribution/src/versionPusher.ts
+++ b/packages/oleandergap-distribution/src/versionPusher.ts
@@ -179,7 +179,7 @@
             );
         },
         acknowledge: (from, version) => {
-            peerHeads.note(from.id, version);
+            peerHeads.record(from.id, version);
             delegator.acknowledge(from.id, version);
         },
         pushToZone: (head) => {
--- a/packages/oleandergap-gate/src/gate.ts
+++ b/packages/oleandergap-gate/src/gate.ts
@@ -135,11 +135,11 @@
         if (immediateRefusal !== undefined) {
             return immediateRefusal;
         }
-        offeredLoad.note({
+        offeredLoad.recordArrival({
             priority: request.priority ?? 0,
             serviceTime: forecast.holdingTime(request.kind ?? DEFAULT_KIND),
         }, now);
-        rankedQueue.refuseHopeless(now);
+        rankedQueue.refuseUnservable(now);
         const timelyFlow = rankedQueue.getOrCreateFlow(request, false);
         const requestsAhead = queue.countRequestsAhead(timelyFlow, getRequestTimes(request));
         const refusalForDeadline = refusals.forDeadline(request, requestsAhead);
--- a/packages/oleandergap-gate/src/offeredLoad.ts
+++ b/packages/oleandergap-gate/src/offeredLoad.ts
@@ -18,7 +18,7 @@
 
 /** A decaying estimate of the arriving work. */
 export interface OfferedLoad {
-    readonly note: (request: OfferedRequest, now: Milliseconds) => void;
+    readonly recordArrival: (request: OfferedRequest, now: Milliseconds) => void;
     /**
      * Returns the arriving work of this and more urgent priorities as a share of the target's capacity; above 1, their
      * queue grows without bound. Less urgent requests are excluded: they start later and do not delay these requests.
@@ -42,7 +42,7 @@
     const workByPriority = new Map<number, OfferedWork>();
 
     return {
-        note: ({ priority, serviceTime }, now) => {
+        recordArrival: ({ priority, serviceTime }, now) => {
             const work = workByPriority.get(priority);
             if (work === undefined) {
                 workByPriority.set(priority, { amountMs: serviceTime, updatedAt: now });
--- a/packages/oleandergap-gate/src/rankedQueue.ts
+++ b/packages/oleandergap-gate/src/rankedQueue.ts
@@ -37,7 +37,7 @@
      */
     readonly demote: (waitingRequest: WaitingRequest, now: Milliseconds) => void;
     /** Refuses waiting late requests that can no longer finish before their deadlines. */
-    readonly refuseHopeless: (now: Milliseconds) => void;
+    readonly refuseUnservable: (now: Milliseconds) => void;
     /** Returns a refusal if a late request in the flow would miss its deadline, and undefined if it may wait. */
     readonly refuseLate: (
         request: AdmissionRequest,
@@ -76,7 +76,7 @@
      * start first, such late requests would wait until their deadlines. They are refused as soon as this is
      * predictable.
      */
-    const refuseHopeless: RankedQueue["refuseHopeless"] = (now) => {
+    const refuseHopeless: RankedQueue["refuseUnservable"] = (now) => {
         if (now - lastCheckAt < CHECK_INTERVAL_MS) {
             return;
         }
@@ -96,7 +96,7 @@
         ),
         isLate,
         demote,
-        refuseHopeless,
+        refuseUnservable: refuseHopeless,
         refuseLate: (request, flow, now) => {
             const overrun = lateRequests.deadlineOverrun(
                 request,
--- a/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/remoteTargets.test.ts
@@ -33,7 +33,7 @@
     const questions: number[] = [];
     const respondToProbe = (): void => {
         if (zone.contactDigest !== undefined) {
-            remote.hearDigest({ sequence: questions.length, digest: zone.contactDigest });
+            remote.receiveDigest({ sequence: questions.length, digest: zone.contactDigest });
         }
     };
     const remote = createRemoteTargets({
@@ -115,11 +115,11 @@
     it("fetches immediately if a contact sends a different digest, but limits the rate of fetches", async () => {
         const zone = createFakeZone();
         await useServiceFor(zone, 3000);
-        zone.remote.hearDigest({ sequence: 0, digest: NEW_DIGEST });
+        zone.remote.receiveDigest({ sequence: 0, digest: NEW_DIGEST });
         await zone.clock.advance(100);
         expect(zone.requests).to.have.length(2);
         for (let round = 0; round < 20; round++) {
-            zone.remote.hearDigest({ sequence: 0, digest: NEW_DIGEST });
+            zone.remote.receiveDigest({ sequence: 0, digest: NEW_DIGEST });
             await zone.clock.advance(100);
         }
         expect(zone.requests.length).to.be.within(5, 7);
@@ -134,7 +134,7 @@
         while (zone.questions.length === 0) {
             await useServiceFor(zone, 100);
         }
-        zone.remote.hearDigest({ sequence: zone.questions.length - 1, digest: OLD_DIGEST });
+        zone.remote.receiveDigest({ sequence: zone.questions.length - 1, digest: OLD_DIGEST });
         await useServiceFor(zone, 400);
         expect(zone.requests).to.have.length(2);
     });
@@ -163,7 +163,7 @@
         const zone = createFakeZone();
         await useServiceFor(zone, 3000);
         zone.fetchedDigest = undefined;
-        zone.remote.hearDigest({ sequence: 0, digest: NEW_DIGEST });
+        zone.remote.receiveDigest({ sequence: 0, digest: NEW_DIGEST });
         await useServiceFor(zone, 1000);
         expect(zone.requests).to.have.length(2);
         zone.fetchedDigest = NEW_DIGEST;
--- a/packages/oleandergap-membership/src/remoteTargets.ts
+++ b/packages/oleandergap-membership/src/remoteTargets.ts
@@ -50,7 +50,7 @@
     /** Probes a contact or starts a fetch if one is due. */
     readonly poll: (signal: AbortSignal) => void;
     /** Processes the digest that a contact sent for its zone. Late, duplicate and reordered replies are tolerated. */
-    readonly hearDigest: (received: Pick<ZoneDigest, "sequence" | "digest">) => void;
+    readonly receiveDigest: (received: Pick<ZoneDigest, "sequence" | "digest">) => void;
     readonly size: () => number;
 }
 
@@ -189,7 +189,7 @@
         }
     };
 
-    const hearDigest: RemoteTargets["hearDigest"] = ({ sequence, digest }) => {
+    const hearDigest: RemoteTargets["receiveDigest"] = ({ sequence, digest }) => {
         if (lastFetch !== undefined && digest !== lastFetch.digest) {
             requireFetch(Math.max(clock.monotonic(), lastFetchAt + MIN_FETCH_INTERVAL_MS));
         }
@@ -223,5 +223,5 @@
         return remoteService.targets;
     };
 
-    return { targetsOf, poll, hearDigest, size: () => services.size };
+    return { targetsOf, poll, receiveDigest: hearDigest, size: () => services.size };
 };
--- a/packages/oleandergap-membership/src/targetDirectory.ts
+++ b/packages/oleandergap-membership/src/targetDirectory.ts
@@ -78,7 +78,7 @@
 
     // The subscription is never ended, because there is exactly one directory per membership.
     membership.subscribeZoneDigests((digest) => {
-        remoteZones.get(digest.zone)?.hearDigest(digest);
+        remoteZones.get(digest.zone)?.receiveDigest(digest);
     });
 
     const start = (signal: AbortSignal): void => {
--- a/packages/oleandergap-node/src/__tests__/crashModel.ts
+++ b/packages/oleandergap-node/src/__tests__/crashModel.ts
@@ -193,7 +193,7 @@
         node.running -= 1;
         await run.end("Completed");
         if (ignoresGoodRuns !== true) {
-            node.containment.noteGoodRun(fingerprintRequest(request, request.body));
+            node.containment.recordLocalGoodRun(fingerprintRequest(request, request.body));
         }
         return either.right({ statusCode: 200, headers: {}, body: createBufferedBody(Buffer.from("read")) });
     };
@@ -223,7 +223,7 @@
             clock,
             isListenerGone: () => Promise.resolve(!node.isTargetUp),
             currentTarget: () => node.target,
-            noteCrash: node.containment.noteOwnCrash,
+            noteCrash: node.containment.recordLocalCrash,
             removeCrashedTarget: () => {
                 node.target = undefined;
             },
--- a/packages/oleandergap-node/src/__tests__/crashes.test.ts
+++ b/packages/oleandergap-node/src/__tests__/crashes.test.ts
@@ -82,7 +82,7 @@
         sendHttpRequest({ port, path, headers: createGateHeaders({ host: HOST }), ...options });
 
     const recordThreeCrashes = (containment: Containment<never>, path: string): void =>
-        [1, 2, 3].forEach((crash) => containment.noteCrash(`c-${crash}`, `node-${crash}`, fingerprintOf(path)));
+        [1, 2, 3].forEach((crash) => containment.recordReportedCrash(`c-${crash}`, `node-${crash}`, fingerprintOf(path)));
 
     it("is reported as a crash together with all requests that were running concurrently", async () => {
         const containment = createIsolatedContainment(clock);
@@ -269,7 +269,7 @@
         const members = targets.map(({ id, gate }) => createMember(id, gate.port));
         for (let gatewayNumber = 0; gatewayNumber < 3; gatewayNumber++) {
             const containment = createIsolatedContainment(clock);
-            [1, 2].forEach((crash) => containment.noteCrash(`c-${crash}`, "x", fingerprintOf(CRASH_PATH)));
+            [1, 2].forEach((crash) => containment.recordReportedCrash(`c-${crash}`, "x", fingerprintOf(CRASH_PATH)));
             const gateway = await startGateway(cleanup.add, { clock, targets: members, containment });
             await sendRequest(gateway, CRASH_PATH);
         }
@@ -279,8 +279,8 @@
 
     it("is cleared by a complete response that is not an error", async () => {
         const containment = createIsolatedContainment(clock);
-        containment.noteCrash("c-1", "node-1", fingerprintOf("/read"));
-        containment.noteCrash("c-1", "node-1", fingerprintOf("/held/1"));
+        containment.recordReportedCrash("c-1", "node-1", fingerprintOf("/read"));
+        containment.recordReportedCrash("c-1", "node-1", fingerprintOf("/held/1"));
         const target = await startCrashableTarget();
         const gate = await startGateWithTarget(target, containment);
         await sendRequest(gate, "/read");
--- a/packages/oleandergap-node/src/__tests__/localTargetManager.test.ts
+++ b/packages/oleandergap-node/src/__tests__/localTargetManager.test.ts
@@ -26,7 +26,7 @@
         clock,
         logger: createLogger("test"),
         publish: (target) => published.push(target),
-        limitOf: ({ service }) => service === UNKNOWN_SERVICE ? undefined : limit,
+        findLimit: ({ service }) => service === UNKNOWN_SERVICE ? undefined : limit,
         createGate: (initial, slots) => createGate({ clock, limit: initial, slots }),
         heartbeatTimeoutMs: HEARTBEAT_TIMEOUT_MS,
         leavingQueueMs: 1000,
--- a/packages/oleandergap-node/src/__tests__/support.ts
+++ b/packages/oleandergap-node/src/__tests__/support.ts
@@ -256,7 +256,7 @@
         clock,
         logger: createLogger("test"),
         publish: (target) => published.push(target),
-        limitOf: () => limit,
+        findLimit: () => limit,
         createGate: (initial, slots) => createGate({ clock, limit: initial, slots, options: defaultGateOptions }),
         heartbeatTimeoutMs: 3000,
         leavingQueueMs: 1000,
--- a/packages/oleandergap-node/src/gate/createGatePath.ts
+++ b/packages/oleandergap-node/src/gate/createGatePath.ts
@@ -48,7 +48,7 @@
     clock,
     logger: createPartLogger("target"),
     publish: publishTarget,
-    limitOf: (service) => findServiceRow(view(), service)?.limit,
+    findLimit: (service) => findServiceRow(view(), service)?.limit,
     createGate: (limit, slots) => createGate({ clock, limit, slots, options: options.gate }),
     ...options.target,
     slowStartMs: options.routing.picker.slowStartMs,
--- a/packages/oleandergap-node/src/gate/createTargetRunObserver.ts
+++ b/packages/oleandergap-node/src/gate/createTargetRunObserver.ts
@@ -14,7 +14,7 @@
     readonly clock: Clock;
     readonly containment: Containment<never>;
     readonly createPartLogger: (part: string) => Logger;
-    readonly target: Pick<LocalTargetManager, "current" | "lose">;
+    readonly target: Pick<LocalTargetManager, "current" | "removeTarget">;
 }
 
 /** Creates the observer that detects crashes and successful runs of the local target. */
@@ -26,13 +26,13 @@
         clock,
         isListenerGone: createListenerProbe(clock),
         currentTarget: target.current,
-        noteCrash: containment.noteOwnCrash,
-        removeCrashedTarget: ({ gate }) => target.lose(gate),
+        noteCrash: containment.recordLocalCrash,
+        removeCrashedTarget: ({ gate }) => target.removeTarget(gate),
     }),
     findRefusal: createContainmentCheck(containment),
     noteGoodRun: (request) => {
         if (containment.hasSuspects()) {
-            containment.noteGoodRun(fingerprintRequest(request, request.body));
+            containment.recordLocalGoodRun(fingerprintRequest(request, request.body));
         }
     },
     logLostRun: createLostRunLog(clock, createPartLogger("gate")),
--- a/packages/oleandergap-node/src/gateway/gatewayHandler.ts
+++ b/packages/oleandergap-node/src/gateway/gatewayHandler.ts
@@ -6,7 +6,7 @@
 import * as either from "fp-ts/lib/Either.js";
 import type { Logger } from "oleandergap-logger";
 import type { TargetMember } from "oleandergap-membership";
-import type { RequestRouter, TriedTarget } from "oleandergap-routing";
+import type { RequestRouter, AttemptedTarget } from "oleandergap-routing";
 import type {
     Clock,
     Milliseconds,
@@ -118,7 +118,7 @@
         state: RequestState,
         failure: RequestFailure,
         retryAfterMs?: Milliseconds,
-        tried: readonly TriedTarget[] = [],
+        tried: readonly AttemptedTarget[] = [],
     ): void => {
         if (failure.kind !== "BadRequest") {
             dependencies.recordUnserved();
@@ -172,7 +172,7 @@
 
         if (either.isLeft(routed)) {
             state.isRetried = routed.left.retriedDownstream;
-            refuse(state, routed.left.failure, routed.left.retryAfterMs, routed.left.triedTargets);
+            refuse(state, routed.left.failure, routed.left.retryAfterMs, routed.left.attemptedTargets);
             return;
         }
         const { answer, retriedDownstream, isStarved } = routed.right;
--- a/packages/oleandergap-node/src/gateway/requestContainment.ts
+++ b/packages/oleandergap-node/src/gateway/requestContainment.ts
@@ -18,7 +18,7 @@
 /** Subset of the containment that the gateway uses. */
 export type GatewayContainment = Pick<
     Containment<never>,
-    "hasSuspects" | "judge" | "retryAfter" | "noteCrash" | "hearGoodRun"
+    "hasSuspects" | "judge" | "retryAfter" | "recordReportedCrash" | "recordRemoteGoodRun"
 >;
 
 /** Crash containment of one request. */
@@ -92,7 +92,7 @@
         recordFailure: ({ nodeId }, failure) => {
             if (failure.kind === "AnswerLost" && failure.crash !== undefined) {
                 hasCrashed = true;
-                containment.noteCrash(failure.crash, nodeId, getFingerprint());
+                containment.recordReportedCrash(failure.crash, nodeId, getFingerprint());
             }
         },
         observeResponse: (response) => !containment.hasSuspects() || response.statusCode >= FIRST_ERROR_STATUS ?
@@ -102,7 +102,7 @@
                 body: observeBody(response.body, {
                     onFinish: (failure) => {
                         if (failure === undefined) {
-                            containment.hearGoodRun(getFingerprint());
+                            containment.recordRemoteGoodRun(getFingerprint());
                         }
                     },
                 }),
--- a/packages/oleandergap-node/src/gateway/requestLog.ts
+++ b/packages/oleandergap-node/src/gateway/requestLog.ts
@@ -4,7 +4,7 @@
  * not add to the overload that it reports.
  */
 import type { LogContext, Logger } from "oleandergap-logger";
-import type { TriedTarget } from "oleandergap-routing";
+import type { AttemptedTarget } from "oleandergap-routing";
 import type { Clock, Milliseconds, RequestFailure } from "oleandergap-types";
 import { createTokenBucket } from "oleandergap-utils";
 import { reasonOfFailure } from "../http/refusal.js";
@@ -30,7 +30,7 @@
     readonly durationMs: Milliseconds;
     /** Time until the deadline; negative when it has passed. */
     readonly leftMs: Milliseconds;
-    readonly tried: readonly TriedTarget[];
+    readonly tried: readonly AttemptedTarget[];
 }
 
 export interface RequestLogDependencies {
@@ -45,7 +45,7 @@
 /** Size of a burst, in seconds at the average rate. The lines at the start of an incident are the most informative. */
 const BURST_SECONDS = 5;
 
-const formatTriedTargets = (triedTargets: readonly TriedTarget[]): string => triedTargets
+const formatTriedTargets = (triedTargets: readonly AttemptedTarget[]): string => triedTargets
     .map(({ nodeId, failure }) => `${nodeId}:${failure === undefined ? "open" : reasonOfFailure(failure)}`)
     .join(" ");
 
--- a/packages/oleandergap-node/src/target/localTargetManager.ts
+++ b/packages/oleandergap-node/src/target/localTargetManager.ts
@@ -35,7 +35,7 @@
     /** Publishes the target to other nodes; undefined if there is none. */
     readonly publish: (target: MemberTarget | undefined) => void;
     /** Returns the limit from a service's row; undefined if the table has no such row. */
-    readonly limitOf: (service: ServiceReference) => Limit | undefined;
+    readonly findLimit: (service: ServiceReference) => Limit | undefined;
     readonly createGate: (limit: Limit, slots: number) => Gate;
     /** Time without a heartbeat after which the target is removed. */
     readonly heartbeatTimeoutMs: Milliseconds;
@@ -58,7 +58,7 @@
      * Removes the target of `gate` because its process has ended. Waiting requests are refused immediately. The next
      * announcement adds the target again.
      */
-    readonly lose: (gate: Gate) => void;
+    readonly removeTarget: (gate: Gate) => void;
     readonly current: () => LocalTarget | undefined;
     /** Applies the current limit from the table to the gate. */
     readonly refreshLimit: () => void;
@@ -104,7 +104,7 @@
 const isUnknownServiceReplacement = (
     target: LocalTarget | undefined,
     announcement: Announcement,
-    limitOf: LocalTargetManagerDependencies["limitOf"],
+    limitOf: LocalTargetManagerDependencies["findLimit"],
 ): boolean =>
     target !== undefined && limitOf(target.announcement) !== undefined && limitOf(announcement) === undefined;
 
@@ -129,8 +129,8 @@
     clock.after(leavingQueueMs, gate.refuseWaiting);
 };
 
-const applyLimit = ({ limitOf }: LocalTargetManagerDependencies, { announcement, gate }: LocalTarget): void => {
-    const limit = limitOf(announcement);
+const applyLimit = ({ findLimit }: LocalTargetManagerDependencies, { announcement, gate }: LocalTarget): void => {
+    const limit = findLimit(announcement);
     // The gate never admits more requests than the target accepts connections, so an admitted request never waits for a
     // connection.
     const slots = Math.min(announcement.slots, announcement.connections);
@@ -205,7 +205,7 @@
         if (isStopping) {
             return;
         }
-        if (isUnknownServiceReplacement(target, announcement, dependencies.limitOf)) {
+        if (isUnknownServiceReplacement(target, announcement, dependencies.findLimit)) {
             logger.warn("Ignored an announcement of an unknown service.", { ...describeTarget(announcement) });
             return;
         }
@@ -247,7 +247,7 @@
     return {
         announce,
         withdraw,
-        lose,
+        removeTarget: lose,
         drain,
         current: () => target,
         refreshLimit: () => {
--- a/packages/oleandergap-routing/src/__tests__/shedding.test.ts
+++ b/packages/oleandergap-routing/src/__tests__/shedding.test.ts
@@ -52,8 +52,8 @@
             counts.answered += 1;
         }
         else {
-            counts.shed += result.left.triedTargets.length > 0 ? 1 : 0;
-            counts.refusedLocally += result.left.triedTargets.length > 0 ? 0 : 1;
+            counts.shed += result.left.attemptedTargets.length > 0 ? 1 : 0;
+            counts.refusedLocally += result.left.attemptedTargets.length > 0 ? 0 : 1;
             counts.longestRetryAfterMs = Math.max(counts.longestRetryAfterMs, result.left.retryAfterMs);
         }
         await clock.advance(10);
--- a/packages/oleandergap-routing/src/attemptHistory.ts
+++ b/packages/oleandergap-routing/src/attemptHistory.ts
@@ -57,7 +57,7 @@
         return {
             failure: withRetryAfter(overallFailure, retryAfterMs),
             attempts: attemptedNodeIds.length,
-            triedTargets: attemptedNodeIds.map((nodeId) => ({ nodeId, failure: failures.get(nodeId) })),
+            attemptedTargets: attemptedNodeIds.map((nodeId) => ({ nodeId, failure: failures.get(nodeId) })),
             retriedDownstream: wasRetriedDownstream || attemptedNodeIds.length > 0,
             retryAfterMs,
         };
--- a/packages/oleandergap-routing/src/requestExecution.ts
+++ b/packages/oleandergap-routing/src/requestExecution.ts
@@ -88,7 +88,7 @@
  * A target that a request was sent to, and why it gave no response. The failure is undefined while no result of the
  * attempt is known.
  */
-export interface TriedTarget {
+export interface AttemptedTarget {
     readonly nodeId: NodeId;
     readonly failure: RequestFailure | undefined;
 }
@@ -97,7 +97,7 @@
 export interface RoutedFailure {
     readonly failure: RequestFailure;
     readonly attempts: number;
-    readonly triedTargets: readonly TriedTarget[];
+    readonly attemptedTargets: readonly AttemptedTarget[];
     /** Whether the failure is returned to the caller with `oleandergap-retry: no`. */
     readonly retriedDownstream: boolean;
     /** Retry delay for the caller, computed from the refusals and failures. */
