--- a/packages/oleandergap-demo/src/__tests__/fleet.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleet.test.ts
@@ -64,7 +64,7 @@
         return waitForValue(waitOptions, probe, () => lastResult).finally(() => caller.close());
     };
 
-    it("names a port that is in use", async () => {
+    it("reports the address of a port that is in use", async () => {
         const plan = createSmallPlan(choosePortBase(1));
         const portHolder = createServer();
         portHolder.listen(plan.ports.gateway, "127.20.1.1");
--- a/packages/oleandergap-demo/src/__tests__/fleetProbes.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetProbes.ts
@@ -78,7 +78,7 @@
     }, () => lastResult);
 };
 
-/** Returns the version from which `nodeId` reports to serve, or undefined if it does not respond. */
+/** Returns the version that is in force at `nodeId` according to this node, or undefined if the query fails. */
 export const readActiveVersion = async (
     fleet: Fleet,
     partner: PartnerName,
--- a/packages/oleandergap-demo/src/__tests__/fleetRequests.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetRequests.test.ts
@@ -32,7 +32,7 @@
 const isNotRun = (result: CallResult): boolean =>
     (result.kind === "Refused" || result.kind === "Failed") && result.verdict === "notRun";
 
-const isWrongAnswer = ({ kind }: CallResult): boolean => kind === "Wrong";
+const isWrongResponse = ({ kind }: CallResult): boolean => kind === "Wrong";
 
 describe("requests in a fleet of real processes", () => {
     let fleet: Fleet;
@@ -76,7 +76,7 @@
             caller.call(findGateway(fleet, NODE_WITHOUT_TARGET), createKeyedPost(SERVICE, key, STEP_TIMEOUT));
         await waitUntil(fleet, `${key} runs`, async () => await countRuns(key) === 1);
         const inFlightCounts = await Promise.all(SERVING_NODES.map(countInFlight));
-        return { pendingResult: pendingResult, holder: SERVING_NODES[inFlightCounts.indexOf(1)] ?? "" };
+        return { pendingResult, holder: SERVING_NODES[inFlightCounts.indexOf(1)] ?? "" };
     };
 
     /** Sends a request with the same key through all gateways but that of the holder. */
@@ -130,7 +130,7 @@
         const resultsText = JSON.stringify(results);
         expect(await countRuns("frozen-holder"), resultsText).to.equal(1);
         expect(isNotRun(lateResult), resultsText).to.equal(false);
-        expect(results.some(isWrongAnswer), resultsText).to.equal(false);
+        expect(results.some(isWrongResponse), resultsText).to.equal(false);
         expect(readResults.map(({ kind }) => kind), resultsText).to.deep.equal(reads.map(() => "Answered"));
         expect(replayResults.at(-1), resultsText).to.include({ kind: "Answered", target: holder });
     }).timeout(TIME_LIMIT);
@@ -177,8 +177,8 @@
         await waitUntil(fleet, "the node reports that it is stopping", async () =>
             await fleet.node(stoppingNode).readNotReadyReason() !== undefined);
         upload.sent.end(half);
-        const answer = await upload.answer;
-        const echo = JSON.parse(await text(answer)) as Readonly<Record<string, unknown>>;
+        const response = await upload.answer;
+        const echo = JSON.parse(await text(response)) as Readonly<Record<string, unknown>>;
 
         expect((await Promise.all(calls)).map(({ kind }) => kind)).to.deep.equal(runKeys.map(() => "Answered"));
         expect(echo["bodyDigest"]).to.equal(createHash("sha256").update(half).update(half).digest("hex"));
--- a/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
@@ -184,9 +184,9 @@
             await fleet.waitUntilReady();
 
             for (const partner of PARTNERS) {
-                const answers = await Promise.all(nodeIds.map((nodeId) =>
+                const results = await Promise.all(nodeIds.map((nodeId) =>
                     readUntilAnswered(fleet, caller, { partner, service: SERVICE }, nodeId)));
-                const versions = answers.map(({ version }) => version);
+                const versions = results.map(({ version }) => version);
                 expect(versions).to.deep.equal(nodeIds.map(() => `${partner}:${newest.get(partner)}`));
             }
             await fleet.platform.setFaults({});
@@ -246,9 +246,9 @@
             expect(raceEntries.map(({ sequence }) => sequence))
                 .to.deep.equal(raceEntries.map((_, index) => start + 1 + index));
 
-            const steps = raceEntries.flatMap(({ changes }) => changes);
-            const after: readonly (CellValue | undefined)[] = steps.map((step) => step.after);
-            expect(steps.slice(1).map((step) => step.before)).to.deep.equal(after.slice(0, -1));
+            const cellChanges = raceEntries.flatMap(({ changes }) => changes);
+            const after: readonly (CellValue | undefined)[] = cellChanges.map((cellChange) => cellChange.after);
+            expect(cellChanges.slice(1).map((cellChange) => cellChange.before)).to.deep.equal(after.slice(0, -1));
             await waitUntilActive(fleet, partner, start + raceEntries.length, allNodes);
             for (const nodeId of allNodes) {
                 const table = await fleet.operatorClient(partner, nodeId).getTable({ source: "inForce" })();
--- a/packages/oleandergap-demo/src/__tests__/plans.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/plans.test.ts
@@ -7,7 +7,7 @@
 import { createGeneratedPlan } from "../plan/generatedPlan.js";
 import { listSeedChanges } from "../plan/seedEdits.js";
 
-describe("createTodaysPlan", () => {
+describe("createFullPlan", () => {
     it("contains the targets, slots and zones of both deployments", () => {
         const { vms, partners } = createFullPlan();
         const count = (service: string): number => vms.filter(({ target }) => target?.service === service).length;
--- a/packages/oleandergap-demo/src/fleet/startFleet.ts
+++ b/packages/oleandergap-demo/src/fleet/startFleet.ts
@@ -120,7 +120,7 @@
     await checkPorts(plan);
     report("Starting the platform stand-in.");
     const platform = await startPlatform(context);
-    report("Writing the first tables of both partners.");
+    report("Writing the first table of each partner.");
     const access = await seedPlatform(plan, context.files, context.lifetime.signal);
     report(`Starting ${plan.vms.length} nodes.`);
     const nodes = await startNodes(context);
--- a/packages/oleandergap-demo/src/fleet/waitFor.ts
+++ b/packages/oleandergap-demo/src/fleet/waitFor.ts
@@ -14,8 +14,8 @@
 const DEFAULT_INTERVAL: Milliseconds = 100;
 
 /**
- * Calls `probe` repeatedly until it returns a value. Rejects with the result of `describeLast` when the timeout
- * expires, and with the reason of the signal when it aborts. Errors of the probe are passed on.
+ * Calls `probe` repeatedly until it returns a value. Rejects with an error that contains the result of `describeLast`
+ * when the timeout expires, and with the reason of the signal when it aborts. Errors of the probe are passed on.
  */
 export const waitForValue = async <Value>(
     { description, timeoutMs, signal, intervalMs = DEFAULT_INTERVAL }: WaitOptions,
--- a/packages/oleandergap-demo/src/main.ts
+++ b/packages/oleandergap-demo/src/main.ts
@@ -55,7 +55,7 @@
             return;
         }
         signal.addEventListener("abort", () => resolve(), { once: true });
-        // An abort listener alone does not keep the process running, so a timer does.
+        // An abort listener alone does not keep the process running, so a timer is needed.
         const keepAlive = setInterval(() => undefined, MILLISECONDS_PER_SECOND);
         signal.addEventListener("abort", () => clearInterval(keepAlive), { once: true });
     });
--- a/packages/oleandergap-demo/src/plan/deployments.ts
+++ b/packages/oleandergap-demo/src/plan/deployments.ts
@@ -1,4 +1,4 @@
-/** Plans of the two deployments of the requirements, on one shared system, and of smaller fleets. */
+/** Plans of the deployments of both partners on one shared mesh, and of smaller fleets. */
 import type { Limit, ZoneName } from "oleandergap-types";
 import {
     createPlatformPlan,
--- a/packages/oleandergap-demo/src/process/childProcess.ts
+++ b/packages/oleandergap-demo/src/process/childProcess.ts
@@ -15,8 +15,8 @@
     /** JavaScript file to run. */
     readonly script: string;
     /**
-     * Whether to execute the file by its shebang line, with the flags there, instead of with the Node.js of this
-     * process.
+     * Whether to execute the file by its shebang line, with the flags that this line contains, instead of with the
+     * Node.js of this process.
      */
     readonly isExecutable?: boolean;
     readonly arguments: readonly string[];
--- a/packages/oleandergap-demo/src/process/processUsage.ts
+++ b/packages/oleandergap-demo/src/process/processUsage.ts
@@ -1,17 +1,17 @@
-/** Reads memory usage and processor time of a process from /proc. */
+/** Reads memory usage and CPU time of a process from /proc. */
 import { readFile } from "node:fs/promises";
 import type { Milliseconds } from "oleandergap-types";
 
-/** Resource usage at one point in time. The difference of two `cpuMs` values is the processor time used in between. */
+/** Resource usage at one point in time. The difference of two `cpuMs` values is the CPU time used in between. */
 export interface ProcessUsage {
     readonly name: string;
     readonly pid: number;
     readonly residentBytes: number;
-    /** Processor time since the start of the process. */
+    /** CPU time since the start of the process. */
     readonly cpuMs: Milliseconds;
 }
 
-/** Linux reports the processor time of processes in hundredths of a second. */
+/** Linux reports the CPU time of processes in hundredths of a second. */
 const MS_PER_TICK = 10;
 const PAGE_BYTES = 4096;
 /** Indexes of user and system time among the fields after the program name. */
--- a/packages/oleandergap-demo/src/process/signalHandlers.ts
+++ b/packages/oleandergap-demo/src/process/signalHandlers.ts
@@ -2,7 +2,7 @@
  * Stops a fleet when its program receives a stop signal that the program does not handle itself.
  *
  * The processes of a fleet are in separate process groups, so neither Ctrl-C nor the exit of the launcher ends them. An
- * interrupted experiment would leave daemons running that occupy ports, memory and processor time. Signals that the
+ * interrupted experiment would leave daemons running that occupy ports, memory and CPU time. Signals that the
  * program handles itself, as the demo does, are not affected.
  */
 import { constants } from "node:os";
--- a/packages/oleandergap-demo/src/process/stopSignals.ts
+++ b/packages/oleandergap-demo/src/process/stopSignals.ts
@@ -2,7 +2,7 @@
 
 const STOP_SIGNALS = ["SIGINT", "SIGTERM", "SIGHUP"] as const;
 
-/** Handle of the handlers for SIGINT, SIGTERM and SIGHUP. */
+/** Installed handlers for SIGINT, SIGTERM and SIGHUP. */
 export interface StopSignals {
     /** Aborts on the first stop signal. */
     readonly signal: AbortSignal;
--- a/packages/oleandergap-measure/src/control/nodeCost.ts
+++ b/packages/oleandergap-measure/src/control/nodeCost.ts
@@ -17,7 +17,7 @@
 export const NODE_COST_DEFAULT_NODES = 8;
 const MEDIAN_MS: Milliseconds = 20;
 const TIMEOUT_MS: Milliseconds = 2000;
-/** Requests per second and node; so few that an interval contains little more than the periodic work of a node. */
+/** Requests per second and node; low enough that a node does little more than its periodic work. */
 const RATE_PER_NODE = 10;
 const IDLE_MS: Milliseconds = 15_000;
 const LOAD_MS: Milliseconds = 20_000;
--- a/packages/oleandergap-measure/src/control/zoneCut.ts
+++ b/packages/oleandergap-measure/src/control/zoneCut.ts
@@ -40,7 +40,7 @@
     return {
         fleet,
         zone,
-        insideNodes: insideNodes,
+        insideNodes,
         outsideNodes: fleet.nodes.filter(({ vm }) => vm.zone !== zone),
         services: listServedServices(fleet).filter((service) => localServices.has(formatServiceReference(service))),
     };
--- a/packages/oleandergap-measure/src/requests/measuredLoad.ts
+++ b/packages/oleandergap-measure/src/requests/measuredLoad.ts
@@ -20,7 +20,7 @@
     readonly gateways: () => readonly GatewayAddress[];
     readonly ratePerSecond: number;
     readonly durationMs: Milliseconds;
-    /** Timeout of the callers. A later response is of no use to them. */
+    /** Timeout of the callers. Later responses do not count as in time. */
     readonly timeoutMs: Milliseconds;
     readonly createRequest: (index: number) => CallRequest;
     readonly onResult?: (result: CallResult) => void;
--- a/packages/oleandergap-standins/src/caller/__tests__/caller.test.ts
+++ b/packages/oleandergap-standins/src/caller/__tests__/caller.test.ts
@@ -46,7 +46,7 @@
         expect(result).to.include({ kind: "Wrong", detail: "service: expected deed-vault, found wills-desk" });
     });
 
-    it("reports a truncated response as a failure, never as an answer", async () => {
+    it("reports a truncated response as a failure, never as a complete response", async () => {
         target.setFaults({ cutAnswerShare: 1 });
         const result = await caller.call(target, createRequest("wills-desk"));
         expect(result).to.include({ kind: "Failed", verdict: "mayHaveRun" });
--- a/packages/oleandergap-standins/src/caller/loadRun.ts
+++ b/packages/oleandergap-standins/src/caller/loadRun.ts
@@ -1,5 +1,5 @@
 /**
- * Open-loop load generator: requests arrive at their rate whether or not earlier requests were answered, like those
+ * Open-loop load generator: requests arrive at the given rate whether or not earlier requests were answered, like those
  * of many independent callers. A closed loop would slow down together with the system and hide an overload.
  */
 import { MILLISECONDS_PER_SECOND, type Clock, type Milliseconds } from "oleandergap-types";
--- a/packages/oleandergap-standins/src/http/formatRetryAfter.ts
+++ b/packages/oleandergap-standins/src/http/formatRetryAfter.ts
@@ -1,4 +1,4 @@
-/** Formats the headers that tell a caller when to retry. */
+/** Formats the response headers that contain the retry delay for the caller. */
 import {
     MILLISECONDS_PER_SECOND,
     RETRY_AFTER_HEADER,
--- a/packages/oleandergap-standins/src/platform/options.ts
+++ b/packages/oleandergap-standins/src/platform/options.ts
@@ -18,7 +18,7 @@
 export const entranceSchema = z.strictObject({
     name: z.string().min(1),
     address: addressSchema,
-    /** 0 takes any free port. */
+    /** Port number; 0 selects any free port. */
     port: z.number().int().min(0).max(65_535).default(0),
 });
 /** An entrance with defaults applied. */
@@ -27,7 +27,7 @@
 /** Options of the platform stand-in. All of them have defaults. */
 export const platformStandInOptionsSchema = z.strictObject({
     address: addressSchema.default("127.0.0.1"),
-    /** 0 takes any free port. */
+    /** Port number; 0 selects any free port. */
     port: z.number().int().min(0).max(65_535).default(0),
     entrances: z.array(entranceSchema).default([]),
     limits: platformLimitsSchema.prefault({}),
--- a/packages/oleandergap-standins/src/platform/platformStandIn.ts
+++ b/packages/oleandergap-standins/src/platform/platformStandIn.ts
@@ -1,6 +1,6 @@
 /**
- * Platform stand-in: an in-memory transactional table and object store behind one HTTP port, with the platform's rate
- * limits and simulated faults. The faults do not affect the control interface:
+ * Platform stand-in: an in-memory transactional table and object store with the platform's HTTP interface and rate
+ * limits, and with simulated faults. The faults do not affect the control interface, which only the main port serves:
  *
  * - `GET /control/counters`, `DELETE /control/counters`: returns the counters, resets them to zero;
  * - `GET /control/faults`, `PUT /control/faults`: returns the faults, replaces them;
--- a/packages/oleandergap-standins/src/platform/serveCall.ts
+++ b/packages/oleandergap-standins/src/platform/serveCall.ts
@@ -72,7 +72,7 @@
 const findFaults = (faults: PlatformFaults, operation: PlatformOperation): OperationFaults =>
     faults.byOperation[operation] ?? faults;
 
-/** Consumes the rate limit for a call. If the limit is reached, sends a refusal and returns false. */
+/** Counts a call against its rate limit. If the limit is reached, sends a refusal and returns false. */
 const consumeBudget = (context: CallContext, operation: PlatformOperation, response: ServerResponse): boolean => {
     const budget = isWriteOperation(operation) ? context.writeBudget : context.readBudget;
     if (budget.tryTake()) {
--- a/packages/oleandergap-standins/src/target/handleRequest.ts
+++ b/packages/oleandergap-standins/src/target/handleRequest.ts
@@ -1,6 +1,6 @@
 /**
- * Handles one request at a target: sheds it, rejects it as expired, cancels it, runs and answers it, or applies a
- * fault.
+ * Handles one request at a target: sheds it, rejects it as expired, cancels it, runs it and sends the response, or
+ * applies a fault.
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
@@ -36,7 +36,7 @@
     crashes: number;
     /** Requests that arrived after the target had announced that it is leaving. */
     receivedWhileLeaving: number;
-    /** Time from that announcement to the last such request. */
+    /** Time from the announcement to the last request that `receivedWhileLeaving` counts. */
     lastReceivedWhileLeavingMs: Milliseconds;
     /** Requests currently in flight. */
     inFlight: number;
--- a/packages/oleandergap-standins/src/target/options.ts
+++ b/packages/oleandergap-standins/src/target/options.ts
@@ -38,7 +38,7 @@
     partner: partnerNameSchema,
     service: serviceNameSchema,
     address: addressSchema.default("127.0.0.1"),
-    /** 0 takes any free port. */
+    /** Port number; 0 selects any free port. */
     port: z.number().int().min(0).max(65_535).default(0),
     slots: z.number().int().min(1).default(12),
     connections: z.number().int().min(1).default(120),
--- a/packages/oleandergap-standins/src/target/targetStandIn.ts
+++ b/packages/oleandergap-standins/src/target/targetStandIn.ts
@@ -39,9 +39,9 @@
      * Announces that the target is leaving, waits until no request is in flight, withdraws from the node, and closes.
      */
     readonly stop: () => Promise<void>;
-    /** Stops immediately and resets all connections, without informing the node. */
+    /** Stops permanently and immediately, and resets all connections without informing the node. */
     readonly crash: () => Promise<void>;
-    /** Stops like `crash` and restarts after the `crashDownMs` of its faults. */
+    /** Stops abruptly like `crash`, and restarts after the `crashDownMs` of its faults. */
     readonly restart: () => void;
 }
 
@@ -53,7 +53,7 @@
 
 const SERVICE_UNAVAILABLE = 503;
 const DRAIN_POLL_MS = 20;
-/** Minimum time for which a leaving target waits for requests that were already on their way when it announced this. */
+/** Minimum time for which a leaving target waits for requests that were sent before it announced that it is leaving. */
 const MIN_DRAIN_MS = 500;
 
 const createCounters = (): TargetCounters => ({
@@ -77,7 +77,7 @@
     currentFaults: TargetFaults;
     readonly sockets: Set<Socket>;
     readonly silencedSockets: WeakSet<Socket>;
-    /** Lifetime of the simulated process. A target that was crashed by a request gets a new one. */
+    /** Lifetime of the simulated process. A target that restarts after a crash gets a new lifetime. */
     lifetime: AbortController;
     /** Number of lifetimes, including the current one. */
     lifetimeCount: number;
--- a/packages/oleandergap-utils/src/__tests__/backgroundClock.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/backgroundClock.test.ts
@@ -1,4 +1,4 @@
-// Failure: idle nodes use half as much processor time as nodes that serve requests.
+// Failure: idle nodes use half as much CPU time as nodes that serve requests.
 // Cause: a dozen periodic tasks with separate timers fire at a dozen different times in each 100 ms, and each of them
 // wakes the process up. The tests count the different times at which timers of the underlying clock fire.
 import { expect } from "chai";
--- a/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
+++ b/packages/oleandergap-utils/src/__tests__/tokenBucket.test.ts
@@ -21,12 +21,12 @@
 describe("createBulkTokenBucket", () => {
     it("returns the time until several tokens are available, and allows a negative number of tokens", async () => {
         const clock = createManualClock();
-        const supply = createBulkTokenBucket({ clock, ratePerSecond: () => 10, burst: 5 });
-        expect(supply.timeUntil(5)).to.equal(0);
-        supply.take(7);
-        expect(supply.timeUntil(1)).to.equal(300);
+        const bucket = createBulkTokenBucket({ clock, ratePerSecond: () => 10, burst: 5 });
+        expect(bucket.timeUntil(5)).to.equal(0);
+        bucket.take(7);
+        expect(bucket.timeUntil(1)).to.equal(300);
         await clock.advance(300);
-        expect(supply.timeUntil(1)).to.equal(0);
-        expect(supply.timeUntil(3)).to.equal(200);
+        expect(bucket.timeUntil(1)).to.equal(0);
+        expect(bucket.timeUntil(3)).to.equal(200);
     });
 });
--- a/packages/oleandergap-utils/src/backgroundClock.ts
+++ b/packages/oleandergap-utils/src/backgroundClock.ts
@@ -3,8 +3,8 @@
  *
  * A node has a dozen periodic tasks. If each task had a separate timer, an idle node would wake up fifty times a
  * second. On a VM that several processes share, each wake-up finds cold caches. Idle nodes would then use as much
- * processor time as nodes that serve requests. Here, all timers fire at multiples of one step, so that one turn of the
- * event loop runs all tasks that are due.
+ * CPU time as nodes that serve requests. Here, all timers fire at multiples of one step, so that one turn of the event
+ * loop runs all tasks that are due.
  */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { createSleep } from "./sleep.js";
@@ -21,7 +21,10 @@
     readonly callbacks: Set<() => void>;
 }
 
-/** Creates a clock with the times of `clock`, whose timers fire at multiples of `stepMs` and up to `stepMs` late. */
+/**
+ * Creates a clock with the times of `clock`. Its timers fire at multiples of `stepMs`, at most `MAX_EARLY_MS` early and
+ * at most `stepMs` late.
+ */
 export const createBackgroundClock = (clock: Clock, stepMs: Milliseconds): Clock => {
     const batches = new Map<number, TimerBatch>();
     let armedTimer: { readonly at: Milliseconds; readonly cancel: CancelTimer } | undefined;
--- a/packages/oleandergap-utils/src/inactivityTimeout.ts
+++ b/packages/oleandergap-utils/src/inactivityTimeout.ts
@@ -1,7 +1,7 @@
 /**
  * Inactivity timeout for a response. A long response over a narrow link takes a long time, especially while the link
  * carries much other traffic. After a fixed total timeout, the response would be discarded and requested again from its
- * first byte. Discarded responses would then fill the link, and nodes with narrow links would fall behind. Therefore a
+ * first byte. Discarded responses would then fill the link, and nodes with narrow links could not keep up. Therefore a
  * response only times out due to inactivity, or after a total time far above the usual one, which limits a response
  * that never ends.
  */
--- a/packages/oleandergap-utils/src/readAwareTimer.ts
+++ b/packages/oleandergap-utils/src/readAwareTimer.ts
@@ -3,7 +3,7 @@
  *
  * Node.js runs expired timers before it reads pending input. After a pause, the process would therefore treat every
  * timeout as exceeded, although a response, a heartbeat or an open connection is ready to be read. A process that is
- * short of processor time would avoid healthy nodes and discard their responses.
+ * short of CPU time would avoid healthy nodes and discard their responses.
  */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 
--- a/packages/oleandergap-utils/src/sleep.ts
+++ b/packages/oleandergap-utils/src/sleep.ts
@@ -3,7 +3,7 @@
 
 /**
  * Creates a `sleep` function. Its promise resolves when a timer of `after` fires or the signal aborts, and never
- * rejects. The timer is then cancelled, or the listener is removed from the signal.
+ * rejects. When it resolves, the timer is cancelled and the listener is removed from the signal.
  */
 export const createSleep = (after: Clock["after"]): Clock["sleep"] => (delay, signal) =>
     new Promise((resolve) => {
--- a/packages/oleandergap-utils/src/tokenBucket.ts
+++ b/packages/oleandergap-utils/src/tokenBucket.ts
@@ -58,14 +58,14 @@
 
 /** Creates a full token bucket. */
 export const createTokenBucket = (options: TokenBucketOptions): TokenBucket => {
-    const supply = createBulkTokenBucket(options);
-    const timeToNext = (): Milliseconds => supply.timeUntil(1);
+    const bulkBucket = createBulkTokenBucket(options);
+    const timeToNext = (): Milliseconds => bulkBucket.timeUntil(1);
     return {
         tryTake: () => {
             if (timeToNext() > 0) {
                 return false;
             }
-            supply.take(1);
+            bulkBucket.take(1);
             return true;
         },
         timeToNext,
