--- a/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
+++ b/packages/oleandergap-demo/src/__tests__/fleetVersions.test.ts
@@ -31,7 +31,7 @@
 
 const formatWeightCell = (partner: PartnerName): CellAddress => `services/${SERVICE}/weights/${partner}-1`;
 
-/** Creates new rows that no caller uses, too many for one datagram. */
+/** Creates a change with new rows that no caller uses. The change is too large for one datagram. */
 const createLargeChange = (changeId: string, round: number): ChangeInput => ({
     changeId,
     edits: Array.from({ length: 40 }, (_, index) =>
--- a/packages/oleandergap-demo/src/fleet/startFleet.ts
+++ b/packages/oleandergap-demo/src/fleet/startFleet.ts
@@ -36,7 +36,7 @@
 
 /** Starting processes are CPU-bound, so more concurrent starts would only slow down each of them. */
 const MAX_CONCURRENT_STARTS = 8;
-/** Shorter than the stop timeout of a single node, because no caller waits for requests when the whole fleet stops. */
+/** Shorter than the stop timeout of one node, because no caller waits for responses when the whole fleet stops. */
 const STOP_TIMEOUT: Milliseconds = 15_000;
 const OPERATOR_TIMEOUT: Milliseconds = 10_000;
 const FLEET_KEY_BYTES = 32;
--- a/packages/oleandergap-measure/src/control/zoneCut.ts
+++ b/packages/oleandergap-measure/src/control/zoneCut.ts
@@ -1,5 +1,5 @@
 /**
- * Isolates one availability zone, and measures its effect once from inside and once from outside the zone. For the
+ * Isolates one availability zone, and measures the effect once from inside and once from outside the zone. For the
  * measurement from inside, all other nodes and the platform stop responding: the node processes are stopped by a
  * signal, so their connections stay open without responses. For the measurement from outside, the nodes of the zone
  * stop responding; a change is accepted during the isolation, and the zone must catch up after it. The naive version
--- a/packages/oleandergap-measure/src/requests/silentConnections.ts
+++ b/packages/oleandergap-measure/src/requests/silentConnections.ts
@@ -1,7 +1,7 @@
 /**
- * All open connections of one target stop responding while new connections work. As a variant, one node is frozen and
- * later resumed. The naive caller uses no node, so for it a target that accepts connections and reads nothing replaces
- * the frozen node.
+ * Measures the impact on requests when all open connections of one target stop responding while new connections work.
+ * As a variant, one node is frozen and later resumed. The naive caller uses no node, so for it a target that accepts
+ * connections and reads nothing replaces the frozen node.
  */
 import type { Fleet, FleetNode } from "oleandergap-demo";
 import { createCaller, type Caller, type GatewayAddress } from "oleandergap-standins";
--- a/packages/oleandergap-measure/src/requests/slowTarget.ts
+++ b/packages/oleandergap-measure/src/requests/slowTarget.ts
@@ -1,4 +1,4 @@
-/** One of four targets is slow while its health endpoint reports it as healthy. */
+/** Measures requests while one of four targets is slow and its health endpoint reports it as healthy. */
 import type { Fleet } from "oleandergap-demo";
 import { createCaller, type Caller } from "oleandergap-standins";
 import type { Milliseconds } from "oleandergap-types";
--- a/packages/oleandergap-utils/src/backgroundClock.ts
+++ b/packages/oleandergap-utils/src/backgroundClock.ts
@@ -2,9 +2,9 @@
  * A clock that coalesces timers, for work that may start slightly late.
  *
  * A node has a dozen periodic tasks. If each task had a separate timer, an idle node would wake up fifty times a
- * second. On a VM that several processes share, each wake-up finds cold caches. Idle nodes would then use as much
- * CPU time as nodes that serve requests. Here, all timers fire at multiples of one step, so that one turn of the event
- * loop runs all tasks that are due.
+ * second. On a VM that several processes share, the CPU caches are cold after each wake-up. Idle nodes would then use
+ * as much CPU time as nodes that serve requests. Here, all timers fire at multiples of one step, so that one turn of
+ * the event loop runs all tasks that are due.
  */
 import type { CancelTimer, Clock, Milliseconds } from "oleandergap-types";
 import { createSleep } from "./sleep.js";
