--- a/packages/oleandergap-demo/src/fleet/startFleet.ts
+++ b/packages/oleandergap-demo/src/fleet/startFleet.ts
@@ -36,7 +36,7 @@
 
 /** Starting processes are CPU-bound, so more concurrent starts would only slow down each of them. */
 const MAX_CONCURRENT_STARTS = 8;
-/** Shorter than the stop timeout of a single node, because no caller waits for requests when the whole fleet stops. */
+/** Shorter than the stop timeout of one node, because no caller waits for responses when the whole fleet stops. */
 const STOP_TIMEOUT: Milliseconds = 15_000;
 const OPERATOR_TIMEOUT: Milliseconds = 10_000;
 const FLEET_KEY_BYTES = 32;
@@ -120,7 +120,7 @@
     await checkPorts(plan);
     report("Starting the platform stand-in.");
     const platform = await startPlatform(context);
-    report("Writing the first tables of both partners.");
+    report("Writing the first table of each partner.");
     const access = await seedPlatform(plan, context.files, context.lifetime.signal);
     report(`Starting ${plan.vms.length} nodes.`);
     const nodes = await startNodes(context);
