--- a/packages/oleandergap-configuration/src/change/outcomeReader.ts
+++ b/packages/oleandergap-configuration/src/change/outcomeReader.ts
@@ -19,7 +19,11 @@
 /** Reads the outcome of a change back from the platform. */
 export interface OutcomeReader {
     /** Returns the outcome that is recorded in the change row, or an error if a different request used the same id. */
-    readonly readRecordedOutcome: (request: ChangeRequest, row: ChangeRow, signal: AbortSignal) => Promise<ChangeResult>;
+    readonly readRecordedOutcome: (
+        request: ChangeRequest,
+        row: ChangeRow,
+        signal: AbortSignal,
+    ) => Promise<ChangeResult>;
     /**
      * Returns `error`, unless an earlier attempt took effect or its outcome is still unknown. `unresolvedHeadVersions`
      * are the head row versions on which attempts with an unknown outcome are conditional.
--- a/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
+++ b/packages/oleandergap-distribution/src/__tests__/measureSpread.ts
@@ -8,7 +8,7 @@
 import { createSeededRandom, pickOne } from "oleandergap-utils";
 import { createInMemoryFleet, PARTNERS, type InMemoryFleet } from "./inMemoryFleet.js";
 import { healthyNetwork } from "./inMemoryNetwork.js";
-import { startPollingNode } from "./naiveFleet.js";
+import { startPollingNode } from "./pollingNode.js";
 import { WEIGHT_CELL, type RecordingStore } from "./recordingStore.js";
 
 const ZONES = 7;
--- a/packages/oleandergap-distribution/src/__tests__/spread.test.ts
+++ b/packages/oleandergap-distribution/src/__tests__/spread.test.ts
@@ -5,7 +5,7 @@
 import { expectInForceEverywhere, expectNeverLower } from "./fleetAssertions.js";
 import { createInMemoryFleet, PARTNERS, type InMemoryFleet } from "./inMemoryFleet.js";
 import { LIMIT_CELL, MISSING_LIMIT, WEIGHT_CELL } from "./recordingStore.js";
-import { startPollingNode } from "./naiveFleet.js";
+import { startPollingNode } from "./pollingNode.js";
 
 const startFleet = async (seed: number): Promise<InMemoryFleet> => {
     const fleet = createInMemoryFleet({ zones: 4, nodesPerZone: 10, seed });
--- a/packages/oleandergap-distribution/src/platformReader.ts
+++ b/packages/oleandergap-distribution/src/platformReader.ts
@@ -79,10 +79,10 @@
     let consecutiveFailures = 0;
     let outageStartedAt = startedAt;
 
-    const noteHeard = (at: Milliseconds): void => {
+    const onPlatformResponse = (at: Milliseconds): void => {
         lastContactAt = Math.max(lastContactAt ?? at, at);
     };
-    const role = createReaderRole({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, onPlatformResponse: noteHeard });
+    const role = createReaderRole({ fleet, peers, clock, options, timeoutMs: pull.timeoutMs, onPlatformResponse });
 
     /**
      * Logs one line when the platform stops responding. `recordSuccessfulRead` logs one line when it responds again.
@@ -124,7 +124,7 @@
             return undefined;
         }
         recordSuccessfulRead();
-        noteHeard(readStartedAt);
+        onPlatformResponse(readStartedAt);
         for (const head of outcome.right) {
             reportClaim({ head, source: { kind: "Platform" } });
         }
--- a/packages/oleandergap-membership/src/__tests__/datagramCodec.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/datagramCodec.test.ts
@@ -8,7 +8,7 @@
 import { createDatagramCodec, MAX_DATAGRAM_BYTES, type DatagramParts } from "../datagramCodec.js";
 import type { Datagram } from "../messages.js";
 import { isSafePayload } from "../payloadGuard.js";
-import { createHead, createTarget } from "./testZone.js";
+import { createHead, createTarget } from "./testCluster.js";
 
 const codec = createDatagramCodec("test");
 const codecModule = new URL("../datagramCodec.js", import.meta.url).href;
--- a/packages/oleandergap-membership/src/__tests__/memberRecord.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/memberRecord.test.ts
@@ -9,7 +9,7 @@
 import { createStatistics } from "../statistics.js";
 import { createSuspicions } from "../suspicions.js";
 import { createUpdateQueue } from "../updateQueue.js";
-import { createTarget } from "./testZone.js";
+import { createTarget } from "./testCluster.js";
 
 const states: readonly MemberState[] = ["alive", "suspect", "dead", "left"];
 
--- a/packages/oleandergap-membership/src/__tests__/membership.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membership.test.ts
@@ -10,7 +10,7 @@
     listMemberIds,
     createSeed,
     createTarget,
-} from "./testZone.js";
+} from "./testCluster.js";
 
 const countSentBytes = (stats: MembershipStats): number =>
     Object.values(stats.traffic).reduce((sum, traffic) => sum + traffic.sentBytes + traffic.receivedBytes, 0);
--- a/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipFailures.test.ts
@@ -12,7 +12,7 @@
     createLossyLink,
     measureUntil,
     createSeed,
-} from "./testZone.js";
+} from "./testCluster.js";
 
 const ZONE_SIZE = 24;
 
--- a/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/membershipLoss.test.ts
@@ -11,7 +11,7 @@
     createLossyLink,
     measureUntil,
     createTarget,
-} from "./testZone.js";
+} from "./testCluster.js";
 
 const ZONE_SIZE = 24;
 
--- a/packages/oleandergap-membership/src/__tests__/roster.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/roster.test.ts
@@ -11,7 +11,7 @@
     createSeed,
     type TestNode,
     type TestCluster,
-} from "./testZone.js";
+} from "./testCluster.js";
 
 interface RosterStore {
     readonly store: ObjectStore;
--- a/packages/oleandergap-membership/src/__tests__/sealedTransport.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/sealedTransport.test.ts
@@ -8,7 +8,7 @@
     type FleetKeys,
     type SealedTransport,
 } from "../index.js";
-import { createTestCluster, createEndpoint, createSeed, type TestCluster } from "./testZone.js";
+import { createTestCluster, createEndpoint, createSeed, type TestCluster } from "./testCluster.js";
 import { parseKeys, NEW_KEY, OLD_KEY } from "./testKeys.js";
 
 const neverAborted = new AbortController().signal;
--- a/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetDirectory.test.ts
@@ -8,7 +8,7 @@
     type TargetDirectory,
     type ZoneTargetsResponse,
 } from "../index.js";
-import { createTestCluster, createSeed, createTarget, type TestNode, type TestCluster } from "./testZone.js";
+import { createTestCluster, createSeed, createTarget, type TestNode, type TestCluster } from "./testCluster.js";
 
 const service = { partner: "halloway", service: "grant-filer" };
 
--- a/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
+++ b/packages/oleandergap-membership/src/__tests__/targetRefresh.test.ts
@@ -20,7 +20,7 @@
     createTarget,
     type TestNode,
     type TestCluster,
-} from "./testZone.js";
+} from "./testCluster.js";
 
 const service = { partner: "halloway", service: "grant-filer" };
 const FIRST_B = 40;
--- a/packages/oleandergap-node/src/__tests__/abortedRequests.test.ts
+++ b/packages/oleandergap-node/src/__tests__/abortedRequests.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { createSystemClock } from "oleandergap-utils";
-import { createCallerSignals } from "../http/callerSignal.js";
+import { createCallerSignals } from "../http/callerSignals.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import { sendHttpRequest, createAnnouncement, createCleanup, startGate, startTarget } from "./support.js";
 
--- a/packages/oleandergap-node/src/__tests__/secondAttempts.test.ts
+++ b/packages/oleandergap-node/src/__tests__/secondAttempts.test.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from "node:http";
 import { expect } from "chai";
 import { createManualClock, type ManualClock } from "oleandergap-utils";
-import type { LogUnresponsiveGate, UnresponsiveGate } from "../gateway/silenceLog.js";
+import type { LogUnresponsiveGate, UnresponsiveGate } from "../gateway/unresponsiveGateLog.js";
 import { createMember, HOST, startGateway } from "./gatewaySupport.js";
 import { sendHttpRequest, createCleanup, startTarget, waitUntil, type ReceivedResponse } from "./support.js";
 
--- a/packages/oleandergap-node/src/__tests__/turnQueue.test.ts
+++ b/packages/oleandergap-node/src/__tests__/turnQueue.test.ts
@@ -1,7 +1,7 @@
 import http from "node:http";
 import net from "node:net";
 import { expect } from "chai";
-import { createCallerSignals } from "../http/callerSignal.js";
+import { createCallerSignals } from "../http/callerSignals.js";
 import { createTurnQueue } from "../http/turnQueue.js";
 import { createCleanup, LOOPBACK, waitUntil } from "./support.js";
 
--- a/packages/oleandergap-node/src/createRequestPath.ts
+++ b/packages/oleandergap-node/src/createRequestPath.ts
@@ -3,7 +3,7 @@
 import { createGatePath, createTarget } from "./gate/createGatePath.js";
 import { createUnservedCalls } from "./gate/unservedCalls.js";
 import { createGatewayPath } from "./gateway/createGatewayPath.js";
-import { createCallerSignals } from "./http/callerSignal.js";
+import { createCallerSignals } from "./http/callerSignals.js";
 import { createConnectionPools, type ConnectionPools } from "./http/connectionPools.js";
 import { startEventLoopLagMonitor } from "./http/eventLoopLag.js";
 import type { RequestPath, RequestPathDependencies } from "./requestPathTypes.js";
--- a/packages/oleandergap-node/src/gate/createGatePath.ts
+++ b/packages/oleandergap-node/src/gate/createGatePath.ts
@@ -3,7 +3,7 @@
 import { createClaimSweeper, type ClaimSweeper } from "oleandergap-idempotency";
 import type { Clock, GateLoad } from "oleandergap-types";
 import { createRequestTally, type RequestTally } from "../admin/requestTally.js";
-import { recordRequestEnd } from "../admin/tallyEnd.js";
+import { recordRequestEnd } from "../admin/recordRequestEnd.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import type { HandleArrival } from "../http/listener.js";
 import type { EventLoopLagMonitor } from "../http/eventLoopLag.js";
--- a/packages/oleandergap-node/src/gate/gateHandler.ts
+++ b/packages/oleandergap-node/src/gate/gateHandler.ts
@@ -18,7 +18,7 @@
     type ServiceReference,
 } from "oleandergap-types";
 import { toRequestResult, type RequestResult } from "../http/requestResult.js";
-import { createCallerSignals } from "../http/callerSignal.js";
+import { createCallerSignals } from "../http/callerSignals.js";
 import {
     CALLER_HEADER,
     IDEMPOTENT_HEADER,
--- a/packages/oleandergap-node/src/gateway/createGatewayPath.ts
+++ b/packages/oleandergap-node/src/gateway/createGatewayPath.ts
@@ -12,10 +12,10 @@
     type TargetPicker,
 } from "oleandergap-routing";
 import { findAdmissionRefusal } from "../admin/readiness.js";
-import { recordRequestEnd } from "../admin/tallyEnd.js";
+import { recordRequestEnd } from "../admin/recordRequestEnd.js";
 import type { GatePath } from "../gate/createGatePath.js";
 import type { UnservedCalls } from "../gate/unservedCalls.js";
-import type { CallerSignals } from "../http/callerSignal.js";
+import type { CallerSignals } from "../http/callerSignals.js";
 import type { ConnectionPools } from "../http/connectionPools.js";
 import type { HandleArrival } from "../http/listener.js";
 import type { EventLoopLagMonitor } from "../http/eventLoopLag.js";
@@ -29,7 +29,7 @@
 import { createRequestLog, type LogFailedRequest } from "./requestLog.js";
 import { createServiceChooser } from "./routeTable.js";
 import { createSendToGate, type SendToGate } from "./sendToGate.js";
-import { createUnresponsiveGateLog } from "./silenceLog.js";
+import { createUnresponsiveGateLog } from "./unresponsiveGateLog.js";
 import { createTargetLookup } from "./targetLookup.js";
 
 /** Components that the gateway shares with the gate. */
--- a/packages/oleandergap-node/src/gateway/gatewayHandler.ts
+++ b/packages/oleandergap-node/src/gateway/gatewayHandler.ts
@@ -17,7 +17,7 @@
 } from "oleandergap-types";
 import type { AdmissionRefusal } from "../admin/readiness.js";
 import { discardBody } from "../http/upstreamResponse.js";
-import type { CallerSignals } from "../http/callerSignal.js";
+import type { CallerSignals } from "../http/callerSignals.js";
 import type { CallerDialect } from "../http/dialect.js";
 import type { RequestArrival } from "../http/listener.js";
 import { HTTP_STATUS } from "../http/refusal.js";
--- a/packages/oleandergap-node/src/gateway/sendToGate.ts
+++ b/packages/oleandergap-node/src/gateway/sendToGate.ts
@@ -37,7 +37,7 @@
 import type { RequestBody } from "../http/requestBody.js";
 import { sendMonitored, type PendingAttempt, type InactivityReport } from "../http/monitoredExchange.js";
 import type { CallerRequest } from "./callerRequest.js";
-import type { LogUnresponsiveGate } from "./silenceLog.js";
+import type { LogUnresponsiveGate } from "./unresponsiveGateLog.js";
 
 export interface SendToGateDependencies {
     readonly clock: Clock;
--- a/packages/oleandergap-routing/src/requestRouter.ts
+++ b/packages/oleandergap-routing/src/requestRouter.ts
@@ -6,7 +6,7 @@
 import type { Either } from "fp-ts/lib/Either.js";
 import { formatServiceReference, type Clock, type RequestFailure } from "oleandergap-types";
 import { createAttemptHistory, type AttemptHistory } from "./attemptHistory.js";
-import { createRunAttempt } from "./tryTarget.js";
+import { createRunAttempt } from "./runAttempt.js";
 import { defaultRoutingOptions, type RetryOptions } from "./options.js";
 import { createOpenAttempts } from "./openAttempts.js";
 import type {
