--- a/packages/oleandergap-cli/src/__tests__/program.test.ts
+++ b/packages/oleandergap-cli/src/__tests__/program.test.ts
@@ -140,9 +140,9 @@
         const createFleetNode = (id: string, sequence: number): Harness["report"]["nodes"][number] =>
             ({ member: createMember(id, "hall-a"), applied: { kind: "Known", heads: [createHead(sequence)] } });
         harness.report = { nodes: [createFleetNode("hall-a-1", 1), createFleetNode("hall-a-2", 0)], unknownZones: [] };
-        const behind = await harness.run("versions", "--wait", "1", "--timeout", "1");
-        expect(behind.exitCode).to.equal(1);
-        expect(behind.error).to.include("in force on 1 of 2 nodes").and.include("hall-a-2 in hall-a: version 0");
+        const outdatedResult = await harness.run("versions", "--wait", "1", "--timeout", "1");
+        expect(outdatedResult.exitCode).to.equal(1);
+        expect(outdatedResult.error).to.include("in force on 1 of 2 nodes").and.include("hall-a-2 in hall-a: version 0");
         expect((await harness.run("versions")).out).to.include("0 (1 behind)");
 
         harness.report = { nodes: [], unknownZones: [] };
--- a/packages/oleandergap-cli/src/settings/settings.ts
+++ b/packages/oleandergap-cli/src/settings/settings.ts
@@ -7,8 +7,8 @@
 /** Schema of the settings file. Unknown keys are rejected. */
 export const commandLineSettingsSchema = z.strictObject({
     /**
-     * Nodes in the order in which they are tried until one responds. Any node can be used; nodes of different
-     * availability zones are recommended.
+     * Nodes in the order in which requests are sent to them until one responds. Any node can be used; nodes of
+     * different availability zones are recommended.
      */
     nodes: z.array(z.strictObject({ address: addressSchema, port: portSchema })).min(1).max(32),
     /** File with the credential. A relative path is resolved against the folder of the settings file. */
--- a/packages/oleandergap-operator/src/__tests__/credentialChecker.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/credentialChecker.test.ts
@@ -124,8 +124,8 @@
     });
 
     it("limits the reads caused by guessed credentials without rejecting a cached credential", async () => {
-        // Guards against exhausting the read capacity of the platform: one client address tries many credentials in a
-        // loop, and each of them costs a read.
+        // Guards against exhausting the read capacity of the platform: one client address sends many guessed
+        // credentials in a loop, and each of them costs a read.
         const { check, table, clock } = createHarness({ unknownCredentialsPerSecond: 5 });
         await check(HALLOWAY_CREDENTIAL);
         for (let guess = 0; guess < 200; guess++) {
--- a/packages/oleandergap-operator/src/__tests__/operatorClient.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/operatorClient.test.ts
@@ -53,11 +53,11 @@
         // for one node has no timeout.
         const clock = createManualClock();
         const node = await startNode();
-        const silentNode = await startServer(() => {
+        const unresponsiveNode = await startServer(() => {
             void clock.advance(1000);
         });
         const client = createOperatorClient({
-            nodes: [silentNode, node.address],
+            nodes: [unresponsiveNode, node.address],
             credential: HALLOWAY_CREDENTIAL,
             timeoutMs: 1000,
             clock,
--- a/packages/oleandergap-operator/src/__tests__/queryNodes.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/queryNodes.test.ts
@@ -54,7 +54,7 @@
 };
 
 describe("queryNodes", () => {
-    it("queries the next node after the hedge delay and aborts the attempt at the silent node", async () => {
+    it("queries the next node after the hedge delay and aborts the attempt at the unresponsive node", async () => {
         // Guards against commands that hang for the whole timeout while one node is frozen: the first node accepts the
         // connection and never responds, and the second node is queried only after the timeout of the first.
         const { clock, queriedPorts, abortedPorts, result } = runQuery([
@@ -107,12 +107,12 @@
             const { clock, queriedPorts, result } = runQuery(behaviours);
             await clock.advance(HEDGE_DELAY_MS * behaviours.length + 9000);
             expect(queriedPorts).to.deep.equal(queriedPorts.map((_node, index) => index));
-            const hasSilent = behaviours.some(({ after }) => after === undefined);
+            const hasUnresponsiveNode = behaviours.some(({ after }) => after === undefined);
             if (behaviours.some(isFinal)) {
                 const { node } = await result;
                 expect(behaviours.filter((_behaviour, index) => index === node?.port).every(isFinal)).to.equal(true);
             }
-            else if (!hasSilent) {
+            else if (!hasUnresponsiveNode) {
                 expect(either.isLeft((await result).answer)).to.equal(true);
                 expect(queriedPorts).to.have.length(behaviours.length);
             }
--- a/packages/oleandergap-operator/src/__tests__/sendToNodes.test.ts
+++ b/packages/oleandergap-operator/src/__tests__/sendToNodes.test.ts
@@ -60,7 +60,7 @@
 };
 
 describe("sendToNodes", () => {
-    it("tries the next node when a node is down and returns the node that responded", async () => {
+    it("sends the change to the next node when a node is down and returns the node that responded", async () => {
         const result = await runSend([
             { kind: "NotSent", detail: "ECONNREFUSED" },
             createErrorResult({ kind: "NotReady", detail: "" }),
--- a/packages/oleandergap-operator/src/client/classifyAttempts.ts
+++ b/packages/oleandergap-operator/src/client/classifyAttempts.ts
@@ -28,7 +28,7 @@
     result.kind === "AnswerLost" ||
     result.kind === "Answered" && either.isLeft(result.answer) && UNCERTAIN_KINDS.has(result.answer.left.kind);
 
-/** Returns whether the attempt has a final response, one that no other node could improve on. */
+/** Returns whether the attempt has a final response, so that a request to another node could not change the result. */
 export const isFinal = (result: AttemptResult<unknown>): boolean =>
     result.kind === "Answered" &&
     (either.isRight(result.answer) || !RETRYABLE_AT_ANOTHER_NODE.has(result.answer.left.kind));
@@ -41,7 +41,7 @@
     return either.isLeft(result.answer) ? result.answer.left.kind : "answered";
 };
 
-/** Returns whether a final response is about this very change, so that it remains valid after a lost response. */
+/** Returns whether a final response states the outcome of this change, so that it is valid after a lost response. */
 export const isDefinitive = ({ answer }: { readonly answer: Either<OperatorError, unknown> }): boolean =>
     either.isRight(answer) || DEFINITIVE_KINDS.has(answer.left.kind);
 
--- a/packages/oleandergap-operator/src/client/operatorClient.ts
+++ b/packages/oleandergap-operator/src/client/operatorClient.ts
@@ -24,7 +24,7 @@
 
 /** Options of {@link createOperatorClient}. */
 export interface OperatorClientOptions {
-    /** Nodes in the order in which they are tried. The node that responded last is tried first by the next call. */
+    /** Nodes in the order in which they receive requests. The next call starts with the node that responded last. */
     readonly nodes: readonly NodeAddress[];
     readonly credential: string;
     /** Maximum time to wait for the response of one node. */
--- a/packages/oleandergap-operator/src/client/sendToNodes.ts
+++ b/packages/oleandergap-operator/src/client/sendToNodes.ts
@@ -15,7 +15,7 @@
 
 /** Options of {@link sendToNodes}. */
 export interface SendToNodesOptions<Data> {
-    /** Nodes in the order in which they are tried. */
+    /** Nodes in the order in which the change is sent to them. */
     readonly nodes: readonly NodeAddress[];
     /** Sends the change to one node. The promise never rejects. */
     readonly attempt: (node: NodeAddress) => Promise<AttemptResult<Data>>;
--- a/packages/oleandergap-operator/src/procedures/target.ts
+++ b/packages/oleandergap-operator/src/procedures/target.ts
@@ -10,7 +10,7 @@
 import type { DrainView } from "../schemas/views.js";
 import { fleetTimeoutError, withDeadline } from "./withDeadline.js";
 
-const findOwnTarget = (
+const findPartnerTarget = (
     report: FleetReport,
     nodeId: NodeId,
     partner: PartnerName,
@@ -34,7 +34,7 @@
     nodeId: NodeId,
 ): Promise<Either<OperatorError, DrainView>> => {
     const report = await fleet.report({ withHeads: false }, signal);
-    const service = findOwnTarget(report, nodeId, identity.partner);
+    const service = findPartnerTarget(report, nodeId, identity.partner);
     if (either.isLeft(service)) {
         return service;
     }
--- a/packages/oleandergap-platform/src/channel.ts
+++ b/packages/oleandergap-platform/src/channel.ts
@@ -13,7 +13,7 @@
 import { createPlatformCounters, type PlatformCounters } from "./platformCounters.js";
 import { createReplaceablePool } from "./replaceablePool.js";
 
-/** Where the platform's responses report its era. */
+/** Era watch of the platform, and the response header from which it obtains the era. */
 export interface EraSource {
     readonly watch: EraWatch;
     /** Lower-case name of the response header that contains the era. */
--- a/packages/oleandergap-platform/src/exchange.ts
+++ b/packages/oleandergap-platform/src/exchange.ts
@@ -66,8 +66,8 @@
     /** Defined once the request is being written to a connection. */
     controller: Dispatcher.DispatchController | undefined;
     isEnded: boolean;
-    /** Records that a part of the response has arrived, which restarts the silence timeout. */
-    readonly noteProgress: () => void;
+    /** Records that a part of the response has arrived, which restarts the inactivity timeout. */
+    readonly recordProgress: () => void;
     readonly end: (result: ExchangeResult) => void;
 }
 
@@ -100,7 +100,7 @@
             exchange.controller = controller;
         },
         onResponseStart: (_controller, statusCode, receivedHeaders) => {
-            exchange.noteProgress();
+            exchange.recordProgress();
             status = statusCode;
             headers = receivedHeaders;
             if (status === STATUS_OK && !hasDelimitedBody(receivedHeaders)) {
@@ -108,7 +108,7 @@
             }
         },
         onResponseData: (_controller, chunk) => {
-            exchange.noteProgress();
+            exchange.recordProgress();
             receivedBytes += chunk.length;
             if (receivedBytes > maximumAnswerBytes) {
                 abortExchange(exchange, `the answer is longer than ${maximumAnswerBytes} bytes`);
@@ -133,7 +133,7 @@
     const handleAbort = (): void => {
         abortExchange(exchange, "the call was cancelled");
     };
-    const silenceWatch = startInactivityTimeout(limits, (exceededLimit) => {
+    const inactivityTimeout = startInactivityTimeout(limits, (exceededLimit) => {
         if (exceededLimit === "silence") {
             abortExchange(exchange, `no answer within ${limits.timeoutMs} ms`, true);
             return;
@@ -143,10 +143,10 @@
     const exchange: RunningExchange = {
         controller: undefined,
         isEnded: false,
-        noteProgress: silenceWatch.recordProgress,
+        recordProgress: inactivityTimeout.recordProgress,
         end: (result) => {
             exchange.isEnded = true;
-            silenceWatch.cancel();
+            inactivityTimeout.cancel();
             signal.removeEventListener("abort", handleAbort);
             resolve(result);
         },
