--- a/packages/oleandergap-cli/src/commands/drain.ts
+++ b/packages/oleandergap-cli/src/commands/drain.ts
@@ -9,7 +9,7 @@
     return either.isLeft(response) ?
         reportOperatorError(response.left) :
         reportSuccess(response.right, [
-            `The target of ${response.right.service} at ${response.right.nodeId} accepts no new requests and finishes its own.`,
+            `The target of ${response.right.service} at ${response.right.nodeId} accepts no new requests and finishes those in flight.`,
         ]);
 };
 
--- a/packages/oleandergap-cli/src/program.ts
+++ b/packages/oleandergap-cli/src/program.ts
@@ -96,7 +96,7 @@
         .argument("[command]")
         .allowExcessArguments(true)
         .addHelpText("after", HELP)
-        .action((_word: string | undefined, _options: unknown, command: Command) =>
+        .action((_commandName: string | undefined, _options: unknown, command: Command) =>
             runWithoutCommand(runner, command, command.args));
     for (const command of createCommands(runner)) {
         program.addCommand(configureCommand(command, environment));
