--- a/packages/oleandergap-configuration/src/change/changeTransaction.ts
+++ b/packages/oleandergap-configuration/src/change/changeTransaction.ts
@@ -22,12 +22,12 @@
 ) => Promise<AttemptResult>;
 
 /**
- * Creates the function that sends transactions. `conclude` reads back whether an earlier attempt took effect before the
- * change ends with an error.
+ * Creates the function that sends transactions. `resolveOutcome` reads back whether an earlier attempt
+ * took effect before the change ends with an error.
  */
 export const createChangeTransaction = (
     tableService: TableService,
-    conclude: OutcomeReader["resolveOutcome"],
+    resolveOutcome: OutcomeReader["resolveOutcome"],
 ): ChangeTransaction =>
     async (request, progress, state, operations, outcome, signal) => {
         const result = await tableService.transact(operations, signal)();
@@ -46,5 +46,5 @@
             return retryAttempt;
         }
         const detail = `rows beyond the head exist already: ${result.right.keys.join(", ")}`;
-        return endChange(await conclude(request, progress.unresolvedHeadVersions, { kind: "Damaged", detail }, signal));
+        return endChange(await resolveOutcome(request, progress.unresolvedHeadVersions, { kind: "Damaged", detail }, signal));
     };
--- a/packages/oleandergap-configuration/src/change/outcomeReader.ts
+++ b/packages/oleandergap-configuration/src/change/outcomeReader.ts
@@ -44,7 +44,7 @@
         return parsed.success ? parsed.data : undefined;
     };
 
-    const toRepeat: OutcomeReader["readRecordedOutcome"] = async (request, row, signal) => {
+    const readRecordedOutcome: OutcomeReader["readRecordedOutcome"] = async (request, row, signal) => {
         const { partner, changeId } = request;
         if (row.fingerprint !== computeFingerprint(request)) {
             return either.left({ kind: "ChangeIdReused", changeId });
@@ -64,7 +64,7 @@
      * in the reverse order, the attempt could take effect between the two reads and be missed, and an accepted change
      * would be reported as refused.
      */
-    const conclude: OutcomeReader["resolveOutcome"] = async (request, unresolvedHeadVersions, error, signal) => {
+    const resolveOutcome: OutcomeReader["resolveOutcome"] = async (request, unresolvedHeadVersions, error, signal) => {
         const hasUnresolvedAttempt = unresolvedHeadVersions.length > 0;
         if (!hasUnresolvedAttempt && error.kind !== "Conflict") {
             return either.left(error);
@@ -78,7 +78,7 @@
             return either.left(hasUnresolvedAttempt ? unknownOutcome : changeRow.left);
         }
         if (changeRow.right !== undefined) {
-            return toRepeat(request, changeRow.right, signal);
+            return readRecordedOutcome(request, changeRow.right, signal);
         }
         const isSettled = either.isRight(head) &&
             !unresolvedHeadVersions.some((unresolvedVersion) =>
@@ -86,5 +86,5 @@
         return either.left(hasUnresolvedAttempt && !isSettled ? unknownOutcome : error);
     };
 
-    return { readRecordedOutcome: toRepeat, resolveOutcome: conclude };
+    return { readRecordedOutcome, resolveOutcome };
 };
--- a/packages/oleandergap-containment/src/containment.ts
+++ b/packages/oleandergap-containment/src/containment.ts
@@ -119,7 +119,7 @@
         signal,
     });
 
-    const noteOwnCrash: Containment<Peer>["recordLocalCrash"] = (running) => {
+    const recordLocalCrash: Containment<Peer>["recordLocalCrash"] = (running) => {
         localCrashCount += 1;
         const crash = `${localCrashPrefix}${localCrashCount}`;
         const fingerprints = [...new Set(running)];
@@ -142,7 +142,7 @@
         hasSuspects: evidenceStore.hasSuspects,
         judge: (fingerprint) => evidenceStore.judge(fingerprint, clock.monotonic()),
         retryAfter: ({ until }) => Math.max(0, until - clock.monotonic()),
-        recordLocalCrash: noteOwnCrash,
+        recordLocalCrash,
         recordReportedCrash: (crash, node, fingerprint) => {
             evidenceStore.recordCrash({ crash, node, at: clock.monotonic(), fingerprints: [fingerprint] });
             updateContainedRequests([fingerprint]);
--- a/packages/oleandergap-containment/src/evidenceStore.ts
+++ b/packages/oleandergap-containment/src/evidenceStore.ts
@@ -137,7 +137,7 @@
         }
     };
 
-    const noteCrash: EvidenceStore["recordCrash"] = (report) => {
+    const recordCrash: EvidenceStore["recordCrash"] = (report) => {
         const { crash, node, at } = report;
         const fingerprints = report.fingerprints.filter((fingerprint) => {
             const record = records.get(fingerprint);
@@ -155,7 +155,7 @@
         return { ...report, fingerprints };
     };
 
-    const noteGoodRun: EvidenceStore["recordGoodRun"] = ({ fingerprint, at }) => {
+    const recordGoodRun: EvidenceStore["recordGoodRun"] = ({ fingerprint, at }) => {
         const record = records.get(fingerprint);
         if (record === undefined || !clearCrashes(record, at)) {
             return false;
@@ -193,8 +193,8 @@
     };
 
     return {
-        recordCrash: noteCrash,
-        recordGoodRun: noteGoodRun,
+        recordCrash,
+        recordGoodRun,
         judge: (fingerprint, now) => {
             const record = records.get(fingerprint);
             return record === undefined ? { kind: "Free" } : judgeSuspect(record, now, options);
--- a/packages/oleandergap-distribution/src/claimRegistry.ts
+++ b/packages/oleandergap-distribution/src/claimRegistry.ts
@@ -51,8 +51,8 @@
     readonly add: (claim: Claim) => boolean;
     /** Returns the current claims, highest sequence first. */
     readonly claims: () => readonly Claim[];
-    /** Removes the claims to heads for which `isWanted` returns false. */
-    readonly removeUnwanted: (isWanted: (head: Head) => boolean) => void;
+    /** Removes the claims to heads for which `isNeeded` returns false. */
+    readonly removeUnneeded: (isNeeded: (head: Head) => boolean) => void;
     /** Counts a failed attempt to fetch a claimed head from its source. Returns whether the claim was dropped. */
     readonly countFailure: (claim: Claim, failure: ClaimFailure) => boolean;
 }
@@ -115,8 +115,8 @@
             return isNewest;
         },
         claims: () => claims,
-        removeUnwanted: (isWanted) => {
-            claims = claims.filter((claim) => isWanted(claim.head));
+        removeUnneeded: (isNeeded) => {
+            claims = claims.filter((claim) => isNeeded(claim.head));
             if (claims.length === 0) {
                 failureCounts.clear();
             }
--- a/packages/oleandergap-distribution/src/inFlightPulls.ts
+++ b/packages/oleandergap-distribution/src/inFlightPulls.ts
@@ -48,7 +48,7 @@
      * Cancels the requests for versions that are no longer wanted. The callbacks are not called for cancelled requests.
      * Returns whether any request was cancelled.
      */
-    readonly cancelUnless: (isWanted: (head: Head) => boolean) => boolean;
+    readonly cancelUnless: (isNeeded: (head: Head) => boolean) => boolean;
 }
 
 interface InFlightPull {
@@ -101,7 +101,7 @@
             now - lastProgressAt < options.answerPatienceMs && now - startedAt < options.arrivingPatienceMs);
     };
 
-    const startPatience: InFlightPulls["startHedgingTimer"] = (onEnd) => {
+    const startHedgingTimer: InFlightPulls["startHedgingTimer"] = (onEnd) => {
         let cancel: CancelTimer = () => undefined;
         const wait = (): void => {
             cancel = startTimer(clock, signal, options.answerPatienceMs, () => (isArriving() ? wait() : onEnd()));
@@ -113,11 +113,11 @@
     return {
         isEmpty: () => pulls.size === 0,
         hasFreeSlot: () => pulls.size < MAX_CONCURRENT_PULLS,
-        startHedgingTimer: startPatience,
+        startHedgingTimer,
         isInFlight: (source) => pulls.has(formatClaimSource(source)),
         start: (attempt) => void run(formatClaimSource(attempt.source), attempt),
-        cancelUnless: (isWanted) => {
-            const obsoletePulls = [...pulls].filter(([, { attempt }]) => !isWanted(attempt.newestHead));
+        cancelUnless: (isNeeded) => {
+            const obsoletePulls = [...pulls].filter(([, { attempt }]) => !isNeeded(attempt.newestHead));
             for (const [key, { abort }] of obsoletePulls) {
                 pulls.delete(key);
                 abort();
--- a/packages/oleandergap-distribution/src/versionPuller.ts
+++ b/packages/oleandergap-distribution/src/versionPuller.ts
@@ -142,7 +142,7 @@
 
     const pullNext = (): void => {
         state = { kind: "Idle" };
-        registry.removeUnwanted(store.needsVersion);
+        registry.removeUnneeded(store.needsVersion);
         inFlightPulls.cancelUnless(store.needsVersion);
         const attempt = inFlightPulls.hasFreeSlot() ?
             choosePull({
--- a/packages/oleandergap-gate/src/rankedQueue.ts
+++ b/packages/oleandergap-gate/src/rankedQueue.ts
@@ -76,7 +76,7 @@
      * start first, such late requests would wait until their deadlines. They are refused as soon as this is
      * predictable.
      */
-    const refuseHopeless: RankedQueue["refuseUnservable"] = (now) => {
+    const refuseUnservable: RankedQueue["refuseUnservable"] = (now) => {
         if (now - lastCheckAt < CHECK_INTERVAL_MS) {
             return;
         }
@@ -96,7 +96,7 @@
         ),
         isLate,
         demote,
-        refuseUnservable: refuseHopeless,
+        refuseUnservable,
         refuseLate: (request, flow, now) => {
             const overrun = lateRequests.deadlineOverrun(
                 request,
--- a/packages/oleandergap-membership/src/remoteTargets.ts
+++ b/packages/oleandergap-membership/src/remoteTargets.ts
@@ -189,7 +189,7 @@
         }
     };
 
-    const hearDigest: RemoteTargets["receiveDigest"] = ({ sequence, digest }) => {
+    const receiveDigest: RemoteTargets["receiveDigest"] = ({ sequence, digest }) => {
         if (lastFetch !== undefined && digest !== lastFetch.digest) {
             requireFetch(Math.max(clock.monotonic(), lastFetchAt + MIN_FETCH_INTERVAL_MS));
         }
@@ -223,5 +223,5 @@
         return remoteService.targets;
     };
 
-    return { targetsOf, poll, receiveDigest: hearDigest, size: () => services.size };
+    return { targetsOf, poll, receiveDigest, size: () => services.size };
 };
--- a/packages/oleandergap-node/src/__tests__/crashModel.ts
+++ b/packages/oleandergap-node/src/__tests__/crashModel.ts
@@ -223,7 +223,7 @@
             clock,
             isListenerGone: () => Promise.resolve(!node.isTargetUp),
             currentTarget: () => node.target,
-            noteCrash: node.containment.recordLocalCrash,
+            recordCrash: node.containment.recordLocalCrash,
             removeCrashedTarget: () => {
                 node.target = undefined;
             },
@@ -262,7 +262,9 @@
             return either.left(lastFailure);
         }
         const { containment } = gatewayNode;
-        const evidence = ignoresGoodRuns === true ? { ...containment, hearGoodRun: () => undefined } : containment;
+        const evidence = ignoresGoodRuns === true ?
+            { ...containment, recordRemoteGoodRun: () => undefined } :
+            containment;
         const requestContainment = createRequestContainment(evidence)(request, body);
         const allowedTargets = requestContainment.chooseTargets(nodes.map(({ member }) => member));
         const triedNodeIds = new Set<string>();
--- a/packages/oleandergap-node/src/__tests__/crashes.test.ts
+++ b/packages/oleandergap-node/src/__tests__/crashes.test.ts
@@ -122,7 +122,7 @@
             clock: manual,
             isListenerGone: () => new Promise(() => undefined),
             currentTarget: () => target,
-            noteCrash: () => "crash",
+            recordCrash: () => "crash",
             removeCrashedTarget: () => undefined,
         });
         const request = { method: "GET", host: HOST, path: "/read", body: { kind: "Empty" } } as unknown as GateRequest;
--- a/packages/oleandergap-node/src/gate/crashDetector.ts
+++ b/packages/oleandergap-node/src/gate/crashDetector.ts
@@ -43,7 +43,7 @@
     /** Returns the current target. A target that is leaving or was replaced is expected to end, so it cannot crash. */
     readonly currentTarget: () => LocalTarget | undefined;
     /** Called once for each crash with the fingerprints of all requests that were running. */
-    readonly noteCrash: (running: readonly Fingerprint[]) => CrashId;
+    readonly recordCrash: (running: readonly Fingerprint[]) => CrashId;
     /** Called once for each crash that ended the current target. */
     readonly removeCrashedTarget: (target: LocalTarget) => void;
 }
@@ -102,7 +102,7 @@
 
 /** Creates a crash detector. */
 export const createCrashDetector = (
-    { clock, isListenerGone, currentTarget, noteCrash, removeCrashedTarget }: CrashDetectorDependencies,
+    { clock, isListenerGone, currentTarget, recordCrash, removeCrashedTarget }: CrashDetectorDependencies,
 ): CrashDetector => {
     const lifetimes = new WeakMap<LocalTarget["gate"], Lifetime>();
 
@@ -129,7 +129,7 @@
     const reportCrash = (lifetime: Lifetime): void => {
         const running = [...lifetime.running].map((request) => fingerprintRequest(request, request.body));
         const ended = lifetime.ended.splice(0).filter(isRecent).map(({ fingerprint }) => fingerprint);
-        lifetime.crash = noteCrash([...running, ...ended]);
+        lifetime.crash = recordCrash([...running, ...ended]);
     };
 
     const isCurrent = ({ gate }: LocalTarget): boolean => {
--- a/packages/oleandergap-node/src/gate/createTargetRunObserver.ts
+++ b/packages/oleandergap-node/src/gate/createTargetRunObserver.ts
@@ -26,11 +26,11 @@
         clock,
         isListenerGone: createListenerProbe(clock),
         currentTarget: target.current,
-        noteCrash: containment.recordLocalCrash,
+        recordCrash: containment.recordLocalCrash,
         removeCrashedTarget: ({ gate }) => target.removeTarget(gate),
     }),
     findRefusal: createContainmentCheck(containment),
-    noteGoodRun: (request) => {
+    recordGoodRun: (request) => {
         if (containment.hasSuspects()) {
             containment.recordLocalGoodRun(fingerprintRequest(request, request.body));
         }
--- a/packages/oleandergap-node/src/gate/runObserver.ts
+++ b/packages/oleandergap-node/src/gate/runObserver.ts
@@ -16,7 +16,7 @@
     /** Returns the refusal if the request must not be sent. Called just before sending. */
     readonly findRefusal: (request: GateRequest) => RequestFailure | undefined;
     /** Called when the local target sent a complete response that is not an error. */
-    readonly noteGoodRun: (request: GateRequest) => void;
+    readonly recordGoodRun: (request: GateRequest) => void;
     readonly logLostRun: (run: LostRun) => void;
 }
 
@@ -32,7 +32,7 @@
 
 /** Creates the function that wraps runs with observation. */
 export const createRunObserver = (dependencies: RunObserverDependencies): ObserveRun => {
-    const { clock, crashDetector, findRefusal, noteGoodRun, logLostRun } = dependencies;
+    const { clock, crashDetector, findRefusal, recordGoodRun, logLostRun } = dependencies;
 
     const classifyInterruption = (request: GateRequest): RunEnd =>
         wasAborted(request, clock.monotonic()) ? "Aborted" : "Lost";
@@ -43,7 +43,7 @@
             onFinish: (failure) => {
                 void run.end(failure === undefined ? "Completed" : classifyInterruption(request));
                 if (failure === undefined && response.statusCode < FIRST_ERROR_STATUS) {
-                    noteGoodRun(request);
+                    recordGoodRun(request);
                 }
             },
         }),
--- a/packages/oleandergap-node/src/gateway/requestLog.ts
+++ b/packages/oleandergap-node/src/gateway/requestLog.ts
@@ -45,7 +45,7 @@
 /** Size of a burst, in seconds at the average rate. The lines at the start of an incident are the most informative. */
 const BURST_SECONDS = 5;
 
-const formatTriedTargets = (triedTargets: readonly AttemptedTarget[]): string => triedTargets
+const formatAttemptedTargets = (attemptedTargets: readonly AttemptedTarget[]): string => attemptedTargets
     .map(({ nodeId, failure }) => `${nodeId}:${failure === undefined ? "open" : reasonOfFailure(failure)}`)
     .join(" ");
 
@@ -60,7 +60,7 @@
     verdict: failure.verdict,
     reason: reasonOfFailure(failure),
     detail: "detail" in failure ? failure.detail : undefined,
-    tried: formatTriedTargets(tried),
+    tried: formatAttemptedTargets(tried),
     isFirst,
     queuedMs: Math.round(queuedMs),
     durationMs: Math.round(durationMs),
--- a/packages/oleandergap-node/src/target/localTargetManager.ts
+++ b/packages/oleandergap-node/src/target/localTargetManager.ts
@@ -104,9 +104,9 @@
 const isUnknownServiceReplacement = (
     target: LocalTarget | undefined,
     announcement: Announcement,
-    limitOf: LocalTargetManagerDependencies["findLimit"],
+    findLimit: LocalTargetManagerDependencies["findLimit"],
 ): boolean =>
-    target !== undefined && limitOf(target.announcement) !== undefined && limitOf(announcement) === undefined;
+    target !== undefined && findLimit(target.announcement) !== undefined && findLimit(announcement) === undefined;
 
 /**
  * Estimates when the target started. After a restart of the node, its target may have been warm for a long time. If it
@@ -237,7 +237,7 @@
         return true;
     };
 
-    const lose = (gate: Gate): void => {
+    const removeTargetOfGate = (gate: Gate): void => {
         if (target?.gate === gate) {
             removeTarget();
             gate.refuseWaiting();
@@ -247,7 +247,7 @@
     return {
         announce,
         withdraw,
-        removeTarget: lose,
+        removeTarget: removeTargetOfGate,
         drain,
         current: () => target,
         refreshLimit: () => {
